--- a/adminapi/adminapi.go
+++ b/adminapi/adminapi.go
@@ -27,12 +27,12 @@
 
 // Paths of the operator interface.
 const (
-	PathStatus    = "/v1/status"
-	PathCurrent   = "/v1/settings/current"
-	PathRevisions = "/v1/settings/revisions/"
-	PathHistory   = "/v1/settings/history"
-	PathApply     = "/v1/settings/apply"
-	PathDrain     = "/v1/drain"
+	PathStatus            = "/v1/status"
+	PathSettingsCurrent   = "/v1/settings/current"
+	PathSettingsRevisions = "/v1/settings/revisions/"
+	PathSettingsHistory   = "/v1/settings/history"
+	PathSettingsApply     = "/v1/settings/apply"
+	PathDrain             = "/v1/drain"
 
 	PathExplainModel   = "/v1/explain/model/"
 	PathExplainRequest = "/v1/explain/request/"
@@ -102,8 +102,8 @@
 }
 
 const (
-	timeout        = 30 * time.Second
-	maxAnswerBytes = 64 << 20
+	callTimeout      = 30 * time.Second
+	maxResponseBytes = 64 << 20
 )
 
 // Client calls a daemon's operator interface.
@@ -113,22 +113,22 @@
 }
 
 // Get reads a path into answer.
-func (c Client) Get(ctx context.Context, path string, answer any) error {
-	return c.call(ctx, http.MethodGet, path, nil, answer)
+func (c Client) Get(ctx context.Context, path string, result any) error {
+	return c.call(ctx, http.MethodGet, path, nil, result)
 }
 
 // Post sends a message to a path and reads the answer.
-func (c Client) Post(ctx context.Context, path string, message, answer any) error {
+func (c Client) Post(ctx context.Context, path string, message, result any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
 		return failure.Wrap(err, failure.Internal, "", "encode message")
 	}
-	return c.call(ctx, http.MethodPost, path, body, answer)
+	return c.call(ctx, http.MethodPost, path, body, result)
 }
 
-func (c Client) call(ctx context.Context, method, path string, body []byte, answer any) error {
-	const reach = "check --address and that the daemon runs"
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+func (c Client) call(ctx context.Context, method, path string, body []byte, result any) error {
+	const remedy = "check --address and that the daemon runs"
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	httpRequest, err := http.NewRequestWithContext(ctx, method, "http://"+c.Address+path, bytes.NewReader(body))
 	if err != nil {
@@ -139,29 +139,29 @@
 	}
 	response, err := http.DefaultClient.Do(httpRequest)
 	if err != nil {
-		return failure.Wrap(err, failure.Unavailable, reach, "the daemon at %s did not answer", c.Address).WithExecution(failure.Unknown)
+		return failure.Wrap(err, failure.Unavailable, remedy, "the daemon at %s did not answer", c.Address).WithExecution(failure.Unknown)
 	}
 	defer func() { _ = response.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return failure.Wrap(err, failure.Unavailable, reach, "the daemon's answer broke off").WithExecution(failure.Unknown)
+		return failure.Wrap(err, failure.Unavailable, remedy, "the daemon's answer broke off").WithExecution(failure.Unknown)
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return failed(response.StatusCode, text)
+		return responseError(response.StatusCode, text)
 	}
-	if answer == nil {
+	if result == nil {
 		return nil
 	}
-	if err := json.Unmarshal(text, answer); err != nil {
-		return failure.Wrap(err, failure.Unavailable, reach, "the daemon's answer is not understood")
+	if err := json.Unmarshal(text, result); err != nil {
+		return failure.Wrap(err, failure.Unavailable, remedy, "the daemon's answer is not understood")
 	}
 	return nil
 }
 
-func failed(status int, text []byte) error {
-	var told Error
-	if err := json.Unmarshal(text, &told); err != nil || told.Kind == "" {
+func responseError(status int, text []byte) error {
+	var body Error
+	if err := json.Unmarshal(text, &body); err != nil || body.Kind == "" {
 		return failure.New(failure.Unavailable, "check --address", "the daemon answered status %d", status)
 	}
-	return failure.New(told.Kind, told.Remedy, "%s", told.Message).WithExecution(told.Execution)
+	return failure.New(body.Kind, body.Remedy, "%s", body.Message).WithExecution(body.Execution)
 }
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -61,10 +61,10 @@
 	mux.HandleFunc("GET /readyz", a.readyz)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(a.daemon.metrics, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET "+adminapi.PathStatus, a.guarded(a.status))
-	mux.HandleFunc("GET "+adminapi.PathCurrent, a.guarded(a.current))
-	mux.HandleFunc("GET "+adminapi.PathRevisions+"{number}", a.guarded(a.revision))
-	mux.HandleFunc("GET "+adminapi.PathHistory, a.guarded(a.history))
-	mux.HandleFunc("POST "+adminapi.PathApply, a.guarded(a.apply))
+	mux.HandleFunc("GET "+adminapi.PathSettingsCurrent, a.guarded(a.current))
+	mux.HandleFunc("GET "+adminapi.PathSettingsRevisions+"{number}", a.guarded(a.revision))
+	mux.HandleFunc("GET "+adminapi.PathSettingsHistory, a.guarded(a.history))
+	mux.HandleFunc("POST "+adminapi.PathSettingsApply, a.guarded(a.apply))
 	mux.HandleFunc("POST "+adminapi.PathDrain, a.guarded(a.drain))
 	mux.HandleFunc("GET "+adminapi.PathExplainModel+"{name}", a.guarded(a.explainModel))
 	mux.HandleFunc("GET "+adminapi.PathExplainRequest+"{id}", a.guarded(a.explainRequest))
@@ -98,23 +98,23 @@
 func (a *adminServer) guarded(call func(*http.Request) (any, error)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, httpRequest *http.Request) {
 		writer.Header().Set("Content-Type", "application/json")
-		answer, err := any(nil), a.authorize(httpRequest)
+		result, err := any(nil), a.authorize(httpRequest)
 		if err == nil {
-			answer, err = call(httpRequest)
+			result, err = call(httpRequest)
 		}
 		if err != nil {
 			failed := failure.As(err)
 			writer.WriteHeader(adminStatus(failed.Kind))
-			answer = adminapi.Error{Kind: failed.Kind, Message: failed.Message, Remedy: failed.Remedy, Execution: failed.Execution}
+			result = adminapi.Error{Kind: failed.Kind, Message: failed.Message, Remedy: failed.Remedy, Execution: failed.Execution}
 		}
-		_ = json.NewEncoder(writer).Encode(answer) // the operator may be gone
+		_ = json.NewEncoder(writer).Encode(result) // the operator may be gone
 	}
 }
 
 func (a *adminServer) authorize(httpRequest *http.Request) error {
-	wanted := a.daemon.config.OperatorToken
+	expected := a.daemon.config.OperatorToken
 	given := strings.TrimPrefix(httpRequest.Header.Get("Authorization"), "Bearer ")
-	if wanted != "" && subtle.ConstantTimeCompare([]byte(wanted), []byte(given)) != 1 {
+	if expected != "" && subtle.ConstantTimeCompare([]byte(expected), []byte(given)) != 1 {
 		return failure.New(failure.Unauthenticated, "give the operator token with --token", "the operator token is missing or wrong")
 	}
 	return nil
@@ -143,17 +143,17 @@
 	}
 	sort.Slice(status.Queues, func(i, j int) bool { return status.Queues[i].Model < status.Queues[j].Model })
 	for _, member := range d.members.View().Members {
-		heard := d.members.HeardRevision(member.ID)
+		revision := d.members.HeardRevision(member.ID)
 		if member.ID == self.ID {
-			heard = d.settings.Number()
+			revision = d.settings.Number()
 		}
 		status.Members = append(status.Members, adminapi.Member{
 			ID: member.ID, Region: member.Region, Zone: member.Zone, Status: member.Status.String(),
-			RPCAddress: member.RPCAddress, SettingsRevision: heard})
+			RPCAddress: member.RPCAddress, SettingsRevision: revision})
 	}
-	if shown, leads := d.placer.Picture(); leads {
-		status.Placement = &adminapi.Placement{Region: self.Region, Epoch: shown.Epoch, Plan: shown.Plan.Fence.Revision}
-		for _, planned := range shown.Plan.Engines {
+	if placement, leads := d.placer.PlacementStatus(); leads {
+		status.Placement = &adminapi.Placement{Region: self.Region, Epoch: placement.Epoch, Plan: placement.Plan.Fence.Revision}
+		for _, planned := range placement.Plan.Engines {
 			status.Placement.Engines = append(status.Placement.Engines, planned)
 		}
 		sort.Slice(status.Placement.Engines, func(i, j int) bool {
@@ -204,20 +204,20 @@
 }
 
 func (a *adminServer) apply(httpRequest *http.Request) (any, error) {
-	var wanted adminapi.Application
+	var application adminapi.Application
 	body := http.MaxBytesReader(nil, httpRequest.Body, maxApplyBytes)
-	if err := json.NewDecoder(body).Decode(&wanted); err != nil {
+	if err := json.NewDecoder(body).Decode(&application); err != nil {
 		return nil, failure.Wrap(err, failure.InvalidRequest, "use `finchspoke settings apply`", "the application is not understood")
 	}
-	if wanted.OperationID == "" || len(wanted.OperationID) > maxOperationID {
+	if application.OperationID == "" || len(application.OperationID) > maxOperationID {
 		return nil, failure.New(failure.InvalidRequest, "give an operation id of 1 to 128 bytes", "the operation id is not valid")
 	}
-	tree, err := settings.Parse(settings.Source{Name: "settings", Data: []byte(wanted.YAML)})
+	tree, err := settings.Parse(settings.Source{Name: "settings", Data: []byte(application.YAML)})
 	if err != nil {
 		return nil, err
 	}
 	revision, err := a.daemon.registry.Apply(httpRequest.Context(), settings.Application{
-		BaseRevision: wanted.BaseRevision, OperationID: wanted.OperationID, Author: wanted.Author, Tree: tree})
+		BaseRevision: application.BaseRevision, OperationID: application.OperationID, Author: application.Author, Tree: tree})
 	if err != nil {
 		return nil, err
 	}
@@ -245,13 +245,13 @@
 		return adminapi.Explanation{Lines: []string{"no daemon runs in a region that serves " + model.Name}}, nil
 	}
 	placer, _ := view.Placer(home.Region)
-	answer, err := rpc.NewDRPCExplainClient(d.pool.To(httpRequest.Context(), placer.RPCAddress)).
+	response, err := rpc.NewDRPCExplainClient(d.pool.Conn(httpRequest.Context(), placer.RPCAddress)).
 		Model(httpRequest.Context(), &rpc.ExplainModel{Target: name})
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Unavailable, "try again shortly", "the placer of %s, %s, did not answer", home.Region, placer.ID)
 	}
-	first := "requests through this daemon queue at home " + home.ID + "; " + placer.ID + " places for " + home.Region
-	return adminapi.Explanation{Lines: append([]string{first}, answer.GetLines()...)}, nil
+	summary := "requests through this daemon queue at home " + home.ID + "; " + placer.ID + " places for " + home.Region
+	return adminapi.Explanation{Lines: append([]string{summary}, response.GetLines()...)}, nil
 }
 
 func (a *adminServer) explainRequest(httpRequest *http.Request) (any, error) {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -37,12 +37,12 @@
 const Version = "0.1.0"
 
 const (
-	// leaveSpread is the time for the news of leaving to spread before the
+	// leavePropagationDelay is the time for the news of leaving to spread before the
 	// gateway stops to listen.
-	leaveSpread = 500 * time.Millisecond
-	// handOverTime bounds the wait for others to take over this daemon's claims.
-	handOverTime = 15 * time.Second
-	handOverPoll = 50 * time.Millisecond
+	leavePropagationDelay = 500 * time.Millisecond
+	// handoverTimeout bounds the wait for others to take over this daemon's claims.
+	handoverTimeout      = 15 * time.Second
+	handoverPollInterval = 50 * time.Millisecond
 	// suspicionIntervals is how many probe intervals a suspect has to refute.
 	suspicionIntervals  = 3
 	probeTimeoutDivisor = 3
@@ -87,19 +87,19 @@
 }
 
 // New opens a daemon's sockets and assembles it; Run starts it.
-func New(settingsFile config.Config, log logrus.FieldLogger) (*Daemon, error) {
-	if err := settingsFile.Check(); err != nil {
+func New(cfg config.Config, log logrus.FieldLogger) (*Daemon, error) {
+	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	opened, err := listen(settingsFile)
+	opened, err := listen(cfg)
 	if err != nil {
 		return nil, err
 	}
-	if settingsFile.ID == "" {
-		settingsFile.ID = opened.rpc.Addr().String()
+	if cfg.ID == "" {
+		cfg.ID = opened.rpc.Addr().String()
 	}
 	created := &Daemon{
-		config: settingsFile, log: log.WithFields(logrus.Fields{"daemon": settingsFile.ID, "zone": settingsFile.Zone}),
+		config: cfg, log: log.WithFields(logrus.Fields{"daemon": cfg.ID, "zone": cfg.Zone}),
 		metrics: prometheus.NewRegistry(), sockets: opened, settings: &settings.Store{}, engines: engine.NewClient(),
 		drain: make(chan struct{}),
 	}
@@ -108,27 +108,27 @@
 	return created, nil
 }
 
-func listen(settingsFile config.Config) (opened sockets, err error) {
+func listen(cfg config.Config) (opened sockets, err error) {
 	defer func() {
 		if err != nil {
 			opened.close()
 		}
 	}()
-	if opened.gateway, err = listenTCP("gateway", settingsFile.Listen.Gateway); err != nil {
+	if opened.gateway, err = listenTCP("gateway", cfg.Listen.Gateway); err != nil {
 		return opened, err
 	}
-	if opened.gateway, err = withTLS(opened.gateway, settingsFile.TLS); err != nil {
+	if opened.gateway, err = withTLS(opened.gateway, cfg.TLS); err != nil {
 		return opened, err
 	}
-	if opened.rpc, err = listenTCP("rpc", settingsFile.Listen.RPC); err != nil {
+	if opened.rpc, err = listenTCP("rpc", cfg.Listen.RPC); err != nil {
 		return opened, err
 	}
-	if opened.admin, err = listenTCP("admin", settingsFile.Listen.Admin); err != nil {
+	if opened.admin, err = listenTCP("admin", cfg.Listen.Admin); err != nil {
 		return opened, err
 	}
-	opened.gossip, err = net.ListenPacket("udp", settingsFile.Listen.Gossip)
+	opened.gossip, err = net.ListenPacket("udp", cfg.Listen.Gossip)
 	if err != nil {
-		return opened, cannotListen(err, "gossip", settingsFile.Listen.Gossip)
+		return opened, listenError(err, "gossip", cfg.Listen.Gossip)
 	}
 	return opened, nil
 }
@@ -136,12 +136,12 @@
 func listenTCP(name, address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, cannotListen(err, name, address)
+		return nil, listenError(err, name, address)
 	}
 	return listener, nil
 }
 
-func cannotListen(err error, name, address string) error {
+func listenError(err error, name, address string) error {
 	return failure.Wrap(err, failure.InvalidConfig, "give a free address of this machine under listen."+name, "cannot listen on %s for %s", address, name)
 }
 
@@ -211,24 +211,24 @@
 		Settings: d.settings, Engines: d.engines, Ledger: group.NewLedger(d.members.View, d.pool), Log: d.log,
 		Registerer: d.metrics, MaxConnections: d.config.MaxConnections,
 	}, d.homes, d.sockets.gateway)
-	spread := newSpreader(d.settings, d.registry, d.members, d.log)
+	distributor := newSettingsDistributor(d.settings, d.registry, d.members, d.log)
 	d.registerMetrics()
 	server := transport.NewServer(d.sockets.rpc)
-	d.register(server, spread, group.NewService(d.claims, manager))
+	d.registerServices(server, distributor, group.NewService(d.claims, manager))
 	d.supervisor = suture.New("finchspoke", suture.Spec{EventHook: d.logEvent})
 	for _, service := range []suture.Service{
-		d.members, server, spread, d.home, home.NewReporter(d.home, d.config.Region), d.placer, manager, d.gateway,
+		d.members, server, distributor, d.home, home.NewDemandReporter(d.home, d.config.Region), d.placer, manager, d.gateway,
 		&adminServer{daemon: d, listener: d.sockets.admin},
 	} {
 		d.supervisor.Add(service)
 	}
 }
 
-func (d *Daemon) register(server *transport.Server, spread *spreader, claims *group.Service) {
+func (d *Daemon) registerServices(server *transport.Server, distributor *settingsDistributor, claims *group.Service) {
 	mux := server.Mux()
 	for _, err := range []error{
 		rpc.DRPCRegisterHome(mux, d.home), rpc.DRPCRegisterPlacer(mux, d.placer),
-		rpc.DRPCRegisterMembership(mux, d.members), rpc.DRPCRegisterSettings(mux, spread),
+		rpc.DRPCRegisterMembership(mux, d.members), rpc.DRPCRegisterSettings(mux, distributor),
 		rpc.DRPCRegisterGroups(mux, claims), rpc.DRPCRegisterExplain(mux, d.placer),
 	} {
 		if err != nil {
@@ -324,13 +324,13 @@
 	return err
 }
 
-// handClaimsOver waits until other daemons have taken this one's place in the
+// handOverClaims waits until other daemons have taken this one's place in the
 // run-once groups, if there are others and they do so soon: a rolling restart must
 // not take two members from one group.
-func (d *Daemon) handClaimsOver(ctx context.Context) {
-	until := time.Now().Add(handOverTime)
-	for d.claims.Serving() && time.Now().Before(until) && ctx.Err() == nil && len(d.members.View().RunningIn(d.config.Region)) > 0 {
-		sleep.For(ctx, handOverPoll)
+func (d *Daemon) handOverClaims(ctx context.Context) {
+	deadline := time.Now().Add(handoverTimeout)
+	for d.claims.Serving() && time.Now().Before(deadline) && ctx.Err() == nil && len(d.members.View().RunningIn(d.config.Region)) > 0 {
+		sleep.For(ctx, handoverPollInterval)
 	}
 }
 
@@ -339,8 +339,8 @@
 func (d *Daemon) leave(ctx context.Context) error {
 	d.log.Info("planned stop: leaving")
 	d.members.Leave()
-	sleep.For(ctx, leaveSpread)
-	d.handClaimsOver(ctx)
+	sleep.For(ctx, leavePropagationDelay)
+	d.handOverClaims(ctx)
 	ctx, cancel := context.WithTimeout(ctx, d.config.DrainTimeout)
 	defer cancel()
 	if err := d.gateway.Drain(ctx); err != nil {
--- a/daemon/spread.go
+++ b/daemon/spread.go
@@ -17,24 +17,24 @@
 const (
 	// watchersPerZone is how many daemons of a zone follow the key-value service;
 	// the others hear of a revision by gossip and fetch it from a peer.
-	watchersPerZone = 2
-	watcherCheck    = 500 * time.Millisecond
-	fetchTimeout    = 2 * time.Second
+	watchersPerZone      = 2
+	watcherCheckInterval = 500 * time.Millisecond
+	fetchTimeout         = 2 * time.Second
 )
 
 // spreader puts accepted settings revisions in force in this daemon, from the
 // key-value service or from peers. It is a suture service and serves the Settings
 // rpc.
-type spreader struct {
-	store    *settings.Store
-	registry *settings.Registry
-	members  *membership.Service
-	log      logrus.FieldLogger
-	heard    chan string // ids of members that told of a newer revision
+type settingsDistributor struct {
+	store     *settings.Store
+	registry  *settings.Registry
+	members   *membership.Service
+	log       logrus.FieldLogger
+	fetchFrom chan string // ids of members that told of a newer revision
 }
 
-func newSpreader(store *settings.Store, registry *settings.Registry, members *membership.Service, log logrus.FieldLogger) *spreader {
-	created := &spreader{store: store, registry: registry, members: members, log: log, heard: make(chan string, 1)}
+func newSettingsDistributor(store *settings.Store, registry *settings.Registry, members *membership.Service, log logrus.FieldLogger) *settingsDistributor {
+	distributor := &settingsDistributor{store: store, registry: registry, members: members, log: log, fetchFrom: make(chan string, 1)}
 	store.Listen(func(revision *settings.Revision) {
 		log.WithFields(logrus.Fields{"revision": revision.Number, "author": revision.Author}).Info("settings in force")
 		members.Announce(revision.Number)
@@ -44,24 +44,24 @@
 	})
 	members.OnRevisionHeard(func(memberID string, _ uint64) {
 		select {
-		case created.heard <- memberID:
+		case distributor.fetchFrom <- memberID:
 		default: // one fetch at a time; gossip will tell again
 		}
 	})
-	return created
+	return distributor
 }
 
 // String names the service in the supervisor's events.
-func (s *spreader) String() string { return "settings-spreader" }
+func (s *settingsDistributor) String() string { return "settings-spreader" }
 
 // Serve implements suture.Service.
-func (s *spreader) Serve(ctx context.Context) error {
-	go s.watchWhileChosen(ctx)
+func (s *settingsDistributor) Serve(ctx context.Context) error {
+	go s.watchWhileAssigned(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case memberID := <-s.heard:
+		case memberID := <-s.fetchFrom:
 			if err := s.fetch(ctx, memberID); err != nil {
 				s.log.WithError(err).WithField("member", memberID).Debug("settings not fetched; gossip will tell again")
 			}
@@ -69,21 +69,21 @@
 	}
 }
 
-// watchWhileChosen follows the key-value service while this daemon is one of its
+// watchWhileAssigned follows the key-value service while this daemon is one of its
 // zone's watchers.
-func (s *spreader) watchWhileChosen(ctx context.Context) {
+func (s *settingsDistributor) watchWhileAssigned(ctx context.Context) {
 	for ctx.Err() == nil {
 		if s.members.View().IsSettingsWatcher(watchersPerZone) {
 			s.watch(ctx)
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(watcherCheck):
+		case <-time.After(watcherCheckInterval):
 		}
 	}
 }
 
-func (s *spreader) watch(ctx context.Context) {
+func (s *settingsDistributor) watch(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
@@ -91,7 +91,7 @@
 		for ctx.Err() == nil && s.members.View().IsSettingsWatcher(watchersPerZone) {
 			select {
 			case <-ctx.Done():
-			case <-time.After(watcherCheck):
+			case <-time.After(watcherCheckInterval):
 			}
 		}
 	}()
@@ -101,7 +101,7 @@
 }
 
 // fetch gets the newest settings of a member.
-func (s *spreader) fetch(ctx context.Context, memberID string) error {
+func (s *settingsDistributor) fetch(ctx context.Context, memberID string) error {
 	member, known := s.members.View().Member(memberID)
 	if !known {
 		return errors.New("the member is not known yet")
@@ -113,16 +113,16 @@
 		return err
 	}
 	defer func() { _ = connection.Close() }()
-	answer, err := rpc.NewDRPCSettingsClient(connection).Fetch(ctx, &rpc.FetchSettings{KnownRevision: s.store.Number()})
+	response, err := rpc.NewDRPCSettingsClient(connection).Fetch(ctx, &rpc.FetchSettings{KnownRevision: s.store.Number()})
 	if err != nil {
 		return errors.Wrap(err, "fetch settings")
 	}
-	if answer.GetRevision() <= s.store.Number() {
+	if response.GetRevision() <= s.store.Number() {
 		return nil
 	}
 	revision, err := settings.Decode(settings.Record{
-		Number: answer.GetRevision(), OperationID: answer.GetOperationId(), Author: answer.GetAuthor(),
-		AppliedAt: time.UnixMilli(answer.GetAppliedUnixMs()).UTC(), Compressed: answer.GetTree(),
+		Number: response.GetRevision(), OperationID: response.GetOperationId(), Author: response.GetAuthor(),
+		AppliedAt: time.UnixMilli(response.GetAppliedUnixMs()).UTC(), Compressed: response.GetTree(),
 	})
 	if err != nil {
 		return err
@@ -132,9 +132,9 @@
 }
 
 // Fetch implements the Settings rpc.
-func (s *spreader) Fetch(_ context.Context, ask *rpc.FetchSettings) (*rpc.SettingsRevision, error) {
+func (s *settingsDistributor) Fetch(_ context.Context, query *rpc.FetchSettings) (*rpc.SettingsRevision, error) {
 	current := s.store.Current()
-	if current == nil || current.Number <= ask.GetKnownRevision() {
+	if current == nil || current.Number <= query.GetKnownRevision() {
 		return &rpc.SettingsRevision{}, nil
 	}
 	record := settings.Encode(current)
--- a/home/client.go
+++ b/home/client.go
@@ -14,7 +14,7 @@
 )
 
 // Ask is a request for a slot.
-type Ask struct {
+type SlotRequest struct {
 	RequestID string
 	Model     string   // base model
 	Regions   []string // where the model is served
@@ -29,14 +29,14 @@
 
 // Slot is the right to dispatch once to an engine. It must be released.
 type Slot struct {
-	ReplicaID string
-	EngineID  string
-	Address   string
-	HomeID    string
-	Waited    time.Duration // in the queue, by the home's clock
-	client    *Client
-	ask       *ask
-	released  bool
+	ReplicaID   string
+	EngineID    string
+	Address     string
+	HomeID      string
+	Waited      time.Duration // in the queue, by the home's clock
+	client      *Client
+	acquisition *acquisition
+	released    bool
 }
 
 // Client asks homes for slots on behalf of a gateway.
@@ -47,16 +47,16 @@
 	local     *Server
 	log       logrus.FieldLogger
 
-	mutex sync.Mutex
-	asks  map[string]*ask // by request id
-	links map[string]*link
-	ctx   context.Context
-	stop  context.CancelFunc
+	mutex        sync.Mutex
+	acquisitions map[string]*acquisition // by request id
+	links        map[string]*link
+	ctx          context.Context
+	stop         context.CancelFunc
 }
 
 // ask is a request in the client's hands, until its slot is released.
-type ask struct {
-	Ask
+type acquisition struct {
+	SlotRequest
 	homeID    string
 	granted   bool
 	replicaID string
@@ -75,47 +75,47 @@
 	ctx, stop := context.WithCancel(context.Background())
 	return &Client{
 		gatewayID: gatewayID, zone: zone, view: view, local: local, log: log,
-		asks: map[string]*ask{}, links: map[string]*link{}, ctx: ctx, stop: stop,
+		acquisitions: map[string]*acquisition{}, links: map[string]*link{}, ctx: ctx, stop: stop,
 	}
 }
 
 // Close ends all links.
 func (c *Client) Close() { c.stop() }
 
-// errNoHome is the refusal when no daemon runs where the model is served.
-func errNoHome(ask Ask) *failure.Error {
+// noHomeError is the refusal when no daemon runs where the model is served.
+func noHomeError(slotRequest SlotRequest) *failure.Error {
 	return failure.New(failure.NoCapacity, "try again shortly; if it persists, see `finchspoke status` for live daemons",
-		"no daemon runs in a region that serves %s", ask.Model).WithRetryAfter(time.Second)
+		"no daemon runs in a region that serves %s", slotRequest.Model).WithRetryAfter(time.Second)
 }
 
 // Acquire waits for a slot. It fails with a *failure.Error when the home refuses,
 // and with the error of ctx when that ends first; either way nothing ran.
-func (c *Client) Acquire(ctx context.Context, wanted Ask) (*Slot, error) {
-	waiting := &ask{Ask: wanted, outcome: make(chan outcome, 1)}
+func (c *Client) Acquire(ctx context.Context, slotRequest SlotRequest) (*Slot, error) {
+	pending := &acquisition{SlotRequest: slotRequest, outcome: make(chan outcome, 1)}
 	c.mutex.Lock()
-	home, found := c.view().Home(wanted.Model, wanted.Regions)
+	home, found := c.view().Home(slotRequest.Model, slotRequest.Regions)
 	if !found {
 		c.mutex.Unlock()
-		return nil, errNoHome(wanted)
+		return nil, noHomeError(slotRequest)
 	}
-	c.asks[wanted.RequestID] = waiting
-	c.submit(waiting, home)
+	c.acquisitions[slotRequest.RequestID] = pending
+	c.submit(pending, home)
 	c.mutex.Unlock()
 	select {
-	case decided := <-waiting.outcome:
-		return c.slot(waiting, decided)
+	case result := <-pending.outcome:
+		return c.slot(pending, result)
 	case <-ctx.Done():
 	}
 	c.mutex.Lock()
-	if !waiting.granted {
-		c.send(waiting.homeID, cancelOf(waiting))
-		delete(c.asks, wanted.RequestID)
+	if !pending.granted {
+		c.send(pending.homeID, cancelMessage(pending))
+		delete(c.acquisitions, slotRequest.RequestID)
 	}
 	c.mutex.Unlock()
 	// A grant may have come just now; it is given back.
 	select {
-	case decided := <-waiting.outcome:
-		if slot, err := c.slot(waiting, decided); err == nil {
+	case result := <-pending.outcome:
+		if slot, err := c.slot(pending, result); err == nil {
 			slot.Release(false, 0)
 		}
 	default:
@@ -123,18 +123,18 @@
 	return nil, ctx.Err()
 }
 
-func cancelOf(waiting *ask) *rpc.GatewayMessage {
+func cancelMessage(pending *acquisition) *rpc.GatewayMessage {
 	return &rpc.GatewayMessage{Kind: &rpc.GatewayMessage_Cancel{
-		Cancel: &rpc.Cancel{RequestId: waiting.RequestID, BaseModel: waiting.Model}}}
+		Cancel: &rpc.Cancel{RequestId: pending.RequestID, BaseModel: pending.Model}}}
 }
 
-func (c *Client) slot(waiting *ask, decided outcome) (*Slot, error) {
-	if decided.refusal != nil {
-		return nil, decided.refusal
+func (c *Client) slot(pending *acquisition, result outcome) (*Slot, error) {
+	if result.refusal != nil {
+		return nil, result.refusal
 	}
 	return &Slot{
-		ReplicaID: decided.grant.GetReplicaId(), EngineID: decided.grant.GetEngineId(), Address: decided.grant.GetAddress(), HomeID: waiting.homeID,
-		Waited: time.Duration(decided.grant.GetWaitedMs()) * time.Millisecond, client: c, ask: waiting,
+		ReplicaID: result.grant.GetReplicaId(), EngineID: result.grant.GetEngineId(), Address: result.grant.GetAddress(), HomeID: pending.homeID,
+		Waited: time.Duration(result.grant.GetWaitedMs()) * time.Millisecond, client: c, acquisition: pending,
 	}, nil
 }
 
@@ -148,35 +148,35 @@
 		return
 	}
 	s.released = true
-	delete(c.asks, s.ask.RequestID)
-	c.send(s.ask.homeID, releaseOf(s.ask, engineFailed, service))
+	delete(c.acquisitions, s.acquisition.RequestID)
+	c.send(s.acquisition.homeID, releaseMessage(s.acquisition, engineFailed, service))
 }
 
-func releaseOf(held *ask, engineFailed bool, service time.Duration) *rpc.GatewayMessage {
+func releaseMessage(pending *acquisition, engineFailed bool, service time.Duration) *rpc.GatewayMessage {
 	return &rpc.GatewayMessage{Kind: &rpc.GatewayMessage_Release{Release: &rpc.Release{
-		RequestId: held.RequestID, BaseModel: held.Model, EngineFailed: engineFailed, ServiceMs: service.Milliseconds()}}}
+		RequestId: pending.RequestID, BaseModel: pending.Model, EngineFailed: engineFailed, ServiceMs: service.Milliseconds()}}}
 }
 
 // submit sends an ask to a home; the mutex is held.
-func (c *Client) submit(waiting *ask, home membership.Member) {
-	waiting.homeID = home.ID
+func (c *Client) submit(pending *acquisition, home membership.Member) {
+	pending.homeID = home.ID
 	c.link(home)
-	c.send(home.ID, submitOf(c.zone, waiting))
+	c.send(home.ID, submitMessage(c.zone, pending))
 }
 
-func submitOf(zone string, waiting *ask) *rpc.GatewayMessage {
+func submitMessage(zone string, pending *acquisition) *rpc.GatewayMessage {
 	return &rpc.GatewayMessage{Kind: &rpc.GatewayMessage_Submit{Submit: &rpc.Submit{
-		RequestId: waiting.RequestID, BaseModel: waiting.Model, Target: waiting.Target, Branch: waiting.Branch,
-		Class: uint32(waiting.Class), DeadlineInMs: time.Until(waiting.Deadline).Milliseconds(),
-		AgeMs: time.Since(waiting.Arrived).Milliseconds(), Zone: zone,
-		Tokens: uint32(waiting.Tokens), Prefix: waiting.Prefix,
+		RequestId: pending.RequestID, BaseModel: pending.Model, Target: pending.Target, Branch: pending.Branch,
+		Class: uint32(pending.Class), DeadlineInMs: time.Until(pending.Deadline).Milliseconds(),
+		AgeMs: time.Since(pending.Arrived).Milliseconds(), Zone: zone,
+		Tokens: uint32(pending.Tokens), Prefix: pending.Prefix,
 	}}}
 }
 
 // send hands a message to the link to a home, if it is open.
 func (c *Client) send(homeID string, message *rpc.GatewayMessage) {
-	if open := c.links[homeID]; open != nil {
-		open.send(message)
+	if opened := c.links[homeID]; opened != nil {
+		opened.send(message)
 	}
 }
 
@@ -184,76 +184,76 @@
 func (c *Client) MembersChanged(view *membership.View) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	used := map[string]bool{}
-	for _, held := range c.asks {
-		home, found := view.Home(held.Model, held.Regions)
-		if !found || home.ID == held.homeID {
-			used[held.homeID] = true // the last daemon of a region serves to its end
+	inUse := map[string]bool{}
+	for _, pending := range c.acquisitions {
+		home, found := view.Home(pending.Model, pending.Regions)
+		if !found || home.ID == pending.homeID {
+			inUse[pending.homeID] = true // the last daemon of a region serves to its end
 			continue
 		}
-		if held.granted {
-			c.send(held.homeID, releaseOf(held, false, 0))
-			held.homeID = home.ID
+		if pending.granted {
+			c.send(pending.homeID, releaseMessage(pending, false, 0))
+			pending.homeID = home.ID
 			c.link(home)
-			c.send(home.ID, &rpc.GatewayMessage{Kind: &rpc.GatewayMessage_Restore{Restore: runningMessage(held)}})
+			c.send(home.ID, &rpc.GatewayMessage{Kind: &rpc.GatewayMessage_Restore{Restore: runningMessage(pending)}})
 			continue
 		}
-		c.send(held.homeID, cancelOf(held))
-		c.submit(held, home)
+		c.send(pending.homeID, cancelMessage(pending))
+		c.submit(pending, home)
 	}
 	for id, open := range c.links {
-		if member, known := view.Member(id); !used[id] && (!known || !member.Running()) {
+		if member, known := view.Member(id); !inUse[id] && (!known || !member.Running()) {
 			open.close()
 			delete(c.links, id)
 		}
 	}
 }
 
-func helloOf(gatewayID string, running ...*ask) *rpc.GatewayMessage {
+func helloMessage(gatewayID string, running ...*acquisition) *rpc.GatewayMessage {
 	hello := &rpc.Hello{GatewayId: gatewayID}
-	for _, held := range running {
-		hello.Running = append(hello.Running, runningMessage(held))
+	for _, pending := range running {
+		hello.Running = append(hello.Running, runningMessage(pending))
 	}
 	return &rpc.GatewayMessage{Kind: &rpc.GatewayMessage_Hello{Hello: hello}}
 }
 
-func runningMessage(held *ask) *rpc.Running {
-	return &rpc.Running{RequestId: held.RequestID, BaseModel: held.Model, Target: held.Target, ReplicaId: held.replicaID}
+func runningMessage(pending *acquisition) *rpc.Running {
+	return &rpc.Running{RequestId: pending.RequestID, BaseModel: pending.Model, Target: pending.Target, ReplicaId: pending.replicaID}
 }
 
 // deliver takes a home's message in.
-func (c *Client) deliver(homeID string, message *rpc.HomeMessage) {
+func (c *Client) handle(homeID string, message *rpc.HomeMessage) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if grant := message.GetGrant(); grant != nil {
-		c.takeGrant(homeID, grant)
+		c.handleGrant(homeID, grant)
 		return
 	}
 	refusal := message.GetRefusal()
-	waiting := c.asks[refusal.GetRequestId()]
-	if waiting == nil || waiting.granted || waiting.homeID != homeID {
+	pending := c.acquisitions[refusal.GetRequestId()]
+	if pending == nil || pending.granted || pending.homeID != homeID {
 		return
 	}
-	delete(c.asks, waiting.RequestID)
-	waiting.outcome <- outcome{refusal: refusalError(refusal)}
+	delete(c.acquisitions, pending.RequestID)
+	pending.outcome <- outcome{refusal: refusalError(refusal)}
 }
 
-// takeGrant accepts a grant, or gives it back when the ask is gone, moved to
+// handleGrant accepts a grant, or gives it back when the ask is gone, moved to
 // another home or granted already.
-func (c *Client) takeGrant(homeID string, grant *rpc.Grant) {
-	waiting := c.asks[grant.GetRequestId()]
-	if waiting == nil || waiting.granted || waiting.homeID != homeID {
+func (c *Client) handleGrant(homeID string, grant *rpc.Grant) {
+	pending := c.acquisitions[grant.GetRequestId()]
+	if pending == nil || pending.granted || pending.homeID != homeID {
 		model := ""
-		if waiting != nil {
-			model = waiting.Model
+		if pending != nil {
+			model = pending.Model
 		}
-		stale := &ask{Ask: Ask{RequestID: grant.GetRequestId(), Model: model}}
-		c.send(homeID, releaseOf(stale, false, 0))
+		stale := &acquisition{SlotRequest: SlotRequest{RequestID: grant.GetRequestId(), Model: model}}
+		c.send(homeID, releaseMessage(stale, false, 0))
 		return
 	}
-	waiting.granted = true
-	waiting.replicaID = grant.GetReplicaId()
-	waiting.outcome <- outcome{grant: grant}
+	pending.granted = true
+	pending.replicaID = grant.GetReplicaId()
+	pending.outcome <- outcome{grant: grant}
 }
 
 var refusalRemedies = map[failure.Kind]string{
@@ -276,23 +276,23 @@
 	opened := &link{client: c, home: home}
 	c.links[home.ID] = opened
 	if home.ID == c.gatewayID && c.local != nil {
-		opened.attachLocal(c.local)
+		opened.connectLocal(c.local)
 		return
 	}
 	opened.ctx, opened.cancel = context.WithCancel(c.ctx)
 	go opened.run()
 }
 
-// openAsks returns the asks at a home: those that run, and those that wait; the
+// openAcquisitions returns the asks at a home: those that run, and those that wait; the
 // mutex is held.
-func (c *Client) openAsks(homeID string) (running, waiting []*ask) {
-	for _, held := range c.asks {
+func (c *Client) openAcquisitions(homeID string) (running, waiting []*acquisition) {
+	for _, pending := range c.acquisitions {
 		switch {
-		case held.homeID != homeID:
-		case held.granted:
-			running = append(running, held)
+		case pending.homeID != homeID:
+		case pending.granted:
+			running = append(running, pending)
 		default:
-			waiting = append(waiting, held)
+			waiting = append(waiting, pending)
 		}
 	}
 	return running, waiting
--- a/home/link.go
+++ b/home/link.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	linkPauseFirst = 20 * time.Millisecond
-	linkPauseLast  = time.Second
+	minReconnectDelay = 20 * time.Millisecond
+	maxReconnectDelay = time.Second
 )
 
 // link carries a gateway's messages to one home, across broken connections.
@@ -28,12 +28,12 @@
 	outgoing *mailbox[*rpc.GatewayMessage] // nil while not connected
 }
 
-// attachLocal serves the home in this process. The home's lock is never taken
+// connectLocal serves the home in this process. The home's lock is never taken
 // under the client's, so messages pass through mailboxes both ways.
-func (l *link) attachLocal(server *Server) {
+func (l *link) connectLocal(server *Server) {
 	l.inbox = newMailbox[*rpc.GatewayMessage]()
-	answers := newMailbox[*rpc.HomeMessage]()
-	session := server.Attach(l.client.gatewayID, answers.put)
+	responses := newMailbox[*rpc.HomeMessage]()
+	session := server.OpenSession(l.client.gatewayID, responses.put)
 	l.ctx, l.cancel = context.WithCancel(l.client.ctx)
 	l.outgoing = l.inbox
 	go func() {
@@ -44,8 +44,8 @@
 		session.Close()
 	}()
 	go func() {
-		_ = answers.drainTo(l.ctx, func(message *rpc.HomeMessage) error {
-			l.client.deliver(l.home.ID, message)
+		_ = responses.drainTo(l.ctx, func(message *rpc.HomeMessage) error {
+			l.client.handle(l.home.ID, message)
 			return nil
 		})
 	}()
@@ -63,19 +63,19 @@
 
 // run connects until the link is closed.
 func (l *link) run() {
-	wait := linkPauseFirst
+	delay := minReconnectDelay
 	for l.ctx.Err() == nil {
-		began := time.Now()
+		started := time.Now()
 		err := l.connect()
 		if l.ctx.Err() != nil {
 			return
 		}
 		l.client.log.WithError(err).WithField("home", l.home.ID).Debug("link to home broke; it is opened again")
-		if time.Since(began) > linkPauseLast {
-			wait = linkPauseFirst
+		if time.Since(started) > maxReconnectDelay {
+			delay = minReconnectDelay
 		}
-		sleep.For(l.ctx, wait)
-		wait = min(2*wait, linkPauseLast)
+		sleep.For(l.ctx, delay)
+		delay = min(2*delay, maxReconnectDelay)
 	}
 }
 
@@ -92,8 +92,8 @@
 	if err != nil {
 		return errors.Wrap(err, "open link")
 	}
-	outgoing := l.begin()
-	defer l.end(outgoing)
+	outgoing := l.openMailbox()
+	defer l.closeMailbox(outgoing)
 	go func() {
 		if err := outgoing.drainTo(ctx, stream.Send); err != nil {
 			cancel()
@@ -104,25 +104,25 @@
 		if err != nil {
 			return errors.Wrap(err, "read home")
 		}
-		l.client.deliver(l.home.ID, message)
+		l.client.handle(l.home.ID, message)
 	}
 }
 
 // begin fills a new connection's mailbox with all that is open at the home.
-func (l *link) begin() *mailbox[*rpc.GatewayMessage] {
+func (l *link) openMailbox() *mailbox[*rpc.GatewayMessage] {
 	l.client.mutex.Lock()
 	defer l.client.mutex.Unlock()
 	outgoing := newMailbox[*rpc.GatewayMessage]()
-	running, waiting := l.client.openAsks(l.home.ID)
-	outgoing.put(helloOf(l.client.gatewayID, running...))
-	for _, held := range waiting {
-		outgoing.put(submitOf(l.client.zone, held))
+	running, waiting := l.client.openAcquisitions(l.home.ID)
+	outgoing.put(helloMessage(l.client.gatewayID, running...))
+	for _, pending := range waiting {
+		outgoing.put(submitMessage(l.client.zone, pending))
 	}
 	l.outgoing = outgoing
 	return outgoing
 }
 
-func (l *link) end(outgoing *mailbox[*rpc.GatewayMessage]) {
+func (l *link) closeMailbox(outgoing *mailbox[*rpc.GatewayMessage]) {
 	l.client.mutex.Lock()
 	defer l.client.mutex.Unlock()
 	l.outgoing = nil
--- a/home/placement.go
+++ b/home/placement.go
@@ -17,40 +17,40 @@
 	// urgent.
 	reportInterval = 500 * time.Millisecond
 	// urgentPause gathers what arrives together into one report.
-	urgentPause = 2 * time.Millisecond
-	// placerRetryPause is the wait before the placer is looked for again.
-	placerRetryPause = 100 * time.Millisecond
+	batchDelay = 2 * time.Millisecond
+	// placerRetryDelay is the wait before the placer is looked for again.
+	placerRetryDelay = 100 * time.Millisecond
 )
 
 // Reporter tells the region's placer of the demand in a server's queues, and the
 // server of its replicas. It is a suture service.
-type Reporter struct {
+type DemandReporter struct {
 	server *Server
 	region string
 }
 
-// NewReporter returns the reporter of a server in a region.
-func NewReporter(server *Server, region string) *Reporter {
-	return &Reporter{server: server, region: region}
+// NewDemandReporter returns the reporter of a server in a region.
+func NewDemandReporter(server *Server, region string) *DemandReporter {
+	return &DemandReporter{server: server, region: region}
 }
 
 // String names the service in the supervisor's events.
-func (r *Reporter) String() string { return "demand-reporter" }
+func (r *DemandReporter) String() string { return "demand-reporter" }
 
 // Serve implements suture.Service. While no placer answers, the replicas known
 // last stay in use.
-func (r *Reporter) Serve(ctx context.Context) error {
+func (r *DemandReporter) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if err := r.follow(ctx); err != nil && ctx.Err() == nil {
+		if err := r.watchPlacer(ctx); err != nil && ctx.Err() == nil {
 			r.server.log.WithError(err).Debug("no placer; replicas known last stay in use")
 		}
-		sleep.For(ctx, placerRetryPause)
+		sleep.For(ctx, placerRetryDelay)
 	}
 	return ctx.Err()
 }
 
 // follow keeps one stream to the placer until it breaks or another should place.
-func (r *Reporter) follow(ctx context.Context) error {
+func (r *DemandReporter) watchPlacer(ctx context.Context) error {
 	placer, found := r.server.view().Placer(r.region)
 	if !found {
 		return errors.New("no member runs in the region")
@@ -66,8 +66,8 @@
 	if err != nil {
 		return errors.Wrap(err, "watch placement")
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- r.receive(stream) }()
+	receiveErr := make(chan error, 1)
+	go func() { receiveErr <- r.receive(stream) }()
 	reported := map[string]map[string]bool{}
 	if err := stream.Send(r.report(true, reported)); err != nil {
 		return errors.Wrap(err, "report demand")
@@ -76,12 +76,12 @@
 	defer ticker.Stop()
 	for {
 		select {
-		case err := <-ended:
+		case err := <-receiveErr:
 			return err
 		case <-r.server.urgent:
-			sleep.For(ctx, urgentPause)
+			sleep.For(ctx, batchDelay)
 		case <-ticker.C:
-			if now, found := r.server.view().Placer(r.region); !found || now.ID != placer.ID {
+			if current, found := r.server.view().Placer(r.region); !found || current.ID != placer.ID {
 				return errors.New("another member places now")
 			}
 		}
@@ -93,19 +93,19 @@
 	}
 }
 
-func (r *Reporter) receive(stream rpc.DRPCPlacer_WatchClient) error {
+func (r *DemandReporter) receive(stream rpc.DRPCPlacer_WatchClient) error {
 	for {
 		update, err := stream.Recv()
 		if err != nil {
 			return errors.Wrap(err, "watch placement")
 		}
 		for _, model := range update.GetModels() {
-			r.server.SetReplicas(model.GetBaseModel(), replicasOf(model), time.Duration(model.GetReadyInMs())*time.Millisecond)
+			r.server.SetReplicas(model.GetBaseModel(), replicasFrom(model), time.Duration(model.GetReadyInMs())*time.Millisecond)
 		}
 	}
 }
 
-func replicasOf(model *rpc.ModelReplicas) []queue.Replica {
+func replicasFrom(model *rpc.ModelReplicas) []queue.Replica {
 	replicas := make([]queue.Replica, 0, len(model.GetReplicas()))
 	for _, info := range model.GetReplicas() {
 		replica := queue.Replica{ID: info.GetReplicaId(), EngineID: info.GetEngineId(), Address: info.GetAddress(), Zone: info.GetZone(), Adapters: map[string]bool{}}
@@ -119,7 +119,7 @@
 
 // report gathers the demand that changed, or all of it; queues long unused are
 // forgotten. reported remembers the targets told of in this stream, by model.
-func (r *Reporter) report(all bool, reported map[string]map[string]bool) *rpc.DemandReport {
+func (r *DemandReporter) report(all bool, reported map[string]map[string]bool) *rpc.DemandReport {
 	s := r.server
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -131,14 +131,14 @@
 		}
 	}
 	for model := range s.dirty {
-		held := s.queues[model]
-		if held == nil {
+		q := s.queues[model]
+		if q == nil {
 			continue
 		}
 		if reported[model] == nil {
 			reported[model] = map[string]bool{}
 		}
-		for _, demand := range held.Demands() {
+		for _, demand := range q.Demands() {
 			reported[model][demand.Target] = true
 			report.Models = append(report.Models, &rpc.ModelDemand{
 				BaseModel: model, Target: demand.Target, Waiting: uint32(demand.Waiting), Urgent: uint32(demand.Urgent),
@@ -146,15 +146,15 @@
 		}
 	}
 	clear(s.dirty)
-	report.Models = append(report.Models, s.forget(now, reported)...)
+	report.Models = append(report.Models, s.dropIdleQueues(now, reported)...)
 	return report
 }
 
 // forget drops the queues that were long unused; the mutex is held.
-func (s *Server) forget(now time.Time, reported map[string]map[string]bool) []*rpc.ModelDemand {
+func (s *Server) dropIdleQueues(now time.Time, reported map[string]map[string]bool) []*rpc.ModelDemand {
 	var forgotten []*rpc.ModelDemand
-	for model, held := range s.queues {
-		if held.Waiting()+held.Running() > 0 || !allUnused(held, now) {
+	for model, q := range s.queues {
+		if q.Waiting()+q.Running() > 0 || !isIdle(q, now) {
 			continue
 		}
 		delete(s.queues, model)
@@ -166,9 +166,9 @@
 	return forgotten
 }
 
-func allUnused(held *queue.Queue, now time.Time) bool {
-	for _, demand := range held.Demands() {
-		if now.Sub(demand.LastUsed) < forgetAfter {
+func isIdle(q *queue.Queue, now time.Time) bool {
+	for _, demand := range q.Demands() {
+		if now.Sub(demand.LastUsed) < idleQueueRetention {
 			return false
 		}
 	}
--- a/home/server.go
+++ b/home/server.go
@@ -25,7 +25,7 @@
 	// tickInterval is how often queues look for items past their deadline.
 	tickInterval = 20 * time.Millisecond
 	// forgetAfter is how long a queue without requests is kept.
-	forgetAfter = time.Hour
+	idleQueueRetention = time.Hour
 	// defaultConcurrency is for a model that this daemon's settings do not know yet.
 	defaultConcurrency = 1
 )
@@ -37,21 +37,21 @@
 	selfID   string
 	log      logrus.FieldLogger
 
-	mutex    sync.Mutex
-	queues   map[string]*queue.Queue // by base model
-	sessions map[string]*Session     // by gateway id
-	orphans  map[string]bool         // gateways without a session that may still run requests
-	dirty    map[string]bool         // base models whose demand changed
-	urgent   chan struct{}           // signals demand that must not wait
-	waits    chan struct{}           // signals that some item waits
+	mutex       sync.Mutex
+	queues      map[string]*queue.Queue // by base model
+	sessions    map[string]*Session     // by gateway id
+	detached    map[string]bool         // gateways without a session that may still run requests
+	dirty       map[string]bool         // base models whose demand changed
+	urgent      chan struct{}           // signals demand that must not wait
+	itemWaiting chan struct{}           // signals that some item waits
 }
 
 // NewServer returns a server without queues.
 func NewServer(selfID string, store *settings.Store, view func() *membership.View, log logrus.FieldLogger) *Server {
 	return &Server{
 		settings: store, view: view, selfID: selfID, log: log,
-		queues: map[string]*queue.Queue{}, sessions: map[string]*Session{}, orphans: map[string]bool{}, dirty: map[string]bool{},
-		urgent: make(chan struct{}, 1), waits: make(chan struct{}, 1),
+		queues: map[string]*queue.Queue{}, sessions: map[string]*Session{}, detached: map[string]bool{}, dirty: map[string]bool{},
+		urgent: make(chan struct{}, 1), itemWaiting: make(chan struct{}, 1),
 	}
 }
 
@@ -76,7 +76,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.waits:
+		case <-s.itemWaiting:
 			ticker.Reset(tickInterval)
 		}
 	}
@@ -86,14 +86,14 @@
 func (s *Server) tick(now time.Time) (waiting int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for model, held := range s.queues {
-		if held.Waiting() == 0 {
+	for model, q := range s.queues {
+		if q.Waiting() == 0 {
 			continue
 		}
-		if actions := held.Tick(now); len(actions) > 0 {
-			s.carryOut(model, actions)
+		if actions := q.Tick(now); len(actions) > 0 {
+			s.deliverActions(model, actions)
 		}
-		waiting += held.Waiting()
+		waiting += q.Waiting()
 	}
 	return waiting
 }
@@ -106,12 +106,12 @@
 }
 
 // Attach opens a session for a gateway; deliver must not block.
-func (s *Server) Attach(gatewayID string, deliver func(*rpc.HomeMessage)) *Session {
+func (s *Server) OpenSession(gatewayID string, deliver func(*rpc.HomeMessage)) *Session {
 	session := &Session{server: s, gatewayID: gatewayID, deliver: deliver}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.sessions[gatewayID] = session
-	delete(s.orphans, gatewayID)
+	delete(s.detached, gatewayID)
 	return session
 }
 
@@ -125,26 +125,26 @@
 		return // a newer session of the gateway has taken over
 	}
 	delete(s.sessions, l.gatewayID)
-	for _, held := range s.queues {
-		held.DropWaiting(l.gatewayID)
+	for _, q := range s.queues {
+		q.DropWaiting(l.gatewayID)
 	}
-	s.orphans[l.gatewayID] = true
-	s.forgetDead(s.view())
+	s.detached[l.gatewayID] = true
+	s.reconcileDead(s.view())
 }
 
 // MembersChanged frees what gateways held that are known dead now.
 func (s *Server) MembersChanged(view *membership.View) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.forgetDead(view)
+	s.reconcileDead(view)
 }
 
-func (s *Server) forgetDead(view *membership.View) {
-	for gatewayID := range s.orphans {
+func (s *Server) reconcileDead(view *membership.View) {
+	for gatewayID := range s.detached {
 		if member, known := view.Member(gatewayID); known && member.Status != membership.Dead {
 			continue // one that left still finishes what it runs
 		}
-		delete(s.orphans, gatewayID)
+		delete(s.detached, gatewayID)
 		s.reconcile(gatewayID, nil)
 	}
 }
@@ -152,17 +152,17 @@
 // reconcile takes in all that a gateway runs, over all queues.
 func (s *Server) reconcile(gatewayID string, running []*rpc.Running) {
 	byModel := map[string][]queue.Running{}
-	for _, one := range running {
-		s.queue(one.GetBaseModel())
-		byModel[one.GetBaseModel()] = append(byModel[one.GetBaseModel()], runningOf(one))
+	for _, entry := range running {
+		s.queue(entry.GetBaseModel())
+		byModel[entry.GetBaseModel()] = append(byModel[entry.GetBaseModel()], runningRequest(entry))
 	}
 	now := time.Now()
-	for model, held := range s.queues {
-		s.carryOut(model, held.Reconcile(now, gatewayID, byModel[model]))
+	for model, q := range s.queues {
+		s.deliverActions(model, q.Reconcile(now, gatewayID, byModel[model]))
 	}
 }
 
-func runningOf(message *rpc.Running) queue.Running {
+func runningRequest(message *rpc.Running) queue.Running {
 	return queue.Running{ID: message.GetRequestId(), Target: message.GetTarget(), ReplicaID: message.GetReplicaId()}
 }
 
@@ -177,36 +177,36 @@
 		s.reconcile(l.gatewayID, message.GetHello().GetRunning())
 	case message.GetRestore() != nil:
 		restored := message.GetRestore()
-		s.queue(restored.GetBaseModel()).Restore(now, l.gatewayID, runningOf(restored))
+		s.queue(restored.GetBaseModel()).Restore(now, l.gatewayID, runningRequest(restored))
 		s.dirty[restored.GetBaseModel()] = true
 	case message.GetSubmit() != nil:
 		submit := message.GetSubmit()
-		held := s.queue(submit.GetBaseModel())
-		waited := held.IsWaiting(submit.GetTarget())
-		s.carryOut(submit.GetBaseModel(), held.Submit(now, s.item(l.gatewayID, submit, now)))
-		if held.Waiting() > 0 {
-			signal(s.waits)
+		q := s.queue(submit.GetBaseModel())
+		hadWaiting := q.HasWaiting(submit.GetTarget())
+		s.deliverActions(submit.GetBaseModel(), q.Submit(now, s.item(l.gatewayID, submit, now)))
+		if q.Waiting() > 0 {
+			signal(s.itemWaiting)
 		}
-		if !waited && held.IsWaiting(submit.GetTarget()) {
+		if !hadWaiting && q.HasWaiting(submit.GetTarget()) {
 			signal(s.urgent) // the placer learns of the first that waits at once, of others soon
 		}
 	case message.GetCancel() != nil:
-		s.withQueueOf(message.GetCancel().GetBaseModel(), func(held *queue.Queue) []queue.Action {
-			held.Cancel(message.GetCancel().GetRequestId())
+		s.withQueue(message.GetCancel().GetBaseModel(), func(q *queue.Queue) []queue.Action {
+			q.Cancel(message.GetCancel().GetRequestId())
 			return nil
 		})
 	case message.GetRelease() != nil:
 		release := message.GetRelease()
-		s.withQueueOf(release.GetBaseModel(), func(held *queue.Queue) []queue.Action {
+		s.withQueue(release.GetBaseModel(), func(q *queue.Queue) []queue.Action {
 			service := time.Duration(release.GetServiceMs()) * time.Millisecond
-			return held.Release(now, release.GetRequestId(), release.GetEngineFailed(), service)
+			return q.Release(now, release.GetRequestId(), release.GetEngineFailed(), service)
 		})
 	}
 }
 
-func (s *Server) withQueueOf(model string, step func(*queue.Queue) []queue.Action) {
-	if held := s.queues[model]; held != nil {
-		s.carryOut(model, step(held))
+func (s *Server) withQueue(model string, step func(*queue.Queue) []queue.Action) {
+	if q := s.queues[model]; q != nil {
+		s.deliverActions(model, step(q))
 	}
 }
 
@@ -221,12 +221,12 @@
 
 // queue returns the queue of a base model, making it if new.
 func (s *Server) queue(model string) *queue.Queue {
-	held := s.queues[model]
-	if held == nil {
-		held = queue.New(model, s.concurrency(model))
-		s.queues[model] = held
+	q := s.queues[model]
+	if q == nil {
+		q = queue.New(model, s.concurrency(model))
+		s.queues[model] = q
 	}
-	return held
+	return q
 }
 
 func (s *Server) concurrency(model string) int {
@@ -257,17 +257,17 @@
 }
 
 // carryOut sends a queue's actions to the gateways concerned.
-func (s *Server) carryOut(model string, actions []queue.Action) {
+func (s *Server) deliverActions(model string, actions []queue.Action) {
 	s.dirty[model] = true
 	for _, action := range actions {
-		switch done := action.(type) {
+		switch decided := action.(type) {
 		case queue.Grant:
-			s.send(done.Item.Owner, &rpc.HomeMessage{Kind: &rpc.HomeMessage_Grant{Grant: &rpc.Grant{
-				RequestId: done.Item.ID, ReplicaId: done.Replica.ID, EngineId: done.Replica.EngineID, Address: done.Replica.Address,
-				WaitedMs: time.Since(done.Item.Arrived).Milliseconds()}}})
+			s.send(decided.Item.Owner, &rpc.HomeMessage{Kind: &rpc.HomeMessage_Grant{Grant: &rpc.Grant{
+				RequestId: decided.Item.ID, ReplicaId: decided.Replica.ID, EngineId: decided.Replica.EngineID, Address: decided.Replica.Address,
+				WaitedMs: time.Since(decided.Item.Arrived).Milliseconds()}}})
 		case queue.Refusal:
-			s.send(done.Item.Owner, &rpc.HomeMessage{Kind: &rpc.HomeMessage_Refusal{Refusal: &rpc.Refusal{
-				RequestId: done.Item.ID, Kind: string(done.Kind), Message: done.Message, RetryAfterMs: done.RetryAfter.Milliseconds()}}})
+			s.send(decided.Item.Owner, &rpc.HomeMessage{Kind: &rpc.HomeMessage_Refusal{Refusal: &rpc.Refusal{
+				RequestId: decided.Item.ID, Kind: string(decided.Kind), Message: decided.Message, RetryAfterMs: decided.RetryAfter.Milliseconds()}}})
 		}
 	}
 }
@@ -282,19 +282,19 @@
 func (s *Server) SetReplicas(model string, replicas []queue.Replica, readyIn time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	held := s.queues[model]
-	if held == nil {
+	q := s.queues[model]
+	if q == nil {
 		return
 	}
-	s.carryOut(model, held.SetReplicas(time.Now(), replicas, readyIn))
+	s.deliverActions(model, q.SetReplicas(time.Now(), replicas, readyIn))
 }
 
 // SettingsChanged applies new settings to the queues.
 func (s *Server) SettingsChanged() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for model, held := range s.queues {
-		s.carryOut(model, held.SetConcurrency(time.Now(), s.concurrency(model)))
+	for model, q := range s.queues {
+		s.deliverActions(model, q.SetConcurrency(time.Now(), s.concurrency(model)))
 	}
 }
 
@@ -311,8 +311,8 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var status []ModelStatus
-	for model, held := range s.queues {
-		status = append(status, ModelStatus{model, held.Waiting(), held.Running(), held.Demands()})
+	for model, q := range s.queues {
+		status = append(status, ModelStatus{model, q.Waiting(), q.Running(), q.Demands()})
 	}
 	return status
 }
@@ -327,7 +327,7 @@
 		return errors.New("a link begins with hello")
 	}
 	outgoing := newMailbox[*rpc.HomeMessage]()
-	session := s.Attach(first.GetHello().GetGatewayId(), outgoing.put)
+	session := s.OpenSession(first.GetHello().GetGatewayId(), outgoing.put)
 	defer session.Close()
 	session.Handle(first)
 	sent := make(chan error, 1)
--- a/placement/adapters.go
+++ b/placement/adapters.go
@@ -7,8 +7,8 @@
 	"github.com/finchspoke/finchspoke/settings"
 )
 
-// placeAdapters puts adapters with demand on replicas of their base model. An
-// adapter stays until its slot is needed, since it costs nothing more.
+// placeAdapters assigns adapters with demand to replicas of their base model. An
+// adapter stays until another adapter needs its slot.
 func (p *planner) placeAdapters() {
 	for _, name := range sortedKeys(p.Tree.Models) {
 		model := p.Tree.Models[name]
@@ -22,34 +22,34 @@
 
 func (p *planner) placeAdapter(model *settings.Model, adapter string) {
 	demand := p.Demand[adapter]
-	places := p.kept(model)
-	wanted := min((demand.Waiting+demand.Running+model.Concurrency-1)/model.Concurrency, len(places))
-	have := 0
-	var without []place
-	for _, kept := range places {
-		if slices.Contains(kept.assignment.Adapters, adapter) {
-			have++
+	replicas := p.active(model)
+	desired := min((demand.Waiting+demand.Running+model.Concurrency-1)/model.Concurrency, len(replicas))
+	count := 0
+	var without []placedReplica
+	for _, active := range replicas {
+		if slices.Contains(active.assignment.Adapters, adapter) {
+			count++
 		} else {
-			without = append(without, kept)
+			without = append(without, active)
 		}
 	}
-	slices.SortStableFunc(without, func(a, b place) int {
+	slices.SortStableFunc(without, func(a, b placedReplica) int {
 		return cmp.Compare(len(a.assignment.Adapters), len(b.assignment.Adapters))
 	})
-	for _, kept := range without {
-		if have >= wanted {
+	for _, active := range without {
+		if count >= desired {
 			return
 		}
-		if p.addAdapter(model, kept, adapter) {
-			have++
+		if p.addAdapter(model, active, adapter) {
+			count++
 		}
 	}
 }
 
-// addAdapter takes a free slot, or that of the adapter used longest ago among
-// those without demand; it tells whether there was one.
-func (p *planner) addAdapter(model *settings.Model, kept place, adapter string) bool {
-	adapters := slices.Clone(kept.assignment.Adapters)
+// addAdapter assigns an adapter to a free slot of a replica, or to the slot of the
+// least recently used adapter without demand. It reports whether there was a slot.
+func (p *planner) addAdapter(model *settings.Model, replica placedReplica, adapter string) bool {
+	adapters := slices.Clone(replica.assignment.Adapters)
 	if len(adapters) >= model.AdapterSlots {
 		oldest := p.oldestIdle(adapters)
 		if oldest < 0 {
@@ -57,12 +57,13 @@
 		}
 		adapters = slices.Delete(adapters, oldest, oldest+1)
 	}
-	assignments := slices.Clone(p.plan.Engines[kept.engineID].Assignments)
-	assignments[kept.index].Adapters = append(adapters, adapter)
-	p.update(kept.engineID, assignments)
+	assignments := slices.Clone(p.plan.Engines[replica.engineID].Assignments)
+	assignments[replica.index].Adapters = append(adapters, adapter)
+	p.update(replica.engineID, assignments)
 	return true
 }
 
+// oldestIdle returns the index of the least recently used adapter without demand, or -1.
 func (p *planner) oldestIdle(adapters []string) int {
 	oldest := -1
 	for index, adapter := range adapters {
--- a/placement/decide.go
+++ b/placement/decide.go
@@ -9,22 +9,22 @@
 	"github.com/finchspoke/finchspoke/settings"
 )
 
-// Decide returns the next plan. The plan's fence is that of the snapshot with the
-// next revision; a plan that did not change keeps its fence.
+// Decide computes the next plan from a snapshot. A changed plan gets the snapshot's
+// epoch with the next revision as its fence; an unchanged plan keeps its fence.
 func Decide(snapshot Snapshot) Decision {
 	next := engine.Fence{Epoch: snapshot.Plan.Fence.Epoch, Revision: snapshot.Plan.Fence.Revision + 1}
 	planner := &planner{
 		Snapshot: snapshot, plan: snapshot.Plan.Clone(), state: snapshot.State.Clone(), fence: next,
-		changed: map[string]bool{}, promised: map[string][]int64{},
+		changed: map[string]bool{}, reserved: map[string][]int64{},
 	}
-	planner.refillBudget()
+	planner.refillLoadTokens()
 	if snapshot.AdoptUnknown {
 		planner.adoptUnknown()
 	}
-	planner.dropConfirmed()
-	planner.retire()
+	planner.dropUnloaded()
+	planner.removeObsolete()
 	planner.removeSurplus()
-	planner.loadAll()
+	planner.loadMissing()
 	planner.placeAdapters()
 	decision := Decision{Plan: planner.plan, State: planner.state}
 	for id := range planner.changed {
@@ -43,27 +43,27 @@
 	state   State
 	fence   engine.Fence
 	changed map[string]bool
-	// promised is memory on each accelerator of an engine that is still to be
-	// freed and already meant for a model, so that no two evict for one place.
-	promised map[string][]int64
-	// byModel indexes the kept assignments; nil when it has to be made anew.
-	byModel map[string][]place
+	// reserved holds, per accelerator of an engine, memory that pending unloads free
+	// and that is assigned to a model already, so that it is not assigned twice.
+	reserved map[string][]int64
+	// byModel indexes the active replicas; nil when it must be rebuilt.
+	byModel map[string][]placedReplica
 }
 
-// refillBudget adds the load starts that became allowed since last time.
-func (p *planner) refillBudget() {
+// refillLoadTokens refills the token bucket of remote load starts.
+func (p *planner) refillLoadTokens() {
 	region := p.Tree.Regions[p.Region]
-	most := max(1, region.LoadsPerSecond)
+	burst := max(1, region.LoadsPerSecond)
 	if p.state.TokensAt.IsZero() {
-		p.state.LoadTokens = most
+		p.state.LoadTokens = burst
 	} else {
 		p.state.LoadTokens += p.Now.Sub(p.state.TokensAt).Seconds() * region.LoadsPerSecond
 	}
-	p.state.LoadTokens = min(p.state.LoadTokens, most)
+	p.state.LoadTokens = min(p.state.LoadTokens, burst)
 	p.state.TokensAt = p.Now
 }
 
-// update replaces an engine's assignments.
+// update replaces an engine's assignments and marks the engine as changed.
 func (p *planner) update(engineID string, assignments []Assignment) {
 	planned := p.plan.Engines[engineID]
 	planned.Assignments = assignments
@@ -72,85 +72,85 @@
 	p.byModel = nil
 }
 
-// adoptUnknown takes what engines hold into the plan.
+// adoptUnknown adds replicas that engines report and the plan does not list.
 func (p *planner) adoptUnknown() {
 	for _, id := range sortedKeys(p.Engines) {
-		known := p.Engines[id]
-		if !known.Reachable || known.Inventory == nil {
+		eng := p.Engines[id]
+		if !eng.Reachable || eng.Inventory == nil {
 			continue
 		}
 		planned := p.plan.Engines[id]
 		adopted := slices.Clone(planned.Assignments)
-		for _, held := range known.Inventory.Replicas {
-			if slices.ContainsFunc(adopted, func(one Assignment) bool { return one.ReplicaID == held.ID }) {
+		for _, replica := range eng.Inventory.Replicas {
+			if slices.ContainsFunc(adopted, func(assignment Assignment) bool { return assignment.ReplicaID == replica.ID }) {
 				continue
 			}
-			wish := Keep
-			if held.State == engine.Unloading {
-				wish = Remove
+			desired := Keep
+			if replica.State == engine.Unloading {
+				desired = Remove
 			}
-			adopted = append(adopted, Assignment{ReplicaID: held.ID, Model: held.Model, Version: held.Version, Accelerators: held.Accelerators,
-				MemoryBytes: held.MemoryBytes, Adapters: held.Adapters, Wish: wish, Since: p.Now, Fence: p.fence})
+			adopted = append(adopted, Assignment{ReplicaID: replica.ID, Model: replica.Model, Version: replica.Version, Accelerators: replica.Accelerators,
+				MemoryBytes: replica.MemoryBytes, Adapters: replica.Adapters, DesiredState: desired, Since: p.Now, Fence: p.fence})
 		}
 		if len(adopted) > len(planned.Assignments) {
-			p.plan.Engines[id] = EnginePlan{EngineID: id, Address: known.Address}
+			p.plan.Engines[id] = EnginePlan{EngineID: id, Address: eng.Address}
 			p.update(id, adopted)
 		}
 	}
 }
 
-// dropConfirmed forgets removed replicas that are certainly gone, and whatever
-// was on an engine that no longer exists.
-func (p *planner) dropConfirmed() {
+// dropUnloaded deletes the assignments whose unload is confirmed, and all
+// assignments of an engine that is neither listed nor reachable.
+func (p *planner) dropUnloaded() {
 	for _, id := range sortedKeys(p.plan.Engines) {
 		planned := p.plan.Engines[id]
-		known := p.Engines[id]
-		if !known.Listed && !known.Reachable {
+		eng := p.Engines[id]
+		if !eng.Listed && !eng.Reachable {
 			if len(planned.Assignments) > 0 {
 				p.update(id, nil)
 			}
 			continue
 		}
-		kept := slices.DeleteFunc(slices.Clone(planned.Assignments), func(assignment Assignment) bool {
-			return assignment.Wish == Remove && confirmedGone(known, assignment)
+		remaining := slices.DeleteFunc(slices.Clone(planned.Assignments), func(assignment Assignment) bool {
+			return assignment.DesiredState == Remove && confirmedUnloaded(eng, assignment)
 		})
-		if len(kept) != len(planned.Assignments) {
-			p.update(id, kept)
+		if len(remaining) != len(planned.Assignments) {
+			p.update(id, remaining)
 		}
 	}
 }
 
-// confirmedGone tells whether a removed replica is not on its engine and cannot
-// come back: once the engine has seen the fence of the removal, it refuses any
-// order to load that was on its way before.
-func confirmedGone(known Engine, assignment Assignment) bool {
-	if !known.Reachable || known.Inventory == nil || known.Inventory.Fence.Less(assignment.Fence) {
+// confirmedUnloaded reports whether a removed replica is absent from its engine and
+// cannot reappear: an engine that has seen the fence of the removal refuses
+// load orders with an earlier one.
+func confirmedUnloaded(eng Engine, assignment Assignment) bool {
+	if !eng.Reachable || eng.Inventory == nil || eng.Inventory.Fence.Less(assignment.Fence) {
 		return false
 	}
-	return !slices.ContainsFunc(known.Inventory.Replicas, func(held engine.Replica) bool {
-		return held.ID == assignment.ReplicaID
+	return !slices.ContainsFunc(eng.Inventory.Replicas, func(replica engine.Replica) bool {
+		return replica.ID == assignment.ReplicaID
 	})
 }
 
-// retire removes replicas on leaving engines, of models no longer declared, and
-// of versions that have a ready successor.
-func (p *planner) retire() {
+// removeObsolete removes replicas on draining engines, replicas of undeclared models,
+// and outdated replicas whose model has a ready replica with the current settings.
+func (p *planner) removeObsolete() {
 	for _, id := range sortedKeys(p.plan.Engines) {
 		for index, assignment := range p.plan.Engines[id].Assignments {
-			if assignment.Wish == Keep && p.retired(id, assignment) {
+			if assignment.DesiredState == Keep && p.obsolete(id, assignment) {
 				p.remove(id, index)
 			}
 		}
 	}
 }
 
-func (p *planner) retired(engineID string, assignment Assignment) bool {
+func (p *planner) obsolete(engineID string, assignment Assignment) bool {
 	model := p.Tree.Models[assignment.Model]
 	if model == nil || !slices.Contains(model.ServiceRegions, p.Region) {
 		return true
 	}
-	known := p.Engines[engineID]
-	if known.Leaving || (known.Listed && known.Service != model.Service) {
+	eng := p.Engines[engineID]
+	if eng.Leaving || (eng.Listed && eng.Service != model.Service) {
 		return true
 	}
 	outdated := assignment.Version != model.Version || assignment.MemoryBytes != model.MemoryBytes ||
@@ -158,73 +158,74 @@
 	return outdated && p.readyReplicas(model, true) > 0
 }
 
-// remove turns the wish for an assignment into a removal.
+// remove sets the desired state of an assignment to Remove.
 func (p *planner) remove(engineID string, index int) {
 	assignments := slices.Clone(p.plan.Engines[engineID].Assignments)
-	assignments[index].Wish = Remove
+	assignments[index].DesiredState = Remove
 	assignments[index].Since = p.Now
 	assignments[index].Fence = p.fence
 	p.update(engineID, assignments)
 }
 
+// current reports whether an assignment matches the model's settings.
 func current(model *settings.Model, assignment Assignment) bool {
 	return assignment.Model == model.Name && assignment.Version == model.Version &&
 		assignment.MemoryBytes == model.MemoryBytes && len(assignment.Accelerators) == model.Accelerators
 }
 
-// place is an assignment in the plan.
-type place struct {
+// placedReplica is an assignment with its position in the plan.
+type placedReplica struct {
 	engineID   string
 	index      int
 	assignment Assignment
 	ready      bool
 }
 
-// kept lists the assignments of a model that are to be kept, on engines that can
-// be reached: one that cannot keeps its charge on memory but serves nobody.
-func (p *planner) kept(model *settings.Model) []place {
+// active lists a model's assignments that are to be kept on reachable engines.
+// Those on unreachable engines serve no requests, although their memory stays charged.
+func (p *planner) active(model *settings.Model) []placedReplica {
 	if p.byModel == nil {
-		p.index()
+		p.indexByModel()
 	}
 	return p.byModel[model.Name]
 }
 
-func (p *planner) index() {
-	p.byModel = map[string][]place{}
+func (p *planner) indexByModel() {
+	p.byModel = map[string][]placedReplica{}
 	for _, id := range sortedKeys(p.plan.Engines) {
-		known := p.Engines[id]
-		if !known.Reachable {
+		eng := p.Engines[id]
+		if !eng.Reachable {
 			continue
 		}
-		for number, assignment := range p.plan.Engines[id].Assignments {
-			if assignment.Wish == Keep {
-				kept := place{id, number, assignment, isReady(known, assignment.ReplicaID)}
-				p.byModel[assignment.Model] = append(p.byModel[assignment.Model], kept)
+		for index, assignment := range p.plan.Engines[id].Assignments {
+			if assignment.DesiredState == Keep {
+				replica := placedReplica{id, index, assignment, isReady(eng, assignment.ReplicaID)}
+				p.byModel[assignment.Model] = append(p.byModel[assignment.Model], replica)
 			}
 		}
 	}
 }
 
-func isReady(known Engine, replicaID string) bool {
-	if known.Inventory == nil {
+func isReady(eng Engine, replicaID string) bool {
+	if eng.Inventory == nil {
 		return false
 	}
-	return slices.ContainsFunc(known.Inventory.Replicas, func(held engine.Replica) bool {
-		return held.ID == replicaID && held.State == engine.Ready
+	return slices.ContainsFunc(eng.Inventory.Replicas, func(replica engine.Replica) bool {
+		return replica.ID == replicaID && replica.State == engine.Ready
 	})
 }
 
 func (p *planner) readyReplicas(model *settings.Model, currentOnly bool) int {
 	count := 0
-	for _, kept := range p.kept(model) {
-		if kept.ready && (!currentOnly || current(model, kept.assignment)) {
+	for _, active := range p.active(model) {
+		if active.ready && (!currentOnly || current(model, active.assignment)) {
 			count++
 		}
 	}
 	return count
 }
 
-// need is how many replicas a model should have, and how much it matters.
+// need is the number of replicas that a model should have, and its priority.
 type need struct {
 	model    *settings.Model
 	replicas int
@@ -233,7 +234,7 @@
 	lastUsed time.Time
 }
 
-// needOf works out a model's need from the demand for it and its adapters.
+// needOf computes a model's need from the demand for it and its adapters.
 func (p *planner) needOf(model *settings.Model) need {
 	result := need{model: model, replicas: model.MinReplicas}
 	running := 0
@@ -246,11 +247,11 @@
 			result.lastUsed = demand.LastUsed
 		}
 	}
-	wanted := (result.waiting + running + model.Concurrency - 1) / model.Concurrency
-	result.replicas = min(max(result.replicas, wanted), model.MaxReplicas)
+	desired := (result.waiting + running + model.Concurrency - 1) / model.Concurrency
+	result.replicas = min(max(result.replicas, desired), model.MaxReplicas)
 	recent := !result.lastUsed.IsZero() && p.Now.Sub(result.lastUsed) < model.IdleAfter
-	if recent && result.replicas == 0 && len(p.kept(model)) > 0 {
-		result.replicas = 1 // scale to zero only after IdleAfter
+	if recent && result.replicas == 0 && len(p.active(model)) > 0 {
+		result.replicas = 1 // scales to zero only after IdleAfter
 	}
 	return result
 }
@@ -262,18 +263,18 @@
 			needs = append(needs, p.needOf(model))
 		}
 	}
-	// Those that people wait for come first, then any that wait, then the rest.
+	// Models with waiting interactive requests come first, then those with any waiting.
 	slices.SortStableFunc(needs, func(a, b need) int {
 		return cmp.Or(cmp.Compare(b.urgent, a.urgent), cmp.Compare(b.waiting, a.waiting))
 	})
 	return needs
 }
 
-// removeSurplus unloads replicas that a model has not needed for its IdleAfter.
+// removeSurplus removes replicas that a model has not needed for IdleAfter.
 func (p *planner) removeSurplus() {
 	for _, need := range p.needs() {
-		places := slices.Clone(p.kept(need.model))
-		if len(places) <= need.replicas {
+		placed := slices.Clone(p.active(need.model))
+		if len(placed) <= need.replicas {
 			delete(p.state.SurplusSince, need.model.Name)
 			continue
 		}
@@ -282,14 +283,15 @@
 			p.state.SurplusSince[need.model.Name] = p.Now
 			since = p.Now
 		}
-		// A new placer has not heard of past use yet and waits as well.
+		// A zero lastUsed may only mean that a new placer lacks the history, so the
+		// replicas stay for IdleAfter.
 		knownIdle := need.replicas == 0 && !need.lastUsed.IsZero()
 		if !knownIdle && p.Now.Sub(since) < need.model.IdleAfter {
 			continue
 		}
-		// The newest goes first: older ones have warmer prefix caches.
-		slices.SortFunc(places, func(a, b place) int { return b.assignment.Since.Compare(a.assignment.Since) })
-		for _, surplus := range places[:len(places)-need.replicas] {
+		// The newest replicas are removed first: older ones have warmer prefix caches.
+		slices.SortFunc(placed, func(a, b placedReplica) int { return b.assignment.Since.Compare(a.assignment.Since) })
+		for _, surplus := range placed[:len(placed)-need.replicas] {
 			p.removeReplica(surplus.assignment.ReplicaID)
 		}
 		delete(p.state.SurplusSince, need.model.Name)
@@ -299,7 +301,7 @@
 func (p *planner) removeReplica(replicaID string) {
 	for id, planned := range p.plan.Engines {
 		for index, assignment := range planned.Assignments {
-			if assignment.ReplicaID == replicaID && assignment.Wish == Keep {
+			if assignment.ReplicaID == replicaID && assignment.DesiredState == Keep {
 				p.remove(id, index)
 				return
 			}
@@ -307,9 +309,9 @@
 	}
 }
 
-// loadAll places the replicas that are missing, the most urgent models first and
-// one replica each before any gets a second.
-func (p *planner) loadAll() {
+// loadMissing places missing replicas in order of urgency; every model gets its first
+// replica before any model gets a second.
+func (p *planner) loadMissing() {
 	needs := p.needs()
 	for round := 1; ; round++ {
 		placedOrPending := false
@@ -330,19 +332,19 @@
 
 func (p *planner) currentCount(model *settings.Model) int {
 	count := 0
-	for _, kept := range p.kept(model) {
-		if current(model, kept.assignment) {
+	for _, active := range p.active(model) {
+		if current(model, active.assignment) {
 			count++
 		}
 	}
 	return count
 }
 
-// load places one replica, or frees memory for it.
+// load places one replica of a model, or evicts others if no engine has room.
 func (p *planner) load(need need) {
-	best, found := p.bestSpot(need.model, false)
+	best, found := p.bestCandidate(need.model, false)
 	if !found {
-		p.makeRoom(need)
+		p.evictFor(need)
 		return
 	}
 	if best.remote && !p.takeLoadToken() {
@@ -351,7 +353,7 @@
 	assignments := append(slices.Clone(p.plan.Engines[best.engineID].Assignments), Assignment{
 		ReplicaID: p.NewReplicaID(), Model: need.model.Name, Version: need.model.Version,
 		Accelerators: best.accelerators, MemoryBytes: need.model.MemoryBytes,
-		Wish: Keep, Remote: best.remote, Since: p.Now, Fence: p.fence,
+		DesiredState: Keep, Remote: best.remote, Since: p.Now, Fence: p.fence,
 	})
 	if _, known := p.plan.Engines[best.engineID]; !known {
 		p.plan.Engines[best.engineID] = EnginePlan{EngineID: best.engineID}
@@ -362,13 +364,13 @@
 	p.update(best.engineID, assignments)
 }
 
-// takeLoadToken spends one start of the weight store's budget, if there is one
-// and not too many loads run.
+// takeLoadToken takes a token for one load from the weight store. It fails if no
+// token is left or the region's limit of concurrent loads is reached.
 func (p *planner) takeLoadToken() bool {
 	running := 0
 	for id, planned := range p.plan.Engines {
 		for _, assignment := range planned.Assignments {
-			if assignment.Remote && assignment.Wish == Keep && !isReady(p.Engines[id], assignment.ReplicaID) {
+			if assignment.Remote && assignment.DesiredState == Keep && !isReady(p.Engines[id], assignment.ReplicaID) {
 				running++
 			}
 		}
--- a/placement/decide_test.go
+++ b/placement/decide_test.go
@@ -39,44 +39,45 @@
 	return tree
 }
 
-// world is the oracle: engines that obey orders late, or not, beside the planner.
-type world struct {
-	now      time.Time
-	tree     *settings.Tree
-	plan     placement.Plan
-	state    placement.State
-	demand   map[string]placement.TargetDemand
-	engines  map[string]*simulatedEngine
-	replicas int
+// simulation runs the planner against engines that receive orders late, repeated or not
+// at all.
+type simulation struct {
+	now         time.Time
+	tree        *settings.Tree
+	plan        placement.Plan
+	state       placement.State
+	demand      map[string]placement.TargetDemand
+	engines     map[string]*simulatedEngine
+	lastReplica int
 }
 
 type simulatedEngine struct {
-	known    placement.Engine // as the placer sees it
+	observed placement.Engine // as the placer sees it
 	held     map[string]engine.Replica
 	unloaded map[string]bool
 	fence    engine.Fence
-	pending  []engine.Order // on their way; delivered in any order
+	pending  []engine.Order // in transit; delivered in any sequence
 }
 
-func newWorld(t require.TestingT) *world {
-	w := &world{
+func newSimulation(t require.TestingT) *simulation {
+	sim := &simulation{
 		now: time.Unix(1_000_000, 0), tree: parseTree(t), plan: placement.NewPlan(engine.Fence{Epoch: 1}),
 		state: placement.State{SurplusSince: map[string]time.Time{}}, demand: map[string]placement.TargetDemand{},
 		engines: map[string]*simulatedEngine{},
 	}
 	for number := range 3 {
 		id := fmt.Sprintf("e%d", number)
-		w.engines[id] = &simulatedEngine{held: map[string]engine.Replica{}, unloaded: map[string]bool{},
-			known: placement.Engine{ID: id, Service: "s", Zone: fmt.Sprintf("z%d", number%2+1), Listed: true, Reachable: true}}
-		w.observe(id)
+		sim.engines[id] = &simulatedEngine{held: map[string]engine.Replica{}, unloaded: map[string]bool{},
+			observed: placement.Engine{ID: id, Service: "s", Zone: fmt.Sprintf("z%d", number%2+1), Listed: true, Reachable: true}}
+		sim.refreshInventory(id)
 	}
-	return w
+	return sim
 }
 
-// observe refreshes what the placer sees of an engine.
-func (w *world) observe(id string) {
-	simulated := w.engines[id]
-	if !simulated.known.Reachable {
+// refreshInventory updates the inventory that the placer sees of a reachable engine.
+func (sim *simulation) refreshInventory(id string) {
+	simulated := sim.engines[id]
+	if !simulated.observed.Reachable {
 		return
 	}
 	inventory := &engine.Inventory{EngineID: id, Fence: simulated.fence,
@@ -84,29 +85,29 @@
 	for _, held := range simulated.held {
 		inventory.Replicas = append(inventory.Replicas, held)
 	}
-	simulated.known.Inventory = inventory
+	simulated.observed.Inventory = inventory
 }
 
-// decide makes a decision and puts the orders that follow from it on their way.
-func (w *world) decide(t require.TestingT) {
-	known := map[string]placement.Engine{}
-	for id, simulated := range w.engines {
-		known[id] = simulated.known
+// decide makes a decision and adds the resulting orders to those in transit.
+func (sim *simulation) decide(t require.TestingT) {
+	observed := map[string]placement.Engine{}
+	for id, simulated := range sim.engines {
+		observed[id] = simulated.observed
 	}
 	decision := placement.Decide(placement.Snapshot{
-		Now: w.now, Region: "r", Tree: w.tree, Engines: known, Demand: w.demand, Plan: w.plan, State: w.state,
-		NewReplicaID: func() string { w.replicas++; return fmt.Sprintf("replica-%d", w.replicas) },
+		Now: sim.now, Region: "r", Tree: sim.tree, Engines: observed, Demand: sim.demand, Plan: sim.plan, State: sim.state,
+		NewReplicaID: func() string { sim.lastReplica++; return fmt.Sprintf("replica-%d", sim.lastReplica) },
 	})
-	require.Equal(t, len(decision.Changed) > 0, w.plan.Fence.Less(decision.Plan.Fence), "the fence grows with each change only")
-	w.plan, w.state = decision.Plan, decision.State
-	for id, simulated := range w.engines {
-		if simulated.fence.Epoch < w.plan.Fence.Epoch {
-			simulated.pending = append(simulated.pending, engine.Order{Operation: engine.Seal, Fence: w.plan.Fence})
+	require.Equal(t, len(decision.Changed) > 0, sim.plan.Fence.Less(decision.Plan.Fence), "the fence must increase if and only if the plan changes")
+	sim.plan, sim.state = decision.Plan, decision.State
+	for id, simulated := range sim.engines {
+		if simulated.fence.Epoch < sim.plan.Fence.Epoch {
+			simulated.pending = append(simulated.pending, engine.Order{Operation: engine.Seal, Fence: sim.plan.Fence})
 		}
-		for _, assignment := range w.plan.Engines[id].Assignments {
-			order := engine.Order{Operation: engine.Load, Fence: w.plan.Fence, ReplicaID: assignment.ReplicaID, Model: assignment.Model,
+		for _, assignment := range sim.plan.Engines[id].Assignments {
+			order := engine.Order{Operation: engine.Load, Fence: sim.plan.Fence, ReplicaID: assignment.ReplicaID, Model: assignment.Model,
 				Version: assignment.Version, Accelerators: assignment.Accelerators, MemoryBytes: assignment.MemoryBytes}
-			if assignment.Wish == placement.Remove {
+			if assignment.DesiredState == placement.Remove {
 				order.Operation = engine.Unload
 			}
 			simulated.pending = append(simulated.pending, order)
@@ -114,7 +115,8 @@
 	}
 }
 
-// deliver hands one pending order, any of them, to an engine.
+// deliver executes one pending order on the engine, as an engine does: it refuses orders
+// with an earlier fence and does not load a replica again after its unload.
 func (s *simulatedEngine) deliver(t require.TestingT, index int) {
 	order := s.pending[index]
 	if order.Fence.Less(s.fence) {
@@ -145,38 +147,38 @@
 	}
 }
 
-// check compares what is loaded with what was decided.
-func (w *world) check(t require.TestingT) {
+// checkLoaded fails if the engines hold more replicas of a model than the plan lists.
+func (sim *simulation) checkLoaded(t require.TestingT) {
 	loaded := map[string]int{}
-	for _, simulated := range w.engines {
+	for _, simulated := range sim.engines {
 		for _, held := range simulated.held {
 			loaded[held.Model]++
 		}
 	}
-	decided := w.plan.Decided()
+	planned := sim.plan.ReplicasByModel()
 	for model, count := range loaded {
-		require.LessOrEqual(t, count, decided[model], "more replicas of %s loaded than decided", model)
+		require.LessOrEqual(t, count, planned[model], "more replicas of %s loaded than planned", model)
 	}
 }
 
 func TestPlannerAgainstSimulatedEngines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		sim := newSimulation(t)
 		engineIDs := []string{"e0", "e1", "e2"}
-		pick := func(t *rapid.T) *simulatedEngine { return w.engines[rapid.SampledFrom(engineIDs).Draw(t, "engine")] }
+		pick := func(t *rapid.T) *simulatedEngine { return sim.engines[rapid.SampledFrom(engineIDs).Draw(t, "engine")] }
 		t.Repeat(map[string]func(*rapid.T){
-			"decide": func(t *rapid.T) { w.decide(t) },
+			"decide": func(t *rapid.T) { sim.decide(t) },
 			"demand": func(t *rapid.T) {
 				target := rapid.SampledFrom([]string{"small", "small.a", "small.b", "wide", "large", "kept"}).Draw(t, "target")
-				w.demand[target] = placement.TargetDemand{Waiting: rapid.IntRange(0, 5).Draw(t, "waiting"),
-					Running: rapid.IntRange(0, 2).Draw(t, "running"), LastUsed: w.now}
+				sim.demand[target] = placement.TargetDemand{Waiting: rapid.IntRange(0, 5).Draw(t, "waiting"),
+					Running: rapid.IntRange(0, 2).Draw(t, "running"), LastUsed: sim.now}
 			},
 			"deliver": func(t *rapid.T) {
 				simulated := pick(t)
 				if len(simulated.pending) == 0 {
-					t.Skip("no order")
+					t.Skip("no pending order")
 				}
-				// An order may be delivered late and more than once.
+				// The order stays pending, so that it may be delivered again.
 				simulated.deliver(t, rapid.IntRange(0, len(simulated.pending)-1).Draw(t, "order"))
 			},
 			"finishLoads": func(t *rapid.T) {
@@ -186,41 +188,41 @@
 					simulated.held[id] = held
 				}
 			},
-			"observe": func(t *rapid.T) { w.observe(rapid.SampledFrom(engineIDs).Draw(t, "engine")) },
+			"observe": func(t *rapid.T) { sim.refreshInventory(rapid.SampledFrom(engineIDs).Draw(t, "engine")) },
 			"reach": func(t *rapid.T) {
 				simulated := pick(t)
-				simulated.known.Reachable = rapid.Bool().Draw(t, "reachable")
+				simulated.observed.Reachable = rapid.Bool().Draw(t, "reachable")
 			},
-			"leave": func(t *rapid.T) { pick(t).known.Leaving = rapid.Bool().Draw(t, "leaving") },
+			"leave": func(t *rapid.T) { pick(t).observed.Leaving = rapid.Bool().Draw(t, "leaving") },
 			"restartEngine": func(t *rapid.T) {
-				// A new process: memory empty, fence forgotten, orders to the old one lost.
+				// The new process has no replicas and no fence; orders to the old one are lost.
 				simulated := pick(t)
 				simulated.held, simulated.unloaded = map[string]engine.Replica{}, map[string]bool{}
 				simulated.fence, simulated.pending = engine.Fence{}, nil
 			},
 			"takeOver": func(*rapid.T) {
-				// The old placer's orders stay on their way.
-				w.plan.Fence = engine.Fence{Epoch: w.plan.Fence.Epoch + 1}
-				w.state = placement.State{SurplusSince: map[string]time.Time{}}
+				// The previous placer's orders stay in transit.
+				sim.plan.Fence = engine.Fence{Epoch: sim.plan.Fence.Epoch + 1}
+				sim.state = placement.State{SurplusSince: map[string]time.Time{}}
 			},
 			"version": func(t *rapid.T) {
-				changed := *w.tree.Models["small"]
+				changed := *sim.tree.Models["small"]
 				changed.Version = rapid.SampledFrom([]string{"1", "2"}).Draw(t, "version")
-				w.tree.Models["small"] = &changed
+				sim.tree.Models["small"] = &changed
 			},
 			"time": func(t *rapid.T) {
-				w.now = w.now.Add(time.Duration(rapid.IntRange(1, 8000).Draw(t, "ms")) * time.Millisecond)
+				sim.now = sim.now.Add(time.Duration(rapid.IntRange(1, 8000).Draw(t, "ms")) * time.Millisecond)
 			},
-			"": func(t *rapid.T) { w.check(t) },
+			"": func(t *rapid.T) { sim.checkLoaded(t) },
 		})
 	})
 }
 
-// settle lets orders and loads finish between decisions.
-func (w *world) settle(t require.TestingT, rounds int) {
+// settle makes decisions, with all orders and loads completed after each.
+func (sim *simulation) settle(t require.TestingT, rounds int) {
 	for range rounds {
-		w.decide(t)
-		for id, simulated := range w.engines {
+		sim.decide(t)
+		for id, simulated := range sim.engines {
 			for index := range simulated.pending {
 				simulated.deliver(t, index)
 			}
@@ -229,16 +231,16 @@
 				held.State = engine.Ready
 				simulated.held[replicaID] = held
 			}
-			w.observe(id)
+			sim.refreshInventory(id)
 		}
-		w.now = w.now.Add(time.Second)
-		w.check(t)
+		sim.now = sim.now.Add(time.Second)
+		sim.checkLoaded(t)
 	}
 }
 
-func (w *world) loaded(model string) int {
+func (sim *simulation) loaded(model string) int {
 	count := 0
-	for _, simulated := range w.engines {
+	for _, simulated := range sim.engines {
 		for _, held := range simulated.held {
 			if held.Model == model {
 				count++
@@ -248,93 +250,93 @@
 	return count
 }
 
-func TestDemandLoadsAndIdlenessUnloads(t *testing.T) {
-	w := newWorld(t)
-	w.settle(t, 2)
-	require.Equal(t, 1, w.loaded("kept"), "the least number is loaded without demand")
-	require.Zero(t, w.loaded("large"))
-	w.demand["large"] = placement.TargetDemand{Waiting: 5, LastUsed: w.now}
-	w.settle(t, 3)
-	require.Equal(t, 2, w.loaded("large"), "max_replicas holds")
-	w.demand["large"] = placement.TargetDemand{LastUsed: w.now}
-	w.settle(t, 5)
-	require.Equal(t, 2, w.loaded("large"), "not unloaded before idle_after")
-	w.settle(t, 10)
-	require.Zero(t, w.loaded("large"))
+func TestDemandLoadsModelAndIdleTimeUnloadsIt(t *testing.T) {
+	sim := newSimulation(t)
+	sim.settle(t, 2)
+	require.Equal(t, 1, sim.loaded("kept"), "min_replicas must be loaded without demand")
+	require.Zero(t, sim.loaded("large"))
+	sim.demand["large"] = placement.TargetDemand{Waiting: 5, LastUsed: sim.now}
+	sim.settle(t, 3)
+	require.Equal(t, 2, sim.loaded("large"), "max_replicas must not be exceeded")
+	sim.demand["large"] = placement.TargetDemand{LastUsed: sim.now}
+	sim.settle(t, 5)
+	require.Equal(t, 2, sim.loaded("large"), "must not be unloaded before idle_after")
+	sim.settle(t, 10)
+	require.Zero(t, sim.loaded("large"))
 }
 
-func TestWaitingModelEvictsTheLongestIdle(t *testing.T) {
-	w := newWorld(t)
+func TestWaitingModelEvictsIdleReplica(t *testing.T) {
+	sim := newSimulation(t)
 	for _, id := range []string{"e1", "e2"} {
-		w.engines[id].known.Leaving = true
+		sim.engines[id].observed.Leaving = true
 	}
-	w.demand["large"] = placement.TargetDemand{Waiting: 1, LastUsed: w.now}
-	w.settle(t, 3)
-	require.Equal(t, 1, w.loaded("large"))
-	w.demand["large"] = placement.TargetDemand{LastUsed: w.now}
-	w.demand["wide"] = placement.TargetDemand{Waiting: 1, LastUsed: w.now}
-	w.settle(t, 4)
-	require.Zero(t, w.loaded("large"), "idle, though not for idle_after yet")
-	require.Equal(t, 1, w.loaded("wide"))
+	sim.demand["large"] = placement.TargetDemand{Waiting: 1, LastUsed: sim.now}
+	sim.settle(t, 3)
+	require.Equal(t, 1, sim.loaded("large"))
+	sim.demand["large"] = placement.TargetDemand{LastUsed: sim.now}
+	sim.demand["wide"] = placement.TargetDemand{Waiting: 1, LastUsed: sim.now}
+	sim.settle(t, 4)
+	require.Zero(t, sim.loaded("large"), "an idle replica must be evicted even before idle_after")
+	require.Equal(t, 1, sim.loaded("wide"))
 }
 
-func TestMemoryIsNotGivenAwayBeforeTheUnloadIsConfirmed(t *testing.T) {
-	w := newWorld(t)
+func TestMemoryIsNotReassignedBeforeUnloadIsConfirmed(t *testing.T) {
+	sim := newSimulation(t)
 	for _, id := range []string{"e1", "e2"} {
-		w.engines[id].known.Leaving = true
+		sim.engines[id].observed.Leaving = true
 	}
-	w.demand["large"] = placement.TargetDemand{Waiting: 1, LastUsed: w.now}
-	w.settle(t, 3)
-	w.demand["large"] = placement.TargetDemand{LastUsed: w.now}
-	w.demand["wide"] = placement.TargetDemand{Waiting: 1, LastUsed: w.now}
+	sim.demand["large"] = placement.TargetDemand{Waiting: 1, LastUsed: sim.now}
+	sim.settle(t, 3)
+	sim.demand["large"] = placement.TargetDemand{LastUsed: sim.now}
+	sim.demand["wide"] = placement.TargetDemand{Waiting: 1, LastUsed: sim.now}
 	for range 5 {
-		w.decide(t)
-		w.now = w.now.Add(time.Second)
-		require.Equal(t, 1, w.plan.Decided()["large"], "its memory counts until the engine confirms")
-		require.Zero(t, w.plan.Decided()["wide"])
+		sim.decide(t)
+		sim.now = sim.now.Add(time.Second)
+		require.Equal(t, 1, sim.plan.ReplicasByModel()["large"], "its memory must stay reserved until the engine confirms the unload")
+		require.Zero(t, sim.plan.ReplicasByModel()["wide"])
 	}
-	w.settle(t, 3)
-	require.Equal(t, 1, w.loaded("wide"))
+	sim.settle(t, 3)
+	require.Equal(t, 1, sim.loaded("wide"))
 }
 
-func TestRemoteLoadsKeepToTheBudget(t *testing.T) {
-	w := newWorld(t)
+func TestRemoteLoadsStayWithinConcurrencyLimit(t *testing.T) {
+	sim := newSimulation(t)
 	for _, model := range []string{"small", "wide", "large"} {
-		w.demand[model] = placement.TargetDemand{Waiting: 4, LastUsed: w.now}
+		sim.demand[model] = placement.TargetDemand{Waiting: 4, LastUsed: sim.now}
 	}
-	w.settle(t, 1) // seals the engines
-	w.decide(t)
+	sim.settle(t, 1) // delivers the placer's epoch to the engines
+	sim.decide(t)
 	remote := 0
-	for _, planned := range w.plan.Engines {
+	for _, planned := range sim.plan.Engines {
 		for _, assignment := range planned.Assignments {
 			if assignment.Remote {
 				remote++
 			}
 		}
 	}
-	require.Equal(t, 3, remote, "concurrent_loads holds")
+	require.Equal(t, 3, remote, "concurrent_loads must not be exceeded")
 }
 
-func TestLostPlanIsMadeAnewFromTheEngines(t *testing.T) {
-	w := newWorld(t)
-	w.demand["large"] = placement.TargetDemand{Waiting: 1, LastUsed: w.now}
-	w.settle(t, 3)
-	require.Equal(t, 1, w.loaded("large"))
-	w.plan = placement.NewPlan(engine.Fence{Epoch: 9})
-	known := map[string]placement.Engine{}
-	for id, simulated := range w.engines {
-		known[id] = simulated.known
+func TestLostPlanIsRebuiltFromInventories(t *testing.T) {
+	sim := newSimulation(t)
+	sim.demand["large"] = placement.TargetDemand{Waiting: 1, LastUsed: sim.now}
+	sim.settle(t, 3)
+	require.Equal(t, 1, sim.loaded("large"))
+	sim.plan = placement.NewPlan(engine.Fence{Epoch: 9})
+	observed := map[string]placement.Engine{}
+	for id, simulated := range sim.engines {
+		observed[id] = simulated.observed
 	}
-	decision := placement.Decide(placement.Snapshot{Now: w.now, Region: "r", Tree: w.tree, Engines: known, Demand: w.demand, Plan: w.plan,
-		State: w.state, AdoptUnknown: true, NewReplicaID: func() string { return "new" }})
-	require.Equal(t, 1, decision.Plan.Decided()["large"])
-	require.Equal(t, 1, decision.Plan.Decided()["kept"])
+	decision := placement.Decide(placement.Snapshot{Now: sim.now, Region: "r", Tree: sim.tree, Engines: observed, Demand: sim.demand, Plan: sim.plan,
+		State: sim.state, AdoptUnknown: true, NewReplicaID: func() string { return "new" }})
+	require.Equal(t, 1, decision.Plan.ReplicasByModel()["large"])
+	require.Equal(t, 1, decision.Plan.ReplicasByModel()["kept"])
 }
 
-func TestAdapterTakesTheSlotOfAnIdleOne(t *testing.T) {
-	w := newWorld(t)
+func TestAdapterReplacesIdleAdapter(t *testing.T) {
+	sim := newSimulation(t)
 	adapters := func() []string {
-		for _, planned := range w.plan.Engines {
+		for _, planned := range sim.plan.Engines {
 			for _, assignment := range planned.Assignments {
 				if assignment.Model == "small" {
 					return assignment.Adapters
@@ -343,19 +345,19 @@
 		}
 		return nil
 	}
-	w.demand["small.a"] = placement.TargetDemand{Waiting: 1, LastUsed: w.now}
-	w.settle(t, 2)
+	sim.demand["small.a"] = placement.TargetDemand{Waiting: 1, LastUsed: sim.now}
+	sim.settle(t, 2)
 	require.Equal(t, []string{"small.a"}, adapters())
-	w.demand["small.b"] = placement.TargetDemand{Waiting: 1, LastUsed: w.now}
-	w.settle(t, 2)
-	require.Equal(t, []string{"small.a"}, adapters(), "an adapter with demand keeps its slot")
-	w.demand["small.a"] = placement.TargetDemand{LastUsed: w.now}
-	w.settle(t, 2)
+	sim.demand["small.b"] = placement.TargetDemand{Waiting: 1, LastUsed: sim.now}
+	sim.settle(t, 2)
+	require.Equal(t, []string{"small.a"}, adapters(), "an adapter with demand must keep its slot")
+	sim.demand["small.a"] = placement.TargetDemand{LastUsed: sim.now}
+	sim.settle(t, 2)
 	require.Equal(t, []string{"small.b"}, adapters())
 }
 
-// BenchmarkDecide measures a decision at the size of one region of the design:
-// 300 engines, 220 models, most of them idle.
+// BenchmarkDecide measures one decision at up to 300 engines and 220 models, most of
+// them idle.
 func BenchmarkDecide(b *testing.B) {
 	for _, engines := range []int{75, 150, 300} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
@@ -399,7 +401,7 @@
 		snapshot.Engines[engineID].Inventory.Replicas = append(snapshot.Engines[engineID].Inventory.Replicas, replica)
 		planned := snapshot.Plan.Engines[engineID]
 		planned.Assignments = append(planned.Assignments, placement.Assignment{ReplicaID: replica.ID, Model: model.Name, Version: "1",
-			Accelerators: []int{0}, MemoryBytes: model.MemoryBytes, Wish: placement.Keep, Since: now})
+			Accelerators: []int{0}, MemoryBytes: model.MemoryBytes, DesiredState: placement.Keep, Since: now})
 		snapshot.Plan.Engines[engineID] = planned
 	}
 	return snapshot
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -6,10 +6,10 @@
 	"github.com/finchspoke/finchspoke/engine"
 )
 
-// speedWeight is the weight of a new sample in the remote speed.
+// speedWeight is the weight of a new sample in the moving average of the load speed.
 const speedWeight = 0.3
 
-// ObserveRemoteLoad takes in how long a remote load took.
+// ObserveRemoteLoad updates the speed of remote loads with one that has finished.
 func (s *State) ObserveRemoteLoad(bytes int64, took time.Duration) {
 	if took <= 0 {
 		return
@@ -22,58 +22,58 @@
 	s.RemoteBytesPerSecond += speedWeight * (speed - s.RemoteBytesPerSecond)
 }
 
-// Unknown is an estimate that cannot be made.
-const Unknown = time.Duration(-1)
+// NoEstimate is returned where the time of a load cannot be estimated.
+const NoEstimate = time.Duration(-1)
 
-// ReadyIn estimates when a model's first replica is ready: zero if one is, and
-// Unknown if no load runs or no load was seen yet to judge by.
+// ReadyIn estimates the time until a model has a ready replica: zero if it has one, and
+// NoEstimate if no load is planned or the speed of loads is unknown.
 func ReadyIn(now time.Time, plan Plan, engines map[string]Engine, state State, model string) time.Duration {
-	best := Unknown
+	best := NoEstimate
 	for id, planned := range plan.Engines {
-		known := engines[id]
+		eng := engines[id]
 		for _, assignment := range planned.Assignments {
-			if assignment.Model != model || assignment.Wish != Keep || !known.Reachable {
+			if assignment.Model != model || assignment.DesiredState != Keep || !eng.Reachable {
 				continue
 			}
-			left := loadLeft(now, known, assignment, state)
-			if left != Unknown && (best == Unknown || left < best) {
-				best = left
+			remaining := remainingLoadTime(now, eng, assignment, state)
+			if remaining != NoEstimate && (best == NoEstimate || remaining < best) {
+				best = remaining
 			}
 		}
 	}
 	return best
 }
 
-func loadLeft(now time.Time, known Engine, assignment Assignment, state State) time.Duration {
-	if isReady(known, assignment.ReplicaID) {
+func remainingLoadTime(now time.Time, eng Engine, assignment Assignment, state State) time.Duration {
+	if isReady(eng, assignment.ReplicaID) {
 		return 0
 	}
 	if !assignment.Remote {
 		return costDisk * time.Second
 	}
 	if state.RemoteBytesPerSecond == 0 {
-		return Unknown
+		return NoEstimate
 	}
 	bytes := float64(assignment.MemoryBytes) * float64(len(assignment.Accelerators))
-	whole := time.Duration(bytes / state.RemoteBytesPerSecond * float64(time.Second))
-	return max(0, whole-now.Sub(assignment.Since))
+	total := time.Duration(bytes / state.RemoteBytesPerSecond * float64(time.Second))
+	return max(0, total-now.Sub(assignment.Since))
 }
 
-// Ready lists the replicas of a model that can serve, with their engines.
+// Ready lists the replicas of a model that can serve requests.
 func Ready(plan Plan, engines map[string]Engine, model string) []ReadyReplica {
 	var ready []ReadyReplica
 	for _, id := range sortedKeys(plan.Engines) {
-		known := engines[id]
-		if !known.Reachable || known.Leaving || known.Inventory == nil {
+		eng := engines[id]
+		if !eng.Reachable || eng.Leaving || eng.Inventory == nil {
 			continue
 		}
 		for _, assignment := range plan.Engines[id].Assignments {
-			if assignment.Model != model || assignment.Wish != Keep {
+			if assignment.Model != model || assignment.DesiredState != Keep {
 				continue
 			}
-			for _, held := range known.Inventory.Replicas {
-				if held.ID == assignment.ReplicaID && held.State == engine.Ready {
-					ready = append(ready, ReadyReplica{held.ID, known, held.Adapters})
+			for _, replica := range eng.Inventory.Replicas {
+				if replica.ID == assignment.ReplicaID && replica.State == engine.Ready {
+					ready = append(ready, ReadyReplica{replica.ID, eng, replica.Adapters})
 				}
 			}
 		}
@@ -81,7 +81,7 @@
 	return ready
 }
 
-// ReadyReplica is a replica that can serve.
+// ReadyReplica is a replica that can serve requests, with its engine.
 type ReadyReplica struct {
 	ReplicaID string
 	Engine    Engine
--- a/placement/main_test.go
+++ b/placement/main_test.go
@@ -6,7 +6,7 @@
 	"github.com/finchspoke/finchspoke/testseed"
 )
 
-// Enough to catch each deliberate bug of docs/MUTATIONS.md.
+// Enough checks and steps to find each of the mutations listed in docs/MUTATIONS.md.
 const (
 	checks = 3000
 	steps  = 40
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -1,9 +1,8 @@
-// Package placement decides, purely, which models and adapters are loaded on
-// which engines: a snapshot goes in, the next plan comes out. It reads no clock,
-// sends nothing and remembers nothing but what its State carries.
+// Package placement computes which models and adapters are loaded on which engines.
+// It is a pure function from a snapshot to the next plan, without a clock or I/O.
 //
-// The plan may list a replica before it is loaded and lists it until its unload
-// is confirmed, so its memory is never given away too early.
+// A plan lists a replica from before its load until its unload is confirmed, so that
+// its memory is not assigned to another replica too early.
 package placement
 
 import (
@@ -14,16 +13,16 @@
 	"github.com/finchspoke/finchspoke/settings"
 )
 
-// Wish is what the plan wants of an assignment.
-type Wish string
+// DesiredState is the state that the plan requires of a replica.
+type DesiredState string
 
-// The wishes.
+// Desired states of a replica.
 const (
-	Keep   Wish = "keep"   // load it, or keep it loaded
-	Remove Wish = "remove" // unload it; its memory counts until confirmed
+	Keep   DesiredState = "keep"   // loaded
+	Remove DesiredState = "remove" // unloaded; its memory stays reserved until the engine confirms
 )
 
-// Assignment is a replica on an engine.
+// Assignment is a replica planned on an engine.
 type Assignment struct {
 	ReplicaID    string       `json:"replica_id"`
 	Model        string       `json:"model"`
@@ -31,31 +30,32 @@
 	Accelerators []int        `json:"accelerators"`
 	MemoryBytes  int64        `json:"memory_bytes"` // on each accelerator
 	Adapters     []string     `json:"adapters,omitempty"`
-	Wish         Wish         `json:"wish"`
-	Remote       bool         `json:"remote,omitempty"` // its load reads the weight store
-	Since        time.Time    `json:"since"`            // of the wish
-	Fence        engine.Fence `json:"fence"`            // of the plan that made the wish
+	DesiredState DesiredState `json:"wish"`
+	Remote       bool         `json:"remote,omitempty"` // loaded from the weight store, not from the engine's cache
+	Since        time.Time    `json:"since"`            // time at which the desired state was set
+	Fence        engine.Fence `json:"fence"`            // of the plan that set the desired state
 }
 
-// EnginePlan is what the plan says of one engine.
+// EnginePlan lists the replicas planned on one engine.
 type EnginePlan struct {
 	EngineID    string       `json:"engine_id"`
 	Address     string       `json:"address"`
 	Assignments []Assignment `json:"assignments"`
 }
 
-// Plan is the placement of a cell.
+// Plan is the placement of replicas on the engines of a cell, the unit that one placer
+// manages in a region.
 type Plan struct {
 	Fence   engine.Fence
 	Engines map[string]EnginePlan // by engine id
 }
 
-// NewPlan returns an empty plan.
+// NewPlan returns an empty plan with the given fence.
 func NewPlan(fence engine.Fence) Plan {
 	return Plan{Fence: fence, Engines: map[string]EnginePlan{}}
 }
 
-// Clone returns a copy that shares nothing that is changed.
+// Clone returns a copy whose assignments can be replaced without changing p.
 func (p Plan) Clone() Plan {
 	copied := Plan{Fence: p.Fence, Engines: make(map[string]EnginePlan, len(p.Engines))}
 	for id, planned := range p.Engines {
@@ -65,9 +65,9 @@
 	return copied
 }
 
-// Decided returns how many replicas of each model the plan allows to be loaded,
-// those that are being removed included.
-func (p Plan) Decided() map[string]int {
+// ReplicasByModel counts the planned replicas of each model, including those whose
+// removal is not confirmed.
+func (p Plan) ReplicasByModel() map[string]int {
 	decided := map[string]int{}
 	for _, planned := range p.Engines {
 		for _, assignment := range planned.Assignments {
@@ -77,28 +77,29 @@
 	return decided
 }
 
-// Engine is an engine as the placer sees it.
+// Engine is the placer's view of an engine.
 type Engine struct {
 	ID      string
 	Address string
 	Zone    string
 	Service string
-	// Listed tells whether the machine list has it; Leaving whether the list or
-	// the engine says that it leaves.
+	// Listed is set if the machine list has the engine, Leaving if the list or the
+	// engine itself announces its end.
 	Listed  bool
 	Leaving bool
-	// Reachable tells whether the inventory is current.
+	// Reachable is set if the inventory is current.
 	Reachable bool
 	Inventory *engine.Inventory // nil until first read
 }
 
-// usable tells whether new replicas may be put on the engine: it must have seen the
-// epoch, so that its inventory cannot change any more by orders of earlier ones.
+// usable reports whether new replicas may be placed on the engine. The engine must have
+// seen the epoch, so that orders of earlier epochs can no longer change its inventory.
 func (e Engine) usable(epoch uint64) bool {
 	return e.Listed && !e.Leaving && e.Reachable && e.Inventory != nil && e.Inventory.Fence.Epoch >= epoch
 }
 
-// TargetDemand is the demand for one target in the cell, over all homes.
+// TargetDemand is the number of requests for one target, a model or an adapter, and
+// the time of its last use, summed over all daemons that queue requests for it.
 type TargetDemand struct {
 	Waiting  int
 	Urgent   int
@@ -108,7 +109,7 @@
 
 func (d TargetDemand) active() bool { return d.Waiting+d.Running > 0 }
 
-// Snapshot is all that a decision is made from.
+// Snapshot is the input of a decision.
 type Snapshot struct {
 	Now     time.Time
 	Region  string
@@ -117,25 +118,25 @@
 	Demand  map[string]TargetDemand // by target
 	Plan    Plan
 	State   State
-	// AdoptUnknown takes replicas into the plan that engines hold and the plan does
-	// not know, as after the plan was lost; otherwise they are to be unloaded.
+	// AdoptUnknown adds replicas that engines report and the plan does not list, as is
+	// needed after the plan was lost. Otherwise the placer unloads them.
 	AdoptUnknown bool
-	// NewReplicaID names the next replica; ids are never used twice.
+	// NewReplicaID returns an id that no replica has had before.
 	NewReplicaID func() string
 }
 
-// State is what the planner carries from one decision to the next.
+// State carries the planner's state from one decision to the next.
 type State struct {
-	// SurplusSince is when a model's replicas first exceeded its need.
+	// SurplusSince is the time, by model, since which it has had surplus replicas.
 	SurplusSince map[string]time.Time
-	// LoadTokens is the budget of remote loads that may start, as of TokensAt.
+	// LoadTokens is the number of remote loads that may start, as of TokensAt.
 	LoadTokens float64
 	TokensAt   time.Time
-	// RemoteBytesPerSecond is the speed seen of remote loads; zero until one was.
+	// RemoteBytesPerSecond is the average speed of remote loads; zero before the first.
 	RemoteBytesPerSecond float64
 }
 
-// Clone returns a copy.
+// Clone returns a deep copy.
 func (s State) Clone() State {
 	copied := s
 	copied.SurplusSince = make(map[string]time.Time, len(s.SurplusSince))
@@ -145,10 +146,10 @@
 	return copied
 }
 
-// Decision is the outcome.
+// Decision is the result of Decide.
 type Decision struct {
 	Plan  Plan
 	State State
-	// Changed are the ids of engines whose plan differs from the snapshot's.
+	// Changed lists the ids of engines whose plan differs from the snapshot's.
 	Changed []string
 }
--- a/placement/room.go
+++ b/placement/room.go
@@ -7,30 +7,30 @@
 	"github.com/finchspoke/finchspoke/settings"
 )
 
-// makeRoom evicts idle replicas for a model that has demand, unless memory that
-// is being freed already will do.
-func (p *planner) makeRoom(need need) {
+// evictFor evicts idle replicas to make room for a model with waiting requests, unless
+// pending unloads free enough memory.
+func (p *planner) evictFor(need need) {
 	if need.waiting == 0 {
 		return
 	}
-	if coming, found := p.bestSpot(need.model, true); found {
-		p.promise(coming, need.model)
+	if target, found := p.bestCandidate(need.model, true); found {
+		p.reserve(target, need.model)
 		return
 	}
-	least := time.Duration(0)
+	minIdle := time.Duration(0)
 	if p.readyReplicas(need.model, false) > 0 {
-		least = evictionIdle
+		minIdle = evictionIdleTime
 	}
-	victims := p.idlePlaces(least)
+	victims := p.idleReplicas(minIdle)
 	for _, id := range sortedKeys(p.Engines) {
-		candidate := p.Engines[id]
-		if candidate.usable(p.fence.Epoch) && candidate.Service == need.model.Service {
-			if chosen, enough := p.victimsOn(candidate, need.model, victims); enough {
+		eng := p.Engines[id]
+		if eng.usable(p.fence.Epoch) && eng.Service == need.model.Service {
+			if chosen, enough := p.victimsOn(eng, need.model, victims); enough {
 				for _, victim := range chosen {
 					p.removeReplica(victim.assignment.ReplicaID)
 				}
-				if coming, found := p.bestSpot(need.model, true); found {
-					p.promise(coming, need.model)
+				if target, found := p.bestCandidate(need.model, true); found {
+					p.reserve(target, need.model)
 				}
 				return
 			}
@@ -38,45 +38,46 @@
 	}
 }
 
-func (p *planner) promise(coming spot, model *settings.Model) {
-	if p.promised[coming.engineID] == nil {
-		p.promised[coming.engineID] = make([]int64, len(p.Engines[coming.engineID].Inventory.Accelerators))
+// reserve records that memory which pending unloads free is assigned to a model.
+func (p *planner) reserve(target candidate, model *settings.Model) {
+	if p.reserved[target.engineID] == nil {
+		p.reserved[target.engineID] = make([]int64, len(p.Engines[target.engineID].Inventory.Accelerators))
 	}
-	for _, index := range coming.accelerators {
-		p.promised[coming.engineID][index] += model.MemoryBytes
+	for _, index := range target.accelerators {
+		p.reserved[target.engineID][index] += model.MemoryBytes
 	}
 }
 
-// evictionIdle is how long a replica must be unused to make room for a further
-// replica of another model. A model without any may take what is idle just now.
-const evictionIdle = 15 * time.Second
+// evictionIdleTime is how long a replica must be unused before it is evicted for a model
+// that has a ready replica already. A model without one may evict any idle replica.
+const evictionIdleTime = 15 * time.Second
 
-// idlePlaces lists replicas that nobody waits for or has used for a while and that
-// exceed their model's least number, those used longest ago first.
-func (p *planner) idlePlaces(least time.Duration) []place {
+// idleReplicas lists the ready replicas, beyond the minimum of their model, of models
+// that are not in use and were not used within minIdle, least recently used first.
+func (p *planner) idleReplicas(minIdle time.Duration) []placedReplica {
 	type idle struct {
-		place
+		placedReplica
 		lastUsed time.Time
 	}
-	var all []idle
+	var candidates []idle
 	for _, need := range p.needs() {
-		places := p.kept(need.model)
-		inUse := need.waiting > 0 || p.runningOf(need.model) > 0 || p.Now.Sub(need.lastUsed) < least
-		if inUse || len(places) <= need.model.MinReplicas {
+		replicas := p.active(need.model)
+		inUse := need.waiting > 0 || p.runningOf(need.model) > 0 || p.Now.Sub(need.lastUsed) < minIdle
+		if inUse || len(replicas) <= need.model.MinReplicas {
 			continue
 		}
-		for _, kept := range places[need.model.MinReplicas:] {
-			if kept.ready {
-				all = append(all, idle{kept, need.lastUsed})
+		for _, active := range replicas[need.model.MinReplicas:] {
+			if active.ready {
+				candidates = append(candidates, idle{active, need.lastUsed})
 			}
 		}
 	}
-	sort.SliceStable(all, func(i, j int) bool { return all[i].lastUsed.Before(all[j].lastUsed) })
-	places := make([]place, 0, len(all))
-	for _, one := range all {
-		places = append(places, one.place)
+	sort.SliceStable(candidates, func(i, j int) bool { return candidates[i].lastUsed.Before(candidates[j].lastUsed) })
+	replicas := make([]placedReplica, 0, len(candidates))
+	for _, entry := range candidates {
+		replicas = append(replicas, entry.placedReplica)
 	}
-	return places
+	return replicas
 }
 
 func (p *planner) runningOf(model *settings.Model) int {
@@ -87,19 +88,19 @@
 	return running
 }
 
-// victimsOn picks idle replicas on an engine, longest idle first, until the model
-// would fit.
-func (p *planner) victimsOn(candidate Engine, model *settings.Model, idle []place) (chosen []place, enough bool) {
-	free := p.free(candidate, true)
+// victimsOn selects idle replicas on an engine, least recently used first, until the
+// model would fit; enough reports whether it fits.
+func (p *planner) victimsOn(eng Engine, model *settings.Model, idle []placedReplica) (chosen []placedReplica, enough bool) {
+	free := p.free(eng, true)
 	for _, victim := range idle {
-		if fitting(free, model) != nil {
+		if fittingAccelerators(free, model) != nil {
 			break
 		}
-		if victim.engineID != candidate.ID {
+		if victim.engineID != eng.ID {
 			continue
 		}
 		charge(free, victim.assignment.Accelerators, -victim.assignment.MemoryBytes)
 		chosen = append(chosen, victim)
 	}
-	return chosen, fitting(free, model) != nil
+	return chosen, fittingAccelerators(free, model) != nil
 }
--- a/placement/spots.go
+++ b/placement/spots.go
@@ -8,58 +8,61 @@
 	"github.com/finchspoke/finchspoke/settings"
 )
 
-// spot is a possible place of a new replica.
-type spot struct {
+// candidate is an engine with accelerators on which a new replica fits.
+type candidate struct {
 	engineID     string
 	accelerators []int
 	remote       bool
 	cost         float64
 }
 
-// Costs of a spot, in seconds: loading, then what tells equal ones apart.
+// Costs of a candidate, in seconds: the expected load time, plus penalties that spread
+// the replicas of a model over engines and zones.
 const (
 	costMemory    = 0.5
 	costDisk      = 3
 	costRemote    = 15
-	costSameZone  = 2   // another replica of the model in the zone
-	costFullness  = 0.5 // times the share of memory left: fill engines up
-	costColocated = 30  // another replica on the same engine
+	costSameZone  = 2   // for each replica of the model in the zone
+	costFullness  = 0.5 // times the engine's free fraction, so that fuller engines are preferred
+	costColocated = 30  // for each replica of the model on the engine
 )
 
-// bestSpot returns the cheapest engine with room; with future set, room that is
-// being freed counts too.
-func (p *planner) bestSpot(model *settings.Model, future bool) (spot, bool) {
-	var best spot
+// bestCandidate returns the candidate with the lowest cost. With countPendingUnloads,
+// memory of replicas that are being removed counts as free.
+func (p *planner) bestCandidate(model *settings.Model, countPendingUnloads bool) (candidate, bool) {
+	var best candidate
 	found := false
 	zones := map[string]int{}
 	engines := map[string]int{}
-	for _, kept := range p.kept(model) {
-		zones[p.Engines[kept.engineID].Zone]++
-		engines[kept.engineID]++
+	for _, active := range p.active(model) {
+		zones[p.Engines[active.engineID].Zone]++
+		engines[active.engineID]++
 	}
 	for _, id := range sortedKeys(p.Engines) {
-		candidate := p.Engines[id]
-		if !candidate.usable(p.fence.Epoch) || candidate.Service != model.Service {
+		eng := p.Engines[id]
+		if !eng.usable(p.fence.Epoch) || eng.Service != model.Service {
 			continue
 		}
-		free := p.free(candidate, future)
-		accelerators := fitting(free, model)
+		free := p.free(eng, countPendingUnloads)
+		accelerators := fittingAccelerators(free, model)
 		if accelerators == nil {
 			continue
 		}
-		tierCost, remote := loadCost(candidate, model)
-		cost := tierCost + costSameZone*float64(zones[candidate.Zone]) +
-			costColocated*float64(engines[id]) + costFullness*freeShare(candidate, free)
+		tierCost, remote := loadCost(eng, model)
+		cost := tierCost + costSameZone*float64(zones[eng.Zone]) +
+			costColocated*float64(engines[id]) + costFullness*freeFraction(eng, free)
 		if !found || cost < best.cost {
-			best = spot{engineID: id, accelerators: accelerators, remote: remote, cost: cost}
+			best = candidate{engineID: id, accelerators: accelerators, remote: remote, cost: cost}
 			found = true
 		}
 	}
 	return best, found
 }
 
-func loadCost(candidate Engine, model *settings.Model) (cost float64, remote bool) {
-	for _, cached := range candidate.Inventory.Cached {
+// loadCost returns the cost of loading a model on an engine, and whether the load reads
+// the weight store.
+func loadCost(eng Engine, model *settings.Model) (cost float64, remote bool) {
+	for _, cached := range eng.Inventory.Cached {
 		if cached.Model == model.Name && cached.Version == model.Version {
 			if cached.Tier == engine.InMemory {
 				return costMemory, false
@@ -70,32 +73,33 @@
 	return costRemote, true
 }
 
-// free returns the free bytes on each accelerator: what neither the plan nor the
-// inventory has taken. A replica that the plan does not know is charged as well.
-func (p *planner) free(candidate Engine, future bool) []int64 {
-	free := make([]int64, len(candidate.Inventory.Accelerators))
-	for index, accelerator := range candidate.Inventory.Accelerators {
+// free returns the bytes on each accelerator that neither the plan nor the inventory
+// uses. Replicas that the plan does not list are charged as well.
+func (p *planner) free(eng Engine, countPendingUnloads bool) []int64 {
+	free := make([]int64, len(eng.Inventory.Accelerators))
+	for index, accelerator := range eng.Inventory.Accelerators {
 		free[index] = accelerator.MemoryBytes
 	}
 	planned := map[string]bool{}
-	for _, assignment := range p.plan.Engines[candidate.ID].Assignments {
+	for _, assignment := range p.plan.Engines[eng.ID].Assignments {
 		planned[assignment.ReplicaID] = true
-		if future && assignment.Wish == Remove {
+		if countPendingUnloads && assignment.DesiredState == Remove {
 			continue
 		}
 		charge(free, assignment.Accelerators, assignment.MemoryBytes)
 	}
-	for _, held := range candidate.Inventory.Replicas {
-		if !planned[held.ID] {
-			charge(free, held.Accelerators, held.MemoryBytes)
+	for _, replica := range eng.Inventory.Replicas {
+		if !planned[replica.ID] {
+			charge(free, replica.Accelerators, replica.MemoryBytes)
 		}
 	}
-	for index, promised := range p.promised[candidate.ID] {
-		free[index] -= promised
+	for index, reserved := range p.reserved[eng.ID] {
+		free[index] -= reserved
 	}
 	return free
 }
 
+// charge subtracts bytes from the free memory of each accelerator given.
 func charge(free []int64, accelerators []int, bytes int64) {
 	for _, index := range accelerators {
 		if index >= 0 && index < len(free) {
@@ -104,8 +108,9 @@
 	}
 }
 
-// fitting returns the fullest accelerators that still hold the model, or nil.
-func fitting(free []int64, model *settings.Model) []int {
+// fittingAccelerators returns the accelerators with the least free memory on which the
+// model fits, or nil.
+func fittingAccelerators(free []int64, model *settings.Model) []int {
 	var fits []int
 	for index, bytes := range free {
 		if bytes >= model.MemoryBytes {
@@ -121,14 +126,14 @@
 	return chosen
 }
 
-func freeShare(candidate Engine, free []int64) float64 {
-	total, left := int64(0), int64(0)
-	for index, accelerator := range candidate.Inventory.Accelerators {
+func freeFraction(eng Engine, free []int64) float64 {
+	total, unused := int64(0), int64(0)
+	for index, accelerator := range eng.Inventory.Accelerators {
 		total += accelerator.MemoryBytes
-		left += free[index]
+		unused += free[index]
 	}
 	if total == 0 {
 		return 0
 	}
-	return float64(left) / float64(total)
+	return float64(unused) / float64(total)
 }
--- a/placer/apply.go
+++ b/placer/apply.go
@@ -22,7 +22,7 @@
 			continue
 		}
 		if state.applying {
-			state.again = true
+			state.applyAgain = true
 			continue
 		}
 		state.applying = true
@@ -36,15 +36,15 @@
 
 func (s *Service) applyEngine(ctx context.Context, term *leadership, id string) {
 	for {
-		address, orders := term.cell.takeOrders(id, time.Now())
+		address, orders := term.cell.dueOrders(id, time.Now())
 		for _, order := range orders {
-			answer, err := s.Engines.Order(ctx, address, order)
+			response, err := s.Engines.Order(ctx, address, order)
 			fields := logrus.Fields{"engine": id, "operation": order.Operation, "model": order.Model,
 				"replica": order.ReplicaID, "epoch": order.Fence.Epoch}
 			if err != nil {
 				s.Log.WithError(err).WithFields(fields).Debug("order gave no answer; the inventory will tell")
-			} else if !answer.Accepted {
-				s.Log.WithFields(fields).WithField("reason", answer.Reason).Warn("engine refused an order")
+			} else if !response.Accepted {
+				s.Log.WithFields(fields).WithField("reason", response.Reason).Warn("engine refused an order")
 			}
 		}
 		if !term.cell.finishApply(id) || ctx.Err() != nil {
@@ -53,8 +53,8 @@
 	}
 }
 
-// takeOrders returns the orders due for an engine and notes when they were sent.
-func (c *cell) takeOrders(id string, now time.Time) (address string, orders []engine.Order) {
+// dueOrders returns the orders due for an engine and notes when they were sent.
+func (c *cell) dueOrders(id string, now time.Time) (address string, orders []engine.Order) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	orders = c.ordersFor(id, now)
@@ -63,7 +63,7 @@
 		return "", nil
 	}
 	for _, order := range orders {
-		state.ordered[orderKey(order)] = now
+		state.lastOrdered[orderKey(order)] = now
 	}
 	return state.machine.Address, orders
 }
@@ -76,8 +76,8 @@
 	if state == nil {
 		return false
 	}
-	repeat := state.again
-	state.again = false
+	repeat := state.applyAgain
+	state.applyAgain = false
 	state.applying = repeat
 	return repeat
 }
@@ -102,7 +102,7 @@
 	for _, assignment := range c.plan.Engines[id].Assignments {
 		planned[assignment.ReplicaID] = true
 		replica, present := held[assignment.ReplicaID]
-		if assignment.Wish == placement.Remove {
+		if assignment.DesiredState == placement.Remove {
 			unseen := state.inventory.Fence.Less(assignment.Fence)
 			if unseen || (present && replica.State != engine.Unloading) {
 				unloads = append(unloads, engine.Order{Operation: engine.Unload, ReplicaID: assignment.ReplicaID, Model: assignment.Model})
@@ -127,7 +127,7 @@
 		orders = append(orders, engine.Order{Operation: engine.Seal})
 	}
 	orders = slices.DeleteFunc(orders, func(order engine.Order) bool {
-		return now.Sub(state.ordered[orderKey(order)]) < reorderPause
+		return now.Sub(state.lastOrdered[orderKey(order)]) < reorderInterval
 	})
 	for index := range orders {
 		orders[index].Fence = c.plan.Fence
--- a/placer/cell.go
+++ b/placer/cell.go
@@ -28,14 +28,14 @@
 
 // engineState is an engine with how it is doing.
 type engineState struct {
-	machine   machinelist.Machine
-	listed    bool
-	inventory *engine.Inventory
-	failures  int // to read the inventory, in a row
-	loading   map[string]time.Time
-	ordered   map[string]time.Time // last order by replica and operation
-	applying  bool
-	again     bool // apply once more after the current round
+	machine      machinelist.Machine
+	listed       bool
+	inventory    *engine.Inventory
+	failures     int // to read the inventory, in a row
+	loadingSince map[string]time.Time
+	lastOrdered  map[string]time.Time // last order by replica and operation
+	applying     bool
+	applyAgain   bool // apply once more after the current round
 }
 
 // failuresUntilUnreachable is how many reads in a row must fail.
@@ -65,7 +65,7 @@
 	state := c.engines[id]
 	if state == nil {
 		state = &engineState{
-			machine: machinelist.Machine{ID: id}, loading: map[string]time.Time{}, ordered: map[string]time.Time{},
+			machine: machinelist.Machine{ID: id}, loadingSince: map[string]time.Time{}, lastOrdered: map[string]time.Time{},
 		}
 		c.engines[id] = state
 	}
@@ -127,21 +127,21 @@
 
 // observeLoads times the remote loads that have finished.
 func (c *cell) observeLoads(state *engineState, now time.Time) {
-	remote := map[string]bool{}
+	isRemote := map[string]bool{}
 	for _, assignment := range c.plan.Engines[state.machine.ID].Assignments {
-		remote[assignment.ReplicaID] = assignment.Remote
+		isRemote[assignment.ReplicaID] = assignment.Remote
 	}
-	for _, held := range state.inventory.Replicas {
-		switch held.State {
+	for _, replica := range state.inventory.Replicas {
+		switch replica.State {
 		case engine.Loading:
-			if _, known := state.loading[held.ID]; !known {
-				state.loading[held.ID] = now.Add(-time.Duration(held.LoadingFor) * time.Millisecond)
+			if _, known := state.loadingSince[replica.ID]; !known {
+				state.loadingSince[replica.ID] = now.Add(-time.Duration(replica.LoadingFor) * time.Millisecond)
 			}
 		case engine.Ready:
-			if began, known := state.loading[held.ID]; known {
-				delete(state.loading, held.ID)
-				if remote[held.ID] {
-					c.state.ObserveRemoteLoad(held.MemoryBytes*int64(len(held.Accelerators)), now.Sub(began))
+			if started, known := state.loadingSince[replica.ID]; known {
+				delete(state.loadingSince, replica.ID)
+				if isRemote[replica.ID] {
+					c.state.ObserveRemoteLoad(replica.MemoryBytes*int64(len(replica.Accelerators)), now.Sub(started))
 				}
 			}
 		}
@@ -212,22 +212,22 @@
 func (c *cell) enginesLocked() map[string]placement.Engine {
 	engines := make(map[string]placement.Engine, len(c.engines))
 	for id, state := range c.engines {
-		known := placement.Engine{
+		view := placement.Engine{
 			ID: id, Address: state.machine.Address, Zone: state.machine.Zone, Service: state.machine.Service,
 			Listed: state.listed, Leaving: state.machine.State == machinelist.Leaving,
 			Reachable: state.reachable(), Inventory: state.inventory,
 		}
 		if state.inventory != nil && state.inventory.Leaving {
-			known.Leaving = true
+			view.Leaving = true
 		}
-		engines[id] = known
+		engines[id] = view
 	}
 	return engines
 }
 
 // adopt makes a decision's plan and state the cell's. The speed of loads may
 // have been observed since the snapshot and is kept.
-func (c *cell) adopt(decision placement.Decision) {
+func (c *cell) applyDecision(decision placement.Decision) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	speed := c.state.RemoteBytesPerSecond
@@ -237,14 +237,14 @@
 }
 
 // picture is the standing plan with the engines, for publishing and status.
-type picture struct {
+type cellView struct {
 	Plan    placement.Plan
 	Engines map[string]placement.Engine
 	State   placement.State
 }
 
-func (c *cell) picture() picture {
+func (c *cell) cellView() cellView {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return picture{Plan: c.plan, Engines: c.enginesLocked(), State: c.state}
+	return cellView{Plan: c.plan, Engines: c.enginesLocked(), State: c.state}
 }
--- a/placer/explain.go
+++ b/placer/explain.go
@@ -9,10 +9,10 @@
 )
 
 // Model implements the Explain rpc.
-func (s *Service) Model(_ context.Context, ask *rpc.ExplainModel) (*rpc.Explanation, error) {
+func (s *Service) Model(_ context.Context, query *rpc.ExplainModel) (*rpc.Explanation, error) {
 	term, current := s.leading.Load(), s.Settings.Current()
 	if term == nil || current == nil {
 		return nil, errNotLeading
 	}
-	return &rpc.Explanation{Lines: placement.Explain(term.cell.snapshot(time.Now(), current.Tree), ask.GetTarget())}, nil
+	return &rpc.Explanation{Lines: placement.Explain(term.cell.snapshot(time.Now(), current.Tree), query.GetTarget())}, nil
 }
--- a/placer/record.go
+++ b/placer/record.go
@@ -11,13 +11,13 @@
 	"github.com/finchspoke/finchspoke/placement"
 )
 
-// errDeposed means that this term of leading the cell is over.
-var errDeposed = errors.New("another placer has taken the cell over, or its group has changed")
+// errTermEnded means that this term of leading the cell is over.
+var errTermEnded = errors.New("another placer has taken the cell over, or its group has changed")
 
 // record is the cell's plan in its group, for one term. The ballot of the term is
 // the epoch of its orders. A revision counts once a quorum holds it; only then are
 // orders sent.
-type record struct {
+type planRecord struct {
 	register *group.Register
 	// pending is a decision of which it is not known whether it counts. Nothing
 	// else is committed, and no order sent, until it is.
@@ -26,8 +26,8 @@
 
 // takeOver begins a term and returns the plan that stands in it. fresh tells that
 // the group holds no plan: there never was one, or its memory was lost.
-func (r *record) takeOver(ctx context.Context, floor uint64) (plan placement.Plan, fresh bool, err error) {
-	ballot, state, err := r.register.TakeOver(ctx, floor)
+func (r *planRecord) takeOver(ctx context.Context, minEpoch uint64) (plan placement.Plan, noStoredPlan bool, err error) {
+	ballot, state, err := r.register.TakeOver(ctx, minEpoch)
 	if err != nil {
 		return placement.Plan{}, false, errors.Wrap(err, "take the cell over")
 	}
@@ -40,11 +40,11 @@
 		plan.Engines[id] = planned
 	}
 	// What was taken over may not have counted yet; it must before it is acted on.
-	whole, err := encode(plan)
+	entries, err := encode(plan)
 	if err != nil {
 		return placement.Plan{}, false, err
 	}
-	if err := r.register.Propose(ctx, plan.Fence.Revision, whole, whole); err != nil {
+	if err := r.register.Propose(ctx, plan.Fence.Revision, entries, entries); err != nil {
 		return placement.Plan{}, false, errors.Wrap(err, "confirm the plan taken over")
 	}
 	return plan, state.Ballot == 0, nil
@@ -65,26 +65,26 @@
 	return entries, nil
 }
 
-// commit makes a decision's plan count. After an error that is not errDeposed it
+// commit makes a decision's plan count. After an error that is not errTermEnded it
 // is not known whether it does, and settle must be called until it is.
-func (r *record) commit(ctx context.Context, decision placement.Decision) error {
+func (r *planRecord) commit(ctx context.Context, decision placement.Decision) error {
 	r.pending = &decision
-	return r.settle(ctx)
+	return r.proposePending(ctx)
 }
 
 // settle proposes the pending decision, again if need be.
-func (r *record) settle(ctx context.Context) error {
-	whole, err := encode(r.pending.Plan)
+func (r *planRecord) proposePending(ctx context.Context) error {
+	entries, err := encode(r.pending.Plan)
 	if err != nil {
 		return err
 	}
 	changes := make(map[string][]byte, len(r.pending.Changed))
 	for _, id := range r.pending.Changed {
-		changes[id] = whole[id] // empty where nothing is left
+		changes[id] = entries[id] // empty where nothing is left
 	}
-	err = r.register.Propose(ctx, r.pending.Plan.Fence.Revision, changes, whole)
+	err = r.register.Propose(ctx, r.pending.Plan.Fence.Revision, changes, entries)
 	if errors.Is(err, group.ErrOutbid) {
-		return errDeposed
+		return errTermEnded
 	}
 	if err != nil {
 		return errors.Wrap(err, "commit the plan")
--- a/placer/service.go
+++ b/placer/service.go
@@ -31,11 +31,11 @@
 	// decideInterval is how often a decision is made without a signal.
 	decideInterval = 250 * time.Millisecond
 	// gatherPause lets signals that come together lead to one decision.
-	gatherPause     = 2 * time.Millisecond
-	machineInterval = time.Second
-	retryPause      = 300 * time.Millisecond
-	// reorderPause is the least time between two equal orders.
-	reorderPause = time.Second
+	batchDelay          = 2 * time.Millisecond
+	machineListInterval = time.Second
+	retryDelay          = 300 * time.Millisecond
+	// reorderInterval is the least time between two equal orders.
+	reorderInterval = time.Second
 )
 
 // Dependencies are what the placer works with.
@@ -56,17 +56,17 @@
 	Dependencies
 	leading  atomic.Pointer[leadership]
 	takeOver atomic.Uint64
-	floor    uint64 // least epoch of the next term
+	minEpoch uint64 // least epoch of the next term
 }
 
 // leadership is one term of leading the cell.
 type leadership struct {
-	cell    *cell
-	record  *record
-	epoch   uint64
-	fresh   bool // the group held no plan
-	done    <-chan struct{}
-	changed *broadcast
+	cell         *cell
+	planRecord   *planRecord
+	epoch        uint64
+	noStoredPlan bool // the group held no plan
+	done         <-chan struct{}
+	changed      *broadcast
 }
 
 // New returns the placer of a daemon.
@@ -85,8 +85,8 @@
 	return 0
 }
 
-// TakeOvers counts the terms begun by this daemon.
-func (s *Service) TakeOvers() uint64 { return s.takeOver.Load() }
+// Takeovers counts the terms begun by this daemon.
+func (s *Service) Takeovers() uint64 { return s.takeOver.Load() }
 
 // Serve implements suture.Service.
 func (s *Service) Serve(ctx context.Context) error {
@@ -95,7 +95,7 @@
 			err := s.lead(ctx)
 			if err != nil && ctx.Err() == nil {
 				s.Log.WithError(err).WithField("region", s.Region).Warn("placer stopped leading")
-				sleep.For(ctx, retryPause)
+				sleep.For(ctx, retryDelay)
 			}
 		}
 		sleep.For(ctx, checkInterval)
@@ -110,14 +110,14 @@
 
 // lead takes the cell over and places until another daemon should.
 func (s *Service) lead(ctx context.Context) error {
-	record := &record{register: s.Register}
-	plan, fresh, err := record.takeOver(ctx, s.floor)
+	planRecord := &planRecord{register: s.Register}
+	plan, noStoredPlan, err := planRecord.takeOver(ctx, s.minEpoch)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	term := &leadership{cell: newCell(s.Region, plan), record: record, epoch: plan.Fence.Epoch, fresh: fresh, done: ctx.Done(), changed: newBroadcast()}
+	term := &leadership{cell: newCell(s.Region, plan), planRecord: planRecord, epoch: plan.Fence.Epoch, noStoredPlan: noStoredPlan, done: ctx.Done(), changed: newBroadcast()}
 	s.takeOver.Add(1)
 	s.Log.WithFields(logrus.Fields{"region": s.Region, "epoch": term.epoch}).Info("placer took the cell over")
 	var workers sync.WaitGroup
@@ -150,19 +150,19 @@
 			return ctx.Err()
 		case <-ticker.C:
 		case <-term.cell.dirty:
-			sleep.For(ctx, gatherPause)
+			sleep.For(ctx, batchDelay)
 		}
 		if highest := term.cell.highestEpoch(); highest > term.epoch {
-			s.floor = highest + 1
-			return errDeposed
+			s.minEpoch = highest + 1
+			return errTermEnded
 		}
 		err := s.decide(ctx, term)
-		if errors.Is(err, errDeposed) {
+		if errors.Is(err, errTermEnded) {
 			return err
 		}
 		if err != nil && ctx.Err() == nil {
 			s.Log.WithError(err).WithField("epoch", term.epoch).Warn("plan not committed; the earlier one stands")
-			sleep.For(ctx, retryPause)
+			sleep.For(ctx, retryDelay)
 			continue
 		}
 		s.apply(ctx, term, workers)
@@ -173,37 +173,37 @@
 
 // decide makes and commits one decision.
 func (s *Service) decide(ctx context.Context, term *leadership) error {
-	if pending := term.record.pending; pending != nil {
-		if err := term.record.settle(ctx); err != nil {
+	if pending := term.planRecord.pending; pending != nil {
+		if err := term.planRecord.proposePending(ctx); err != nil {
 			return err
 		}
-		term.cell.adopt(*pending)
+		term.cell.applyDecision(*pending)
 		return nil
 	}
 	snapshot := term.cell.snapshot(time.Now(), s.Settings.Current().Tree)
-	snapshot.AdoptUnknown = term.fresh
+	snapshot.AdoptUnknown = term.noStoredPlan
 	decision := placement.Decide(snapshot)
 	if len(decision.Changed) > 0 {
-		if err := term.record.commit(ctx, decision); err != nil {
+		if err := term.planRecord.commit(ctx, decision); err != nil {
 			return err
 		}
 		s.logChanges(term.epoch, snapshot.Plan, decision)
 	}
-	term.cell.adopt(decision)
+	term.cell.applyDecision(decision)
 	return nil
 }
 
 func (s *Service) logChanges(epoch uint64, before placement.Plan, decision placement.Decision) {
 	for _, id := range decision.Changed {
-		known := map[string]placement.Wish{}
+		previous := map[string]placement.DesiredState{}
 		for _, assignment := range before.Engines[id].Assignments {
-			known[assignment.ReplicaID] = assignment.Wish
+			previous[assignment.ReplicaID] = assignment.DesiredState
 		}
 		for _, assignment := range decision.Plan.Engines[id].Assignments {
-			if known[assignment.ReplicaID] != assignment.Wish {
+			if previous[assignment.ReplicaID] != assignment.DesiredState {
 				s.Log.WithFields(logrus.Fields{
 					"epoch": epoch, "plan_revision": decision.Plan.Fence.Revision, "model": assignment.Model,
-					"engine": id, "wish": assignment.Wish, "replica": assignment.ReplicaID,
+					"engine": id, "wish": assignment.DesiredState, "replica": assignment.ReplicaID,
 				}).Info("placement changed")
 			}
 		}
@@ -221,17 +221,17 @@
 		machines, err := s.Machines.Machines(ctx, s.Region)
 		if err != nil {
 			s.Log.WithError(err).Debug("machine list not read; the earlier one stands")
-			sleep.For(ctx, machineInterval)
+			sleep.For(ctx, machineListInterval)
 			continue
 		}
-		wanted := term.cell.setMachines(machines)
+		watched := term.cell.setMachines(machines)
 		for id, cancel := range watching {
-			if wanted[id] != addresses[id] {
+			if watched[id] != addresses[id] {
 				cancel()
 				delete(watching, id)
 			}
 		}
-		for id, address := range wanted {
+		for id, address := range watched {
 			if watching[id] != nil || address == "" {
 				continue
 			}
@@ -247,7 +247,7 @@
 			first = false
 			close(listed)
 		}
-		sleep.For(ctx, machineInterval)
+		sleep.For(ctx, machineListInterval)
 	}
 	for _, cancel := range watching {
 		cancel()
@@ -265,7 +265,7 @@
 		if err != nil {
 			version = 0
 			term.cell.setInventory(id, nil, time.Now())
-			sleep.For(ctx, retryPause)
+			sleep.For(ctx, retryDelay)
 			continue
 		}
 		version = inventory.Version
@@ -274,16 +274,16 @@
 }
 
 // Picture is the placement as this daemon leads it, for status.
-type Picture struct {
+type PlacementStatus struct {
 	Epoch uint64
-	picture
+	cellView
 }
 
 // Picture returns the placement and whether this daemon leads.
-func (s *Service) Picture() (Picture, bool) {
+func (s *Service) PlacementStatus() (PlacementStatus, bool) {
 	term := s.leading.Load()
 	if term == nil {
-		return Picture{}, false
+		return PlacementStatus{}, false
 	}
-	return Picture{Epoch: term.epoch, picture: term.cell.picture()}, true
+	return PlacementStatus{Epoch: term.epoch, cellView: term.cell.cellView()}, true
 }
--- a/placer/watch.go
+++ b/placer/watch.go
@@ -64,24 +64,24 @@
 		return errors.Wrap(err, "read demand")
 	}
 	home := first.GetHomeId()
-	watching := &watcher{term: term, models: map[string]bool{}, sent: map[string]sentState{}}
-	watching.take(home, first)
-	ended := make(chan error, 1)
+	watch := &watcher{term: term, models: map[string]bool{}, sent: map[string]sentState{}}
+	watch.applyReport(home, first)
+	receiveErr := make(chan error, 1)
 	go func() {
 		for {
 			report, err := stream.Recv()
 			if err != nil {
-				ended <- err
+				receiveErr <- err
 				return
 			}
-			watching.take(home, report)
+			watch.applyReport(home, report)
 			term.changed.signal() // a model reported anew is told of at once
 		}
 	}()
 	defer term.cell.dropHome(home)
 	for {
 		changed := term.changed.wait()
-		if update := watching.update(time.Now()); update != nil {
+		if update := watch.update(time.Now()); update != nil {
 			update.PlacerId, update.Epoch = s.SelfID, term.epoch
 			if err := stream.Send(update); err != nil {
 				return errors.Wrap(err, "tell home")
@@ -90,7 +90,7 @@
 		select {
 		case <-term.done:
 			return errNotLeading
-		case err := <-ended:
+		case err := <-receiveErr:
 			return errors.Wrap(err, "read demand")
 		case <-changed:
 		}
@@ -98,7 +98,7 @@
 }
 
 // take takes a demand report in.
-func (w *watcher) take(home string, report *rpc.DemandReport) {
+func (w *watcher) applyReport(home string, report *rpc.DemandReport) {
 	now := time.Now()
 	reported := make(map[string]placement.TargetDemand, len(report.GetModels()))
 	w.mutex.Lock()
@@ -121,13 +121,13 @@
 
 // update returns what changed for the home since it was last told, or nil.
 func (w *watcher) update(now time.Time) *rpc.PlacementUpdate {
-	shown := w.term.cell.picture()
+	view := w.term.cell.cellView()
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	update := &rpc.PlacementUpdate{}
 	for model := range w.models {
-		message, state := describe(now, shown, model)
-		if last, told := w.sent[model]; told && last.same(state) {
+		message, state := describeModel(now, view, model)
+		if last, found := w.sent[model]; found && last.equivalent(state) {
 			continue
 		}
 		w.sent[model] = state
@@ -139,15 +139,15 @@
 	return update
 }
 
-func (s sentState) same(other sentState) bool {
+func (s sentState) equivalent(other sentState) bool {
 	drift := s.readyAt.Sub(other.readyAt).Abs()
 	return slices.Equal(s.replicas, other.replicas) && s.known == other.known && drift <= readyTolerance
 }
 
-func describe(now time.Time, shown picture, model string) (*rpc.ModelReplicas, sentState) {
+func describeModel(now time.Time, view cellView, model string) (*rpc.ModelReplicas, sentState) {
 	message := &rpc.ModelReplicas{BaseModel: model, ReadyInMs: -1}
 	state := sentState{}
-	for _, ready := range placement.Ready(shown.Plan, shown.Engines, model) {
+	for _, ready := range placement.Ready(view.Plan, view.Engines, model) {
 		message.Replicas = append(message.Replicas, &rpc.ReplicaInfo{
 			ReplicaId: ready.ReplicaID, EngineId: ready.Engine.ID, Address: ready.Engine.Address, Zone: ready.Engine.Zone, Adapters: ready.Adapters})
 		text := ready.ReplicaID + " " + ready.Engine.Address
@@ -156,8 +156,8 @@
 		}
 		state.replicas = append(state.replicas, text)
 	}
-	readyIn := placement.ReadyIn(now, shown.Plan, shown.Engines, shown.State, model)
-	if readyIn != placement.Unknown {
+	readyIn := placement.ReadyIn(now, view.Plan, view.Engines, view.State, model)
+	if readyIn != placement.NoEstimate {
 		message.ReadyInMs = readyIn.Milliseconds()
 		state.known = true
 		if len(message.Replicas) == 0 {
--- a/queue/affinity.go
+++ b/queue/affinity.go
@@ -3,17 +3,17 @@
 import "container/list"
 
 const (
-	// affinityEntries bounds the prefixes remembered by one queue.
-	affinityEntries = 4096
-	// affinityBound is how far above the mean a replica may be loaded and still be
+	// maxAffinityEntries bounds the prefixes remembered by one queue.
+	maxAffinityEntries = 4096
+	// affinityLoadFactor is how far above the mean a replica may be loaded and still be
 	// chosen for its cache.
-	affinityBound = 1.25
+	affinityLoadFactor = 1.25
 )
 
 // affinity remembers which replica was last given each prompt prefix, the most
 // recent ones only. What an engine evicts meanwhile costs a prefill, no more.
 type affinity struct {
-	order   *list.List // of affinityEntry, newest first
+	recency *list.List // of affinityEntry, newest first
 	entries map[uint64]*list.Element
 }
 
@@ -23,29 +23,29 @@
 }
 
 func newAffinity() *affinity {
-	return &affinity{order: list.New(), entries: map[uint64]*list.Element{}}
+	return &affinity{recency: list.New(), entries: map[uint64]*list.Element{}}
 }
 
-func (a *affinity) find(prefix uint64) string {
+func (a *affinity) lookup(prefix uint64) string {
 	if element, found := a.entries[prefix]; found {
 		return element.Value.(affinityEntry).replicaID
 	}
 	return ""
 }
 
-func (a *affinity) remember(prefix uint64, replicaID string) {
+func (a *affinity) record(prefix uint64, replicaID string) {
 	if prefix == 0 {
 		return
 	}
 	if element, found := a.entries[prefix]; found {
 		element.Value = affinityEntry{prefix, replicaID}
-		a.order.MoveToFront(element)
+		a.recency.MoveToFront(element)
 		return
 	}
-	a.entries[prefix] = a.order.PushFront(affinityEntry{prefix, replicaID})
-	if a.order.Len() > affinityEntries {
-		oldest := a.order.Back()
-		a.order.Remove(oldest)
+	a.entries[prefix] = a.recency.PushFront(affinityEntry{prefix, replicaID})
+	if a.recency.Len() > maxAffinityEntries {
+		oldest := a.recency.Back()
+		a.recency.Remove(oldest)
 		delete(a.entries, oldest.Value.(affinityEntry).prefix)
 	}
 }
--- a/queue/estimate.go
+++ b/queue/estimate.go
@@ -6,7 +6,7 @@
 
 // estimate is the time until an item would be granted, and whether enough is
 // known to say so.
-func (q *Queue) estimate(now time.Time, item Item) (wait time.Duration, known bool) {
+func (q *Queue) estimateWait(now time.Time, item Item) (wait time.Duration, known bool) {
 	ready := 0
 	free := 0
 	for _, replica := range q.replicas {
@@ -15,34 +15,34 @@
 			free += max(0, q.concurrency-replica.running)
 		}
 	}
-	ahead := q.ahead(item)
+	itemsAhead := q.itemsAhead(item)
 	if ready == 0 {
-		if q.readyAt.IsZero() {
+		if q.firstReadyAt.IsZero() {
 			return 0, false
 		}
-		turns := ahead / q.concurrency
-		return max(0, q.readyAt.Sub(now)) + time.Duration(turns)*q.meanService, true
+		rounds := itemsAhead / q.concurrency
+		return max(0, q.firstReadyAt.Sub(now)) + time.Duration(rounds)*q.meanService, true
 	}
-	if ahead < free {
+	if itemsAhead < free {
 		return 0, true
 	}
 	if q.meanService == 0 {
 		return 0, false
 	}
-	perSlot := float64(ahead-free+1) / float64(ready*q.concurrency)
+	perSlot := float64(itemsAhead-free+1) / float64(ready*q.concurrency)
 	return time.Duration(perSlot * float64(q.meanService)), true
 }
 
 // ahead counts the items served before a new one: all of a higher class, and of
 // its own class no more than its branch's share lets through.
-func (q *Queue) ahead(item Item) int {
-	higher, own := 0, q.byClass[item.Class]
+func (q *Queue) itemsAhead(item Item) int {
+	higher, own := 0, q.waitingByClass[item.Class]
 	for class := range item.Class {
-		higher += q.byClass[class]
+		higher += q.waitingByClass[class]
 	}
 	ownBranch, shares := 0, 0
-	for _, waiting := range q.lanes {
-		for branch, items := range waiting.classes[item.Class] {
+	for _, targetLane := range q.lanes {
+		for branch, items := range targetLane.classes[item.Class] {
 			if branch == item.Branch {
 				ownBranch += items.Len()
 			} else if items.Len() > 0 {
@@ -54,28 +54,28 @@
 	return higher + min(own, fair)
 }
 
-func (q *Queue) observe(service time.Duration, tokens int) {
-	blend(&q.meanService, service)
+func (q *Queue) recordService(service time.Duration, tokens int) {
+	updateMean(&q.meanService, service)
 	if tokens > 0 {
-		blend(&q.perToken, service/time.Duration(tokens))
+		updateMean(&q.perToken, service/time.Duration(tokens))
 	}
 }
 
 // blend moves a mean towards a new sample.
-func blend(mean *time.Duration, sample time.Duration) {
+func updateMean(mean *time.Duration, sample time.Duration) {
 	if *mean == 0 {
 		*mean = sample
 		return
 	}
-	*mean += time.Duration(serviceWeight * float64(sample-*mean))
+	*mean += time.Duration(serviceSampleWeight * float64(sample-*mean))
 }
 
-// usefulUntil is when an item's dispatch can no longer end by its deadline, judged
+// latestDispatch is when an item's dispatch can no longer end by its deadline, judged
 // by the kinder of the mean service and the mean for its tokens.
-func (q *Queue) usefulUntil(item Item) time.Time {
-	least := q.meanService
+func (q *Queue) latestDispatch(item Item) time.Time {
+	service := q.meanService
 	if item.Tokens > 0 && q.perToken > 0 {
-		least = min(least, q.perToken*time.Duration(item.Tokens))
+		service = min(service, q.perToken*time.Duration(item.Tokens))
 	}
-	return item.Deadline.Add(-dispatchMargin - time.Duration(leastServiceShare*float64(least)))
+	return item.Deadline.Add(-dispatchMargin - time.Duration(minServiceFraction*float64(service)))
 }
--- a/queue/grant.go
+++ b/queue/grant.go
@@ -4,66 +4,66 @@
 	"time"
 )
 
-func (q *Queue) suspend(replica *slots, now time.Time) {
-	pause := suspensionLast
+func (q *Queue) suspend(replica *replicaSlots, now time.Time) {
+	suspension := maxSuspension
 	const doublings = 6
 	if replica.failures < doublings {
-		pause = suspensionFirst << replica.failures
+		suspension = minSuspension << replica.failures
 	}
 	replica.failures++
 	replica.failedAt = now
-	replica.suspendedUntil = now.Add(min(pause, suspensionLast))
+	replica.suspendedUntil = now.Add(min(suspension, maxSuspension))
 }
 
-func (q *Queue) usable(replica *slots, now time.Time) bool {
+func (q *Queue) usable(replica *replicaSlots, now time.Time) bool {
 	return replica.ready && !now.Before(replica.suspendedUntil)
 }
 
 // fill grants items while any has a replica with a free slot.
-func (q *Queue) fill(now time.Time) []Action {
+func (q *Queue) grantWaiting(now time.Time) []Action {
 	var actions []Action
 	for {
 		next, replica := q.next(now)
 		if next == nil {
 			return actions
 		}
-		if !q.usefulUntil(next.item).After(now) {
-			wait, _ := q.estimate(now, next.item)
+		if !q.latestDispatch(next.item).After(now) {
+			wait, _ := q.estimateWait(now, next.item)
 			q.remove(next)
-			actions = append(actions, expired(next.item, wait))
+			actions = append(actions, expiredRefusal(next.item, wait))
 			continue
 		}
 		state := q.branch(next.item.Branch)
-		q.virtualTime = state.virtual
-		state.virtual += 1 / float64(next.item.Share)
+		q.virtualTime = state.virtualStart
+		state.virtualStart += 1 / float64(next.item.Share)
 		q.remove(next)
-		q.run(next.item.ID, runningItem{owner: next.item.Owner, target: next.item.Target, replicaID: replica.ID, branch: next.item.Branch, tokens: next.item.Tokens})
-		q.affinity.remember(next.item.Prefix, replica.ID)
+		q.startRunning(next.item.ID, runningItem{owner: next.item.Owner, target: next.item.Target, replicaID: replica.ID, branch: next.item.Branch, tokens: next.item.Tokens})
+		q.affinity.record(next.item.Prefix, replica.ID)
 		actions = append(actions, Grant{Item: next.item, Replica: replica.Replica})
 	}
 }
 
 // next picks the item to grant: the highest class, of it the branch furthest
 // below its share, of that the earliest deadline.
-func (q *Queue) next(now time.Time) (*waitingItem, *slots) {
+func (q *Queue) next(now time.Time) (*waitingItem, *replicaSlots) {
 	var best *waitingItem
-	var bestReplica *slots
-	for _, waiting := range q.lanes {
-		candidate := q.head(waiting)
+	var bestReplica *replicaSlots
+	for _, targetLane := range q.lanes {
+		candidate := q.eligibleHead(targetLane)
 		if candidate == nil || (best != nil && !q.before(candidate, best)) {
 			continue
 		}
-		if replica := q.pick(candidate.item, now); replica != nil {
+		if replica := q.pickReplica(candidate.item, now); replica != nil {
 			best, bestReplica = candidate, replica
 		}
 	}
 	return best, bestReplica
 }
 
-func (q *Queue) head(waiting *lane) *waitingItem {
-	for class := range waiting.classes {
+func (q *Queue) eligibleHead(targetLane *lane) *waitingItem {
+	for class := range targetLane.classes {
 		var best *waitingItem
-		for _, items := range waiting.classes[class] {
+		for _, items := range targetLane.classes[class] {
 			first := (*items)[0]
 			limit := first.item.Limits.MaxRunning
 			if limit > 0 && q.branch(first.item.Branch).running >= limit {
@@ -85,7 +85,7 @@
 	if a.item.Class != b.item.Class {
 		return a.item.Class < b.item.Class
 	}
-	virtualA, virtualB := q.branch(a.item.Branch).virtual, q.branch(b.item.Branch).virtual
+	virtualA, virtualB := q.branch(a.item.Branch).virtualStart, q.branch(b.item.Branch).virtualStart
 	if a.item.Branch != b.item.Branch && virtualA != virtualB {
 		return virtualA < virtualB
 	}
@@ -97,8 +97,8 @@
 // requests, one in the gateway's zone first among equals. Where every replica is
 // suspended, one request at a time tries the one that failed longest ago: holding
 // all back would only turn a short fault into a long one.
-func (q *Queue) pick(item Item, now time.Time) *slots {
-	var best, trial *slots
+func (q *Queue) pickReplica(item Item, now time.Time) *replicaSlots {
+	var best, trial *replicaSlots
 	usable, running := 0, 0
 	for _, replica := range q.replicas {
 		if !replica.ready || (item.Target != q.model && !replica.Adapters[item.Target]) {
@@ -116,11 +116,11 @@
 			best = replica
 		}
 	}
-	if usable == 0 && trial != nil && now.Sub(trial.failedAt) >= suspensionFirst {
+	if usable == 0 && trial != nil && now.Sub(trial.failedAt) >= minSuspension {
 		return trial
 	}
 	if cached := q.cachedReplica(item, now); cached != nil && best != nil {
-		if float64(cached.running) <= affinityBound*float64(running)/float64(usable)+1 {
+		if float64(cached.running) <= affinityLoadFactor*float64(running)/float64(usable)+1 {
 			return cached
 		}
 	}
@@ -129,8 +129,8 @@
 
 // cachedReplica returns the usable replica with a free slot that was last given
 // the item's prefix, or nil.
-func (q *Queue) cachedReplica(item Item, now time.Time) *slots {
-	replica := q.replicas[q.affinity.find(item.Prefix)]
+func (q *Queue) cachedReplica(item Item, now time.Time) *replicaSlots {
+	replica := q.replicas[q.affinity.lookup(item.Prefix)]
 	if replica == nil || !q.usable(replica, now) || replica.running >= q.concurrency {
 		return nil
 	}
@@ -140,7 +140,7 @@
 	return replica
 }
 
-func preferred(a, b *slots, zone string) bool {
+func preferred(a, b *replicaSlots, zone string) bool {
 	if a.running != b.running {
 		return a.running < b.running
 	}
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -21,7 +21,7 @@
 	return &Queue{
 		model: model, concurrency: max(1, concurrency),
 		lanes: map[string]*lane{}, items: map[string]*waitingItem{}, branches: map[string]*branchState{},
-		replicas: map[string]*slots{}, running: map[string]runningItem{}, lastUsed: map[string]time.Time{},
+		replicas: map[string]*replicaSlots{}, running: map[string]runningItem{}, lastUsed: map[string]time.Time{},
 		affinity: newAffinity(),
 	}
 }
@@ -29,7 +29,7 @@
 // SetConcurrency changes how many requests run at once on a replica.
 func (q *Queue) SetConcurrency(now time.Time, concurrency int) []Action {
 	q.concurrency = max(1, concurrency)
-	return q.fill(now)
+	return q.grantWaiting(now)
 }
 
 // Submit adds an item, or refuses it at once if its branch has too many waiting
@@ -44,27 +44,27 @@
 	item.Share = max(1, item.Share)
 	q.lastUsed[item.Target] = now
 	state := q.branch(item.Branch)
-	wait, known := q.estimate(now, item)
+	wait, known := q.estimateWait(now, item)
 	switch {
 	case item.Limits.MaxWaiting > 0 && state.waiting >= item.Limits.MaxWaiting:
-		return []Action{Refusal{Item: item, Kind: failure.LimitExceeded, RetryAfter: max(wait, retryAfterLeast),
+		return []Action{Refusal{Item: item, Kind: failure.LimitExceeded, RetryAfter: max(wait, minRetryAfter),
 			Message: fmt.Sprintf("branch %s already has %d requests waiting for %s", item.Branch, state.waiting, q.model)}}
 	case !item.Deadline.After(now.Add(dispatchMargin)):
-		return []Action{expired(item, wait)}
-	case known && now.Add(wait).After(q.usefulUntil(item)):
-		return []Action{Refusal{Item: item, Kind: failure.DeadlineTooShort, RetryAfter: max(wait, retryAfterLeast),
+		return []Action{expiredRefusal(item, wait)}
+	case known && now.Add(wait).After(q.latestDispatch(item)):
+		return []Action{Refusal{Item: item, Kind: failure.DeadlineTooShort, RetryAfter: max(wait, minRetryAfter),
 			Message: fmt.Sprintf("%s is expected to be free in %s, after the deadline", item.Target, wait.Round(time.Millisecond))}}
 	}
-	if retryAfter, over := state.admit(now, item); over != "" {
+	if retryAfter, exceeded := state.admit(now, item); exceeded != "" {
 		return []Action{Refusal{Item: item, Kind: failure.LimitExceeded, RetryAfter: retryAfter,
-			Message: fmt.Sprintf("branch %s is over its limit of %s for %s", item.Branch, over, q.model)}}
+			Message: fmt.Sprintf("branch %s is over its limit of %s for %s", item.Branch, exceeded, q.model)}}
 	}
 	q.push(item)
-	return q.fill(now)
+	return q.grantWaiting(now)
 }
 
-func expired(item Item, wait time.Duration) Refusal {
-	return Refusal{Item: item, Kind: failure.DeadlineExceeded, RetryAfter: max(wait, retryAfterLeast),
+func expiredRefusal(item Item, wait time.Duration) Refusal {
+	return Refusal{Item: item, Kind: failure.DeadlineExceeded, RetryAfter: max(wait, minRetryAfter),
 		Message: fmt.Sprintf("the request waited for %s until its deadline could no longer be met", item.Target)}
 }
 
@@ -78,25 +78,25 @@
 // Release gives a slot back. service is how long the request ran; zero when it
 // did not. engineFailed suspends the replica for a while.
 func (q *Queue) Release(now time.Time, id string, engineFailed bool, service time.Duration) []Action {
-	held, found := q.running[id]
+	item, found := q.running[id]
 	if !found {
 		return nil
 	}
-	q.stopRunning(id, held)
-	q.lastUsed[held.target] = now
-	if replica := q.replicas[held.replicaID]; replica != nil {
+	q.stopRunning(id, item)
+	q.lastUsed[item.target] = now
+	if replica := q.replicas[item.replicaID]; replica != nil {
 		replica.running = max(0, replica.running-1)
 		if engineFailed {
 			q.suspend(replica, now)
 		} else {
 			replica.failures = 0
 		}
-		q.dropIfGone(replica)
+		q.dropIfUnused(replica)
 	}
 	if service > 0 && !engineFailed {
-		q.observe(service, held.tokens)
+		q.recordService(service, item.tokens)
 	}
-	return q.fill(now)
+	return q.grantWaiting(now)
 }
 
 // Running is a request that a gateway runs already.
@@ -114,18 +114,18 @@
 	}
 	q.Cancel(running.ID)
 	q.lastUsed[running.Target] = now
-	q.run(running.ID, runningItem{owner: owner, target: running.Target, replicaID: running.ReplicaID})
+	q.startRunning(running.ID, runningItem{owner: owner, target: running.Target, replicaID: running.ReplicaID})
 }
 
-func (q *Queue) run(id string, held runningItem) {
-	q.running[id] = held
-	if held.branch != "" {
-		q.branch(held.branch).running++
+func (q *Queue) startRunning(id string, item runningItem) {
+	q.running[id] = item
+	if item.branch != "" {
+		q.branch(item.branch).running++
 	}
-	replica := q.replicas[held.replicaID]
+	replica := q.replicas[item.replicaID]
 	if replica == nil {
-		replica = &slots{Replica: Replica{ID: held.replicaID}}
-		q.replicas[held.replicaID] = replica
+		replica = &replicaSlots{Replica: Replica{ID: item.replicaID}}
+		q.replicas[item.replicaID] = replica
 	}
 	replica.running++
 }
@@ -144,31 +144,31 @@
 // Reconcile takes in all that a gateway runs in this queue; whatever else of it
 // holds a slot has ended. With nothing running it forgets a dead gateway.
 func (q *Queue) Reconcile(now time.Time, owner string, running []Running) []Action {
-	still := make(map[string]bool, len(running))
-	for _, one := range running {
-		still[one.ID] = true
-		q.Restore(now, owner, one)
-	}
-	for id, held := range q.running {
-		if held.owner == owner && !still[id] {
-			q.free(id, held)
+	listed := make(map[string]bool, len(running))
+	for _, request := range running {
+		listed[request.ID] = true
+		q.Restore(now, owner, request)
+	}
+	for id, item := range q.running {
+		if item.owner == owner && !listed[id] {
+			q.releaseSlot(id, item)
 		}
 	}
-	return q.fill(now)
+	return q.grantWaiting(now)
 }
 
-func (q *Queue) stopRunning(id string, held runningItem) {
+func (q *Queue) stopRunning(id string, item runningItem) {
 	delete(q.running, id)
-	if held.branch != "" {
-		q.branch(held.branch).running--
+	if item.branch != "" {
+		q.branch(item.branch).running--
 	}
 }
 
-func (q *Queue) free(id string, held runningItem) {
-	q.stopRunning(id, held)
-	if replica := q.replicas[held.replicaID]; replica != nil {
+func (q *Queue) releaseSlot(id string, item runningItem) {
+	q.stopRunning(id, item)
+	if replica := q.replicas[item.replicaID]; replica != nil {
 		replica.running = max(0, replica.running-1)
-		q.dropIfGone(replica)
+		q.dropIfUnused(replica)
 	}
 }
 
@@ -181,40 +181,40 @@
 	for _, ready := range replicas {
 		replica := q.replicas[ready.ID]
 		if replica == nil {
-			replica = &slots{}
+			replica = &replicaSlots{}
 			q.replicas[ready.ID] = replica
 		}
 		replica.Replica = ready
 		replica.ready = true
 	}
 	for _, replica := range q.replicas {
-		q.dropIfGone(replica)
+		q.dropIfUnused(replica)
 	}
-	q.readyAt = time.Time{}
+	q.firstReadyAt = time.Time{}
 	if readyIn >= 0 {
-		q.readyAt = now.Add(readyIn)
+		q.firstReadyAt = now.Add(readyIn)
 	}
-	return append(q.fill(now), q.refuseHopeless(now)...)
+	return append(q.grantWaiting(now), q.refuseUnmeetable(now)...)
 }
 
-func (q *Queue) dropIfGone(replica *slots) {
+func (q *Queue) dropIfUnused(replica *replicaSlots) {
 	if !replica.ready && replica.running == 0 {
 		delete(q.replicas, replica.ID)
 	}
 }
 
-// refuseHopeless ends the items whose deadline is before the first replica can
+// refuseUnmeetable ends the items whose deadline is before the first replica can
 // be ready: the caller learns it now rather than at the deadline.
-func (q *Queue) refuseHopeless(now time.Time) []Action {
-	if len(q.replicas) > 0 || q.readyAt.IsZero() {
+func (q *Queue) refuseUnmeetable(now time.Time) []Action {
+	if len(q.replicas) > 0 || q.firstReadyAt.IsZero() {
 		return nil
 	}
 	var actions []Action
-	wait := q.readyAt.Sub(now)
+	wait := q.firstReadyAt.Sub(now)
 	for _, waiting := range q.sortedItems() {
-		if q.readyAt.After(q.usefulUntil(waiting.item)) {
+		if q.firstReadyAt.After(q.latestDispatch(waiting.item)) {
 			q.remove(waiting)
-			actions = append(actions, Refusal{Item: waiting.item, Kind: failure.DeadlineTooShort, RetryAfter: max(wait, retryAfterLeast),
+			actions = append(actions, Refusal{Item: waiting.item, Kind: failure.DeadlineTooShort, RetryAfter: max(wait, minRetryAfter),
 				Message: fmt.Sprintf("%s is expected to be loaded in %s, after the deadline", waiting.item.Target, wait.Round(time.Millisecond))})
 		}
 	}
@@ -225,26 +225,26 @@
 // has ended.
 func (q *Queue) Tick(now time.Time) []Action {
 	var actions []Action
-	for _, waiting := range q.lanes {
-		for class := range waiting.classes {
-			for _, items := range waiting.classes[class] {
-				for items.Len() > 0 && !q.usefulUntil((*items)[0].item).After(now) {
+	for _, targetLane := range q.lanes {
+		for class := range targetLane.classes {
+			for _, items := range targetLane.classes[class] {
+				for items.Len() > 0 && !q.latestDispatch((*items)[0].item).After(now) {
 					late := (*items)[0]
-					wait, _ := q.estimate(now, late.item)
+					wait, _ := q.estimateWait(now, late.item)
 					q.remove(late)
-					actions = append(actions, expired(late.item, wait))
+					actions = append(actions, expiredRefusal(late.item, wait))
 				}
 			}
 		}
 	}
-	return append(actions, q.fill(now)...)
+	return append(actions, q.grantWaiting(now)...)
 }
 
 // Waiting is the number of items that wait.
 func (q *Queue) Waiting() int { return len(q.items) }
 
-// IsWaiting tells whether any item waits for a target.
-func (q *Queue) IsWaiting(target string) bool { return q.lanes[target] != nil }
+// HasWaiting tells whether any item waits for a target.
+func (q *Queue) HasWaiting(target string) bool { return q.lanes[target] != nil }
 
 // Running is the number of items that hold a slot.
 func (q *Queue) Running() int { return len(q.running) }
@@ -262,8 +262,8 @@
 			demand.Urgent++
 		}
 	}
-	for _, held := range q.running {
-		byTarget[held.target].Running++
+	for _, granted := range q.running {
+		byTarget[granted.target].Running++
 	}
 	demands := make([]Demand, 0, len(byTarget))
 	for _, demand := range byTarget {
@@ -276,7 +276,7 @@
 func (q *Queue) branch(name string) *branchState {
 	state := q.branches[name]
 	if state == nil {
-		state = &branchState{virtual: q.virtualTime}
+		state = &branchState{virtualStart: q.virtualTime}
 		q.branches[name] = state
 	}
 	return state
@@ -299,10 +299,10 @@
 	state := q.branch(item.Branch)
 	if state.waiting == 0 {
 		// A branch that was idle has no claim on the time it did not use.
-		state.virtual = max(state.virtual, q.virtualTime)
+		state.virtualStart = max(state.virtualStart, q.virtualTime)
 	}
 	state.waiting++
-	q.byClass[item.Class]++
+	q.waitingByClass[item.Class]++
 	q.sequence++
 	added := &waitingItem{item: item, heap: items, sequence: q.sequence}
 	heap.Push(items, added)
@@ -313,11 +313,11 @@
 	heap.Remove(waiting.heap, waiting.index)
 	delete(q.items, waiting.item.ID)
 	q.branches[waiting.item.Branch].waiting--
-	q.byClass[waiting.item.Class]--
+	q.waitingByClass[waiting.item.Class]--
 	if waiting.heap.Len() == 0 {
-		held := q.lanes[waiting.item.Target]
-		delete(held.classes[waiting.item.Class], waiting.item.Branch)
-		if held.empty() {
+		targetLane := q.lanes[waiting.item.Target]
+		delete(targetLane.classes[waiting.item.Class], waiting.item.Branch)
+		if targetLane.empty() {
 			delete(q.lanes, waiting.item.Target)
 		}
 	}
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -15,12 +15,12 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func item(id string, class request.Class, branch string, deadline time.Duration) queue.Item {
+func newItem(id string, class request.Class, branch string, deadline time.Duration) queue.Item {
 	return queue.Item{ID: id, Owner: "gateway", Target: "m", Branch: branch, Share: 1, Class: class,
 		Arrived: start, Deadline: start.Add(deadline)}
 }
 
-func replicas(ids ...string) []queue.Replica {
+func newReplicas(ids ...string) []queue.Replica {
 	var ready []queue.Replica
 	for _, id := range ids {
 		ready = append(ready, queue.Replica{ID: id, EngineID: id})
@@ -29,7 +29,7 @@
 }
 
 // grants returns the ids granted, in order.
-func grants(actions []queue.Action) []string {
+func grantedIDs(actions []queue.Action) []string {
 	var ids []string
 	for _, action := range actions {
 		if grant, ok := action.(queue.Grant); ok {
@@ -40,13 +40,13 @@
 }
 
 func TestOrderIsClassThenShareThenDeadline(t *testing.T) {
-	held := queue.New("m", 100)
-	held.Submit(start, item("bulk", request.Bulk, "a", time.Hour))
-	held.Submit(start, item("a-late", request.Standard, "a", 50*time.Second))
-	held.Submit(start, item("a-soon", request.Standard, "a", 20*time.Second))
-	held.Submit(start, item("b", request.Standard, "b", 40*time.Second))
-	held.Submit(start, item("interactive", request.Interactive, "a", time.Minute))
-	order := grants(held.SetReplicas(start, replicas("e"), -1))
+	q := queue.New("m", 100)
+	q.Submit(start, newItem("bulk", request.Bulk, "a", time.Hour))
+	q.Submit(start, newItem("a-late", request.Standard, "a", 50*time.Second))
+	q.Submit(start, newItem("a-soon", request.Standard, "a", 20*time.Second))
+	q.Submit(start, newItem("b", request.Standard, "b", 40*time.Second))
+	q.Submit(start, newItem("interactive", request.Interactive, "a", time.Minute))
+	order := grantedIDs(q.SetReplicas(start, newReplicas("e"), -1))
 	require.Equal(t, "interactive", order[0])
 	require.Equal(t, "bulk", order[4])
 	require.Equal(t, "b", order[1], "branch a had its turn")
@@ -54,52 +54,52 @@
 }
 
 func TestBranchesShareByWeight(t *testing.T) {
-	held := queue.New("m", 1)
+	q := queue.New("m", 1)
 	for number := range 40 {
-		heavy := item(fmt.Sprintf("heavy-%02d", number), request.Standard, "heavy", time.Hour)
+		heavy := newItem(fmt.Sprintf("heavy-%02d", number), request.Standard, "heavy", time.Hour)
 		heavy.Share = 3
-		held.Submit(start, heavy)
-		held.Submit(start, item(fmt.Sprintf("light-%02d", number), request.Standard, "light", time.Hour))
+		q.Submit(start, heavy)
+		q.Submit(start, newItem(fmt.Sprintf("light-%02d", number), request.Standard, "light", time.Hour))
 	}
 	served := map[string]int{}
-	granted := grants(held.SetReplicas(start, replicas("e"), -1))
+	granted := grantedIDs(q.SetReplicas(start, newReplicas("e"), -1))
 	for range 20 {
 		served[granted[0][:5]]++
-		granted = grants(held.Release(start, granted[0], false, 0))
+		granted = grantedIDs(q.Release(start, granted[0], false, 0))
 	}
 	require.Equal(t, map[string]int{"heavy": 15, "light": 5}, served)
 }
 
 func TestHopelessIsRefusedAtOnceWithAnEstimate(t *testing.T) {
-	held := queue.New("m", 1)
-	held.SetReplicas(start, nil, 10*time.Second)
-	refusal := held.Submit(start, item("short", request.Interactive, "a", 5*time.Second))[0].(queue.Refusal)
+	q := queue.New("m", 1)
+	q.SetReplicas(start, nil, 10*time.Second)
+	refusal := q.Submit(start, newItem("short", request.Interactive, "a", 5*time.Second))[0].(queue.Refusal)
 	require.Equal(t, failure.DeadlineTooShort, refusal.Kind)
 	require.Equal(t, 10*time.Second, refusal.RetryAfter)
-	require.Empty(t, held.Submit(start, item("long", request.Interactive, "a", 15*time.Second)))
-	refusal = held.SetReplicas(start, nil, 20*time.Second)[0].(queue.Refusal)
+	require.Empty(t, q.Submit(start, newItem("long", request.Interactive, "a", 15*time.Second)))
+	refusal = q.SetReplicas(start, nil, 20*time.Second)[0].(queue.Refusal)
 	require.Equal(t, "long", refusal.Item.ID, "told when it became hopeless, not at its deadline")
 }
 
 func TestNothingIsGrantedThatCannotEndInTime(t *testing.T) {
-	held := queue.New("m", 1)
-	held.SetReplicas(start, replicas("e"), -1)
-	require.Equal(t, []string{"first"}, grants(held.Submit(start, item("first", request.Standard, "a", time.Minute))))
-	require.Empty(t, held.Submit(start, item("tight", request.Standard, "a", 5*time.Second)))
-	require.Empty(t, held.Submit(start, item("roomy", request.Standard, "a", 8*time.Second)))
+	q := queue.New("m", 1)
+	q.SetReplicas(start, newReplicas("e"), -1)
+	require.Equal(t, []string{"first"}, grantedIDs(q.Submit(start, newItem("first", request.Standard, "a", time.Minute))))
+	require.Empty(t, q.Submit(start, newItem("tight", request.Standard, "a", 5*time.Second)))
+	require.Empty(t, q.Submit(start, newItem("roomy", request.Standard, "a", 8*time.Second)))
 	now := start.Add(2 * time.Second)
-	actions := held.Release(now, "first", false, 4*time.Second) // a request takes 4 s
+	actions := q.Release(now, "first", false, 4*time.Second) // a request takes 4 s
 	require.Equal(t, failure.DeadlineExceeded, actions[0].(queue.Refusal).Kind)
-	require.Equal(t, []string{"roomy"}, grants(actions))
+	require.Equal(t, []string{"roomy"}, grantedIDs(actions))
 }
 
 func TestFailingReplicaRestsWhileOthersServe(t *testing.T) {
-	held := queue.New("m", 10)
-	held.SetReplicas(start, replicas("e1", "e2"), -1)
-	first := held.Submit(start, item("1", request.Standard, "a", time.Minute))[0].(queue.Grant)
-	held.Release(start, "1", true, 0)
+	q := queue.New("m", 10)
+	q.SetReplicas(start, newReplicas("e1", "e2"), -1)
+	first := q.Submit(start, newItem("1", request.Standard, "a", time.Minute))[0].(queue.Grant)
+	q.Release(start, "1", true, 0)
 	for number := range 5 {
-		next := held.Submit(start, item(fmt.Sprint("n", number), request.Standard, "a", time.Minute))[0].(queue.Grant)
+		next := q.Submit(start, newItem(fmt.Sprint("n", number), request.Standard, "a", time.Minute))[0].(queue.Grant)
 		require.NotEqual(t, first.Replica.EngineID, next.Replica.EngineID)
 	}
 }
@@ -107,92 +107,92 @@
 // TestOnlyReplicaIsTriedSoonHoweverOftenItFailed: requests waited for up to their
 // deadline while the one replica with their adapter was suspended for 16 s.
 func TestOnlyReplicaIsTriedSoonHoweverOftenItFailed(t *testing.T) {
-	held := queue.New("m", 10)
-	held.SetReplicas(start, replicas("e1"), -1)
+	q := queue.New("m", 10)
+	q.SetReplicas(start, newReplicas("e1"), -1)
 	now := start
 	for number := range 10 {
 		id := fmt.Sprint("r", number)
-		held.Submit(now, item(id, request.Standard, "a", time.Hour))
+		q.Submit(now, newItem(id, request.Standard, "a", time.Hour))
 		now = now.Add(500 * time.Millisecond)
 		if number > 0 {
-			require.Empty(t, grants(held.Tick(now.Add(-time.Millisecond))), "not at once")
+			require.Empty(t, grantedIDs(q.Tick(now.Add(-time.Millisecond))), "not at once")
 		}
-		held.Tick(now)
-		require.Equal(t, 1, held.Running(), "tried within half a second of the last failure")
+		q.Tick(now)
+		require.Equal(t, 1, q.Running(), "tried within half a second of the last failure")
 		if number > 1 { // suspended for longer than that, and tried all the same
-			require.Empty(t, held.Submit(now, item(id+"-second", request.Standard, "a", time.Hour)), "one at a time")
-			held.Cancel(id + "-second")
+			require.Empty(t, q.Submit(now, newItem(id+"-second", request.Standard, "a", time.Hour)), "one at a time")
+			q.Cancel(id + "-second")
 		}
-		held.Release(now, id, true, 0)
+		q.Release(now, id, true, 0)
 	}
 }
 
 // TestTwoReplicasOnOneEngineAreKeptApart: an adapter loaded on one of two replicas
 // on the same engine was not seen, and its requests waited to their deadline.
 func TestTwoReplicasOnOneEngineAreKeptApart(t *testing.T) {
-	held := queue.New("m", 1)
-	held.SetReplicas(start, []queue.Replica{
+	q := queue.New("m", 1)
+	q.SetReplicas(start, []queue.Replica{
 		{ID: "r1", EngineID: "e", Adapters: map[string]bool{"m.a": true}}, {ID: "r2", EngineID: "e"}}, -1)
-	adapted := item("adapted", request.Standard, "a", time.Minute)
+	adapted := newItem("adapted", request.Standard, "a", time.Minute)
 	adapted.Target = "m.a"
-	require.Equal(t, "r1", held.Submit(start, adapted)[0].(queue.Grant).Replica.ID)
-	require.Equal(t, "r2", held.Submit(start, item("plain", request.Standard, "a", time.Minute))[0].(queue.Grant).Replica.ID)
+	require.Equal(t, "r1", q.Submit(start, adapted)[0].(queue.Grant).Replica.ID)
+	require.Equal(t, "r2", q.Submit(start, newItem("plain", request.Standard, "a", time.Minute))[0].(queue.Grant).Replica.ID)
 }
 
 func TestLimitsOfABranch(t *testing.T) {
-	refusalOf := func(held *queue.Queue, now time.Time, limited queue.Item) queue.Refusal {
-		return held.Submit(now, limited)[0].(queue.Refusal)
+	refusalOf := func(q *queue.Queue, now time.Time, limited queue.Item) queue.Refusal {
+		return q.Submit(now, limited)[0].(queue.Refusal)
 	}
 	limited := func(id string, limits settings.Limits) queue.Item {
-		one := item(id, request.Standard, "a", time.Hour)
-		one.Limits, one.Tokens = limits, 30
-		return one
+		created := newItem(id, request.Standard, "a", time.Hour)
+		created.Limits, created.Tokens = limits, 30
+		return created
 	}
 	t.Run("waiting", func(t *testing.T) {
-		held := queue.New("m", 1)
-		require.Empty(t, held.Submit(start, limited("1", settings.Limits{MaxWaiting: 1})))
-		require.Equal(t, failure.LimitExceeded, refusalOf(held, start, limited("2", settings.Limits{MaxWaiting: 1})).Kind)
+		q := queue.New("m", 1)
+		require.Empty(t, q.Submit(start, limited("1", settings.Limits{MaxWaiting: 1})))
+		require.Equal(t, failure.LimitExceeded, refusalOf(q, start, limited("2", settings.Limits{MaxWaiting: 1})).Kind)
 	})
 	t.Run("rate", func(t *testing.T) {
-		held := queue.New("m", 1)
+		q := queue.New("m", 1)
 		limits := settings.Limits{RequestsPerSecond: 2}
-		held.Submit(start, limited("1", limits))
-		held.Submit(start, limited("2", limits))
-		require.Equal(t, 500*time.Millisecond, refusalOf(held, start, limited("3", limits)).RetryAfter)
-		require.Empty(t, held.Submit(start.Add(500*time.Millisecond), limited("4", limits)))
+		q.Submit(start, limited("1", limits))
+		q.Submit(start, limited("2", limits))
+		require.Equal(t, 500*time.Millisecond, refusalOf(q, start, limited("3", limits)).RetryAfter)
+		require.Empty(t, q.Submit(start.Add(500*time.Millisecond), limited("4", limits)))
 	})
 	t.Run("tokens", func(t *testing.T) {
-		held := queue.New("m", 1)
+		q := queue.New("m", 1)
 		limits := settings.Limits{TokensPerMinute: 60}
-		held.Submit(start, limited("1", limits))
-		held.Submit(start, limited("2", limits))
-		require.Equal(t, 30*time.Second, refusalOf(held, start, limited("3", limits)).RetryAfter)
+		q.Submit(start, limited("1", limits))
+		q.Submit(start, limited("2", limits))
+		require.Equal(t, 30*time.Second, refusalOf(q, start, limited("3", limits)).RetryAfter)
 	})
 	t.Run("running", func(t *testing.T) {
-		held := queue.New("m", 10)
-		held.SetReplicas(start, replicas("e"), -1)
+		q := queue.New("m", 10)
+		q.SetReplicas(start, newReplicas("e"), -1)
 		limits := settings.Limits{MaxRunning: 1}
-		require.Len(t, held.Submit(start, limited("1", limits)), 1)
-		require.Empty(t, held.Submit(start, limited("2", limits)), "waits")
-		require.Len(t, held.Submit(start, item("other", request.Bulk, "b", time.Hour)), 1, "others go on")
-		require.Equal(t, []string{"2"}, grants(held.Release(start, "1", false, time.Second)))
+		require.Len(t, q.Submit(start, limited("1", limits)), 1)
+		require.Empty(t, q.Submit(start, limited("2", limits)), "waits")
+		require.Len(t, q.Submit(start, newItem("other", request.Bulk, "b", time.Hour)), 1, "others go on")
+		require.Equal(t, []string{"2"}, grantedIDs(q.Release(start, "1", false, time.Second)))
 	})
 }
 
 func TestPrefixAffinityWithBoundedLoad(t *testing.T) {
-	held := queue.New("m", 100)
-	held.SetReplicas(start, replicas("e1", "e2", "e3"), -1)
+	q := queue.New("m", 100)
+	q.SetReplicas(start, newReplicas("e1", "e2", "e3"), -1)
 	prefixed := func(id string) queue.Item {
-		one := item(id, request.Standard, "a", time.Hour)
-		one.Prefix = 7
-		return one
+		created := newItem(id, request.Standard, "a", time.Hour)
+		created.Prefix = 7
+		return created
 	}
-	first := held.Submit(start, prefixed("0"))[0].(queue.Grant).Replica.ID
-	second := held.Submit(start, prefixed("1"))[0].(queue.Grant).Replica.ID
+	first := q.Submit(start, prefixed("0"))[0].(queue.Grant).Replica.ID
+	second := q.Submit(start, prefixed("1"))[0].(queue.Grant).Replica.ID
 	require.Equal(t, first, second, "the cache is used")
 	used := map[string]int{first: 2}
 	for number := range 58 {
-		used[held.Submit(start, prefixed(fmt.Sprint("n", number)))[0].(queue.Grant).Replica.ID]++
+		used[q.Submit(start, prefixed(fmt.Sprint("n", number)))[0].(queue.Grant).Replica.ID]++
 	}
 	for _, id := range []string{"e1", "e2", "e3"} {
 		require.InDelta(t, 20, used[id], 6, "no hot spot: %v", used)
@@ -203,18 +203,18 @@
 func BenchmarkDispatch(b *testing.B) {
 	for _, waiting := range []int{100, 1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
-			held := queue.New("m", 1)
+			q := queue.New("m", 1)
 			for number := range waiting {
 				branch := fmt.Sprint("branch-", number%20)
-				held.Submit(start, item(fmt.Sprint(number), request.Class(number%3), branch, time.Hour+time.Duration(number)*time.Millisecond))
+				q.Submit(start, newItem(fmt.Sprint(number), request.Class(number%3), branch, time.Hour+time.Duration(number)*time.Millisecond))
 			}
-			running := grants(held.SetReplicas(start, replicas("e"), -1))[0]
+			running := grantedIDs(q.SetReplicas(start, newReplicas("e"), -1))[0]
 			b.ReportAllocs()
 			number := waiting
 			for b.Loop() {
 				number++
-				held.Submit(start, item(fmt.Sprint(number), request.Standard, "branch-1", time.Hour+time.Duration(number)*time.Millisecond))
-				running = grants(held.Release(start, running, false, 0))[0]
+				q.Submit(start, newItem(fmt.Sprint(number), request.Standard, "branch-1", time.Hour+time.Duration(number)*time.Millisecond))
+				running = grantedIDs(q.Release(start, running, false, 0))[0]
 			}
 		})
 	}
--- a/queue/types.go
+++ b/queue/types.go
@@ -63,37 +63,37 @@
 }
 
 const (
-	// suspensionFirst and suspensionLast bound how long a replica that failed
+	// minSuspension and maxSuspension bound how long a replica that failed
 	// gets nothing while others can serve; it doubles with each failure in a row.
-	suspensionFirst = 500 * time.Millisecond
-	suspensionLast  = 10 * time.Second
+	minSuspension = 500 * time.Millisecond
+	maxSuspension = 10 * time.Second
 	// dispatchMargin before its deadline an item is no longer worth a dispatch.
 	dispatchMargin = 20 * time.Millisecond
-	// serviceWeight is the weight of a new sample in the mean service time.
-	serviceWeight = 0.1
-	// leastServiceShare of the expected service must fit before the deadline.
-	leastServiceShare = 0.9
-	// retryAfterLeast is the least advice when to come back.
-	retryAfterLeast = time.Second
+	// serviceSampleWeight is the weight of a new sample in the mean service time.
+	serviceSampleWeight = 0.1
+	// minServiceFraction of the expected service must fit before the deadline.
+	minServiceFraction = 0.9
+	// minRetryAfter is the least advice when to come back.
+	minRetryAfter = time.Second
 )
 
 // Queue is the queue of one base model.
 type Queue struct {
-	model       string
-	concurrency int
-	lanes       map[string]*lane
-	items       map[string]*waitingItem
-	branches    map[string]*branchState
-	virtualTime float64           // of the branch served last
-	replicas    map[string]*slots // by replica id
-	running     map[string]runningItem
-	lastUsed    map[string]time.Time // by target
-	meanService time.Duration        // zero until the first sample
-	perToken    time.Duration        // mean of service by tokens asked for
-	readyAt     time.Time            // when a first replica is expected; zero unknown
-	byClass     [request.ClassCount]int
-	sequence    uint64
-	affinity    *affinity
+	model          string
+	concurrency    int
+	lanes          map[string]*lane
+	items          map[string]*waitingItem
+	branches       map[string]*branchState
+	virtualTime    float64                  // of the branch served last
+	replicas       map[string]*replicaSlots // by replica id
+	running        map[string]runningItem
+	lastUsed       map[string]time.Time // by target
+	meanService    time.Duration        // zero until the first sample
+	perToken       time.Duration        // mean of service by tokens asked for
+	firstReadyAt   time.Time            // when a first replica is expected; zero unknown
+	waitingByClass [request.ClassCount]int
+	sequence       uint64
+	affinity       *affinity
 }
 
 type runningItem struct {
@@ -105,7 +105,7 @@
 }
 
 // slots is a replica with what runs on it.
-type slots struct {
+type replicaSlots struct {
 	Replica
 	ready          bool
 	running        int
@@ -121,9 +121,9 @@
 }
 
 type branchState struct {
-	virtual  float64
-	waiting  int
-	running  int
-	requests bucket
-	tokens   bucket
+	virtualStart float64
+	waiting      int
+	running      int
+	requests     bucket
+	tokens       bucket
 }
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	dialTimeout = time.Second
-	keepAlive   = 15 * time.Second
+	dialTimeout       = time.Second
+	keepAliveInterval = 15 * time.Second
 )
 
 // Dial opens a connection to a daemon's rpc address. A connection carries one
 // stream or call at a time; the caller closes it.
 func Dial(ctx context.Context, address string) (*drpcconn.Conn, error) {
-	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}
+	dialer := net.Dialer{Timeout: dialTimeout, KeepAlive: keepAliveInterval}
 	connection, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, errors.Wrapf(err, "connect to daemon at %s", address)
@@ -31,9 +31,9 @@
 }
 
 const (
-	poolIdle     = time.Minute
-	poolCapacity = 512
-	poolPerPeer  = 8
+	poolIdleTimeout     = time.Minute
+	poolCapacity        = 512
+	poolCapacityPerPeer = 8
 )
 
 // Pool keeps connections for single calls.
@@ -44,11 +44,11 @@
 // NewPool returns an empty pool.
 func NewPool() *Pool {
 	return &Pool{drpcpool.New[string, drpcpool.Conn](drpcpool.Options{
-		Expiration: poolIdle, Capacity: poolCapacity, KeyCapacity: poolPerPeer})}
+		Expiration: poolIdleTimeout, Capacity: poolCapacity, KeyCapacity: poolCapacityPerPeer})}
 }
 
 // To returns a connection to a daemon for calls; it is dialed when first used.
-func (p *Pool) To(ctx context.Context, address string) drpc.Conn {
+func (p *Pool) Conn(ctx context.Context, address string) drpc.Conn {
 	return p.connections.Get(ctx, address, func(ctx context.Context, address string) (drpcpool.Conn, error) {
 		return Dial(ctx, address)
 	})
