--- a/placer/apply.go
+++ b/placer/apply.go
@@ -12,8 +12,8 @@
 	"github.com/finchspoke/finchspoke/placement"
 )
 
-// apply sends each engine the orders that bring it to the standing plan. Engines
-// are served side by side, the orders of one engine one after another.
+// apply sends each engine the orders that bring it to the current plan. Engines are
+// served concurrently, the orders of one engine in sequence.
 func (s *Service) apply(ctx context.Context, term *leadership, workers *sync.WaitGroup) {
 	term.cell.mutex.Lock()
 	defer term.cell.mutex.Unlock()
@@ -42,9 +42,9 @@
 			fields := logrus.Fields{"engine": id, "operation": order.Operation, "model": order.Model,
 				"replica": order.ReplicaID, "epoch": order.Fence.Epoch}
 			if err != nil {
-				s.Log.WithError(err).WithFields(fields).Debug("order gave no answer; the inventory will tell")
+				s.Log.WithError(err).WithFields(fields).Debug("engine did not answer an order; its inventory will show the result")
 			} else if !response.Accepted {
-				s.Log.WithFields(fields).WithField("reason", response.Reason).Warn("engine refused an order")
+				s.Log.WithFields(fields).WithField("reason", response.Reason).Warn("engine refused order")
 			}
 		}
 		if !term.cell.finishApply(id) || ctx.Err() != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// dueOrders returns the orders due for an engine and notes when they were sent.
+// dueOrders returns the orders due for an engine and records now as their send time.
 func (c *cell) dueOrders(id string, now time.Time) (address string, orders []engine.Order) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -68,7 +68,7 @@
 	return state.machine.Address, orders
 }
 
-// finishApply ends a round and tells whether another was asked for meanwhile.
+// finishApply ends a round of orders and reports whether another was requested meanwhile.
 func (c *cell) finishApply(id string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -82,12 +82,14 @@
 	return repeat
 }
 
+// orderKey identifies an order, whatever its fence.
 func orderKey(order engine.Order) string {
 	return string(order.Operation) + " " + order.ReplicaID + " " + order.Adapter
 }
 
-// ordersFor compares the plan with the inventory; the mutex is held. Unloads
-// come first, so that memory is freed before it is needed.
+// ordersFor returns the orders for the differences between the plan and an engine's
+// inventory. Unloads come first, so that memory is free for the loads. The caller holds
+// the mutex.
 func (c *cell) ordersFor(id string, now time.Time) []engine.Order {
 	state := c.engines[id]
 	if state == nil || state.inventory == nil {
@@ -136,7 +138,7 @@
 	return orders
 }
 
-// adapterOrders brings a ready replica's adapters to the plan.
+// adapterOrders returns the orders that bring a ready replica's adapters to the plan.
 func adapterOrders(assignment placement.Assignment, replica engine.Replica) []engine.Order {
 	if replica.State != engine.Ready {
 		return nil
--- a/placer/cell.go
+++ b/placer/cell.go
@@ -12,33 +12,34 @@
 	"github.com/finchspoke/finchspoke/settings"
 )
 
-// cell is what the placer knows of its cell while it leads: engines, demand and
-// the standing plan. It is safe for concurrent use.
+// cell holds the engines, the demand and the current plan of a cell during one term of
+// its placer. It is safe for concurrent use.
 type cell struct {
 	region string
-	dirty  chan struct{} // signals that a decision may change
+	dirty  chan struct{} // signals changed input for the next decision
 
 	mutex    sync.Mutex
 	engines  map[string]*engineState
-	demand   map[string]map[string]placement.TargetDemand // by home, target
+	demand   map[string]map[string]placement.TargetDemand // by home daemon, target
 	lastUsed map[string]time.Time                         // by target
 	plan     placement.Plan
 	state    placement.State
 }
 
-// engineState is an engine with how it is doing.
+// engineState is what the placer tracks of one engine.
 type engineState struct {
 	machine      machinelist.Machine
 	listed       bool
 	inventory    *engine.Inventory
-	failures     int // to read the inventory, in a row
+	failures     int // consecutive failures to read the inventory
 	loadingSince map[string]time.Time
-	lastOrdered  map[string]time.Time // last order by replica and operation
+	lastOrdered  map[string]time.Time // by orderKey
 	applying     bool
-	applyAgain   bool // apply once more after the current round
+	applyAgain   bool // another round was requested during the current one
 }
 
-// failuresUntilUnreachable is how many reads in a row must fail.
+// failuresUntilUnreachable is the number of consecutive failed inventory reads after
+// which an engine counts as unreachable.
 const failuresUntilUnreachable = 2
 
 func (e *engineState) reachable() bool {
@@ -52,15 +53,15 @@
 		lastUsed: map[string]time.Time{}, plan: plan,
 		state: placement.State{SurplusSince: map[string]time.Time{}},
 	}
-	// Engines of the standing plan are known before the list names them.
+	// The plan's engines are tracked even before the first machine list arrives.
 	for id, planned := range plan.Engines {
 		created.engine(id).machine.Address = planned.Address
 	}
 	return created
 }
 
-// engine returns the state of an engine, making it if new; the mutex is held or
-// the cell not yet shared.
+// engine returns the state of an engine and creates it if needed. The caller holds the
+// mutex, or the cell is not shared yet.
 func (c *cell) engine(id string) *engineState {
 	state := c.engines[id]
 	if state == nil {
@@ -79,7 +80,8 @@
 	}
 }
 
-// setMachines takes a machine list in and returns the engines to watch, by id.
+// setMachines applies a machine list and returns the addresses of the engines to watch,
+// by id.
 func (c *cell) setMachines(machines []machinelist.Machine) map[string]string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -104,7 +106,7 @@
 	return watched
 }
 
-// setInventory takes in an inventory, or the failure to read one.
+// setInventory records an engine's inventory; nil stands for a failed read.
 func (c *cell) setInventory(id string, inventory *engine.Inventory, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -125,7 +127,7 @@
 	}
 }
 
-// observeLoads times the remote loads that have finished.
+// observeLoads updates the load speed with the remote loads that have finished.
 func (c *cell) observeLoads(state *engineState, now time.Time) {
 	isRemote := map[string]bool{}
 	for _, assignment := range c.plan.Engines[state.machine.ID].Assignments {
@@ -148,7 +150,7 @@
 	}
 }
 
-// highestEpoch is the highest epoch that an engine has seen.
+// highestEpoch returns the highest epoch that any engine reports.
 func (c *cell) highestEpoch() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -161,7 +163,7 @@
 	return highest
 }
 
-// setDemand replaces what a home reports of some targets.
+// setDemand replaces the demand that a home daemon reports for the given targets.
 func (c *cell) setDemand(home string, reported map[string]placement.TargetDemand) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -177,8 +179,8 @@
 	c.markDirty()
 }
 
-// dropHome forgets a home that is no longer connected; when its targets were
-// last used stays known.
+// dropHome deletes the demand of a home daemon that has disconnected, but keeps the
+// time at which its targets were last used.
 func (c *cell) dropHome(home string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -186,7 +188,7 @@
 	c.markDirty()
 }
 
-// snapshot returns what a decision is made from.
+// snapshot returns the input of the next decision.
 func (c *cell) snapshot(now time.Time, tree *settings.Tree) placement.Snapshot {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -209,6 +211,7 @@
 	}
 }
 
+// enginesLocked returns the placer's view of its engines; the caller holds the mutex.
 func (c *cell) enginesLocked() map[string]placement.Engine {
 	engines := make(map[string]placement.Engine, len(c.engines))
 	for id, state := range c.engines {
@@ -225,8 +228,8 @@
 	return engines
 }
 
-// adopt makes a decision's plan and state the cell's. The speed of loads may
-// have been observed since the snapshot and is kept.
+// applyDecision takes over a decision's plan and state, except for the load speed, which
+// may have been updated since the snapshot.
 func (c *cell) applyDecision(decision placement.Decision) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -236,7 +239,7 @@
 	c.state.RemoteBytesPerSecond = speed
 }
 
-// picture is the standing plan with the engines, for publishing and status.
+// cellView is a copy of the current plan, engines and state, for home daemons and status.
 type cellView struct {
 	Plan    placement.Plan
 	Engines map[string]placement.Engine
--- a/placer/explain.go
+++ b/placer/explain.go
@@ -8,7 +8,7 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// Model implements the Explain rpc.
+// Model implements the Explain rpc: it describes the placement of a target's model.
 func (s *Service) Model(_ context.Context, query *rpc.ExplainModel) (*rpc.Explanation, error) {
 	term, current := s.leading.Load(), s.Settings.Current()
 	if term == nil || current == nil {
--- a/placer/record.go
+++ b/placer/record.go
@@ -11,45 +11,46 @@
 	"github.com/finchspoke/finchspoke/placement"
 )
 
-// errTermEnded means that this term of leading the cell is over.
-var errTermEnded = errors.New("another placer has taken the cell over, or its group has changed")
+// errTermEnded means that this daemon's term as the cell's placer is over.
+var errTermEnded = errors.New("another placer has taken over the cell, or its group has changed")
 
-// record is the cell's plan in its group, for one term. The ballot of the term is
-// the epoch of its orders. A revision counts once a quorum holds it; only then are
-// orders sent.
+// planRecord stores the cell's plan in a replicated group, for one term. The term's
+// ballot is the epoch of its orders. Orders of a revision are sent only after a quorum
+// of the group has stored it.
 type planRecord struct {
 	register *group.Register
-	// pending is a decision of which it is not known whether it counts. Nothing
-	// else is committed, and no order sent, until it is.
+	// pending is a decision whose commit has no known result. No order is sent and
+	// nothing else is committed until it succeeds.
 	pending *placement.Decision
 }
 
-// takeOver begins a term and returns the plan that stands in it. fresh tells that
-// the group holds no plan: there never was one, or its memory was lost.
+// takeOver begins a term and returns the plan that the group holds. noStoredPlan reports
+// that it holds none, because there never was one or the group lost its state.
 func (r *planRecord) takeOver(ctx context.Context, minEpoch uint64) (plan placement.Plan, noStoredPlan bool, err error) {
 	ballot, state, err := r.register.TakeOver(ctx, minEpoch)
 	if err != nil {
-		return placement.Plan{}, false, errors.Wrap(err, "take the cell over")
+		return placement.Plan{}, false, errors.Wrap(err, "take over the cell")
 	}
 	plan = placement.NewPlan(engine.Fence{Epoch: ballot, Revision: 1})
 	for id, entry := range state.Entries {
 		var planned placement.EnginePlan
 		if err := json.Unmarshal(entry, &planned); err != nil {
-			return placement.Plan{}, false, errors.Wrapf(err, "read the plan of %s", id)
+			return placement.Plan{}, false, errors.Wrapf(err, "decode the plan of engine %s", id)
 		}
 		plan.Engines[id] = planned
 	}
-	// What was taken over may not have counted yet; it must before it is acted on.
+	// The plan may not be stored by a quorum yet; this must be so before orders are sent.
 	entries, err := encode(plan)
 	if err != nil {
 		return placement.Plan{}, false, err
 	}
 	if err := r.register.Propose(ctx, plan.Fence.Revision, entries, entries); err != nil {
-		return placement.Plan{}, false, errors.Wrap(err, "confirm the plan taken over")
+		return placement.Plan{}, false, errors.Wrap(err, "commit the previous term's plan")
 	}
 	return plan, state.Ballot == 0, nil
 }
 
+// encode returns the JSON of each engine's plan, by engine id; empty plans are omitted.
 func encode(plan placement.Plan) (map[string][]byte, error) {
 	entries := make(map[string][]byte, len(plan.Engines))
 	for id, planned := range plan.Engines {
@@ -58,21 +59,21 @@
 		}
 		entry, err := json.Marshal(planned)
 		if err != nil {
-			return nil, errors.Wrapf(err, "encode the plan of %s", id)
+			return nil, errors.Wrapf(err, "encode the plan of engine %s", id)
 		}
 		entries[id] = entry
 	}
 	return entries, nil
 }
 
-// commit makes a decision's plan count. After an error that is not errTermEnded it
-// is not known whether it does, and settle must be called until it is.
+// commit stores a decision's plan in the group. After an error other than errTermEnded the
+// result is unknown, and proposePending must be called until it succeeds.
 func (r *planRecord) commit(ctx context.Context, decision placement.Decision) error {
 	r.pending = &decision
 	return r.proposePending(ctx)
 }
 
-// settle proposes the pending decision, again if need be.
+// proposePending proposes the pending decision to the group; it may be repeated.
 func (r *planRecord) proposePending(ctx context.Context) error {
 	entries, err := encode(r.pending.Plan)
 	if err != nil {
@@ -80,7 +81,7 @@
 	}
 	changes := make(map[string][]byte, len(r.pending.Changed))
 	for _, id := range r.pending.Changed {
-		changes[id] = entries[id] // empty where nothing is left
+		changes[id] = entries[id] // nil if the engine has no assignments left
 	}
 	err = r.register.Propose(ctx, r.pending.Plan.Fence.Revision, changes, entries)
 	if errors.Is(err, group.ErrOutbid) {
--- a/placer/service.go
+++ b/placer/service.go
@@ -1,10 +1,9 @@
-// Package placer runs the placement of a cell: it takes the cell over in the plan's
-// group, watches the engines, hears demand from homes, lets package placement
-// decide, commits each plan before any order goes out, and tells homes which
-// replicas are ready. None of it needs the key-value service.
+// Package placer runs the placement of a cell, the engines of one region. The placer
+// watches the engines and receives demand from home daemons, which queue requests; each
+// plan of package placement is committed to a replicated group before its orders are sent.
 //
-// At most one daemon's orders count at a time: engines refuse the orders of an
-// earlier epoch, and the group its commits.
+// Engines refuse orders, and the group refuses commits, of an earlier epoch, so that at
+// most one daemon's orders take effect. The key-value service is not needed.
 package placer
 
 import (
@@ -26,19 +25,19 @@
 )
 
 const (
-	// checkInterval is how often a daemon looks whether it should place.
+	// checkInterval is how often a daemon checks whether it should lead the cell.
 	checkInterval = 250 * time.Millisecond
-	// decideInterval is how often a decision is made without a signal.
+	// decideInterval is the longest time between two decisions.
 	decideInterval = 250 * time.Millisecond
-	// gatherPause lets signals that come together lead to one decision.
+	// batchDelay lets changes that arrive together lead to one decision.
 	batchDelay          = 2 * time.Millisecond
 	machineListInterval = time.Second
 	retryDelay          = 300 * time.Millisecond
-	// reorderInterval is the least time between two equal orders.
+	// reorderInterval is the shortest time before an order is repeated.
 	reorderInterval = time.Second
 )
 
-// Dependencies are what the placer works with.
+// Dependencies are the components that the placer uses.
 type Dependencies struct {
 	Region   string
 	SelfID   string
@@ -50,13 +49,13 @@
 	Log      logrus.FieldLogger
 }
 
-// Service is the placer of a daemon; it leads its region's cell while the daemon
-// is the one that should. It is a suture service and serves the Placer rpc.
+// Service is a daemon's placer. It leads its region's cell while the membership view
+// selects the daemon. It is a suture service and serves the Placer and Explain rpcs.
 type Service struct {
 	Dependencies
 	leading  atomic.Pointer[leadership]
 	takeOver atomic.Uint64
-	minEpoch uint64 // least epoch of the next term
+	minEpoch uint64 // lowest epoch for the next term
 }
 
 // leadership is one term of leading the cell.
@@ -64,12 +63,12 @@
 	cell         *cell
 	planRecord   *planRecord
 	epoch        uint64
-	noStoredPlan bool // the group held no plan
+	noStoredPlan bool // the group held no plan when the term began
 	done         <-chan struct{}
 	changed      *broadcast
 }
 
-// New returns the placer of a daemon.
+// New returns a placer; Serve runs it.
 func New(dependencies Dependencies) *Service {
 	return &Service{Dependencies: dependencies}
 }
@@ -77,7 +76,7 @@
 // String names the service in the supervisor's events.
 func (s *Service) String() string { return "placer" }
 
-// Epoch returns the epoch this daemon leads in; zero while it does not.
+// Epoch returns the epoch in which this daemon leads the cell; zero if it does not.
 func (s *Service) Epoch() uint64 {
 	if term := s.leading.Load(); term != nil {
 		return term.epoch
@@ -85,7 +84,7 @@
 	return 0
 }
 
-// Takeovers counts the terms begun by this daemon.
+// Takeovers returns the number of terms that this daemon has begun.
 func (s *Service) Takeovers() uint64 { return s.takeOver.Load() }
 
 // Serve implements suture.Service.
@@ -108,7 +107,7 @@
 	return found && chosen.ID == s.SelfID
 }
 
-// lead takes the cell over and places until another daemon should.
+// lead takes over the cell and makes decisions until another daemon should lead.
 func (s *Service) lead(ctx context.Context) error {
 	planRecord := &planRecord{register: s.Register}
 	plan, noStoredPlan, err := planRecord.takeOver(ctx, s.minEpoch)
@@ -119,7 +118,7 @@
 	defer cancel()
 	term := &leadership{cell: newCell(s.Region, plan), planRecord: planRecord, epoch: plan.Fence.Epoch, noStoredPlan: noStoredPlan, done: ctx.Done(), changed: newBroadcast()}
 	s.takeOver.Add(1)
-	s.Log.WithFields(logrus.Fields{"region": s.Region, "epoch": term.epoch}).Info("placer took the cell over")
+	s.Log.WithFields(logrus.Fields{"region": s.Region, "epoch": term.epoch}).Info("placer took over the cell")
 	var workers sync.WaitGroup
 	defer workers.Wait()
 	defer s.leading.Store(nil)
@@ -130,7 +129,7 @@
 		defer workers.Done()
 		s.watchMachines(ctx, term, listed)
 	}()
-	// Without a list, every engine would seem gone.
+	// Without a machine list, every engine would appear to be removed.
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -140,7 +139,7 @@
 	return s.place(ctx, term, &workers)
 }
 
-// place makes decisions until the daemon should not lead any more.
+// place makes decisions until the daemon should no longer lead.
 func (s *Service) place(ctx context.Context, term *leadership, workers *sync.WaitGroup) error {
 	ticker := time.NewTicker(decideInterval)
 	defer ticker.Stop()
@@ -161,7 +160,7 @@
 			return err
 		}
 		if err != nil && ctx.Err() == nil {
-			s.Log.WithError(err).WithField("epoch", term.epoch).Warn("plan not committed; the earlier one stands")
+			s.Log.WithError(err).WithField("epoch", term.epoch).Warn("plan not committed; the previous plan stays in effect")
 			sleep.For(ctx, retryDelay)
 			continue
 		}
@@ -171,7 +170,7 @@
 	return nil
 }
 
-// decide makes and commits one decision.
+// decide makes and commits one decision, or completes a pending commit.
 func (s *Service) decide(ctx context.Context, term *leadership) error {
 	if pending := term.planRecord.pending; pending != nil {
 		if err := term.planRecord.proposePending(ctx); err != nil {
@@ -210,7 +209,8 @@
 	}
 }
 
-// watchMachines follows the machine list and keeps one watch on each engine.
+// watchMachines polls the machine list and runs one watch per engine. It closes listed
+// after the first list.
 func (s *Service) watchMachines(ctx context.Context, term *leadership, listed chan struct{}) {
 	var watches sync.WaitGroup
 	defer watches.Wait()
@@ -220,7 +220,7 @@
 	for ctx.Err() == nil {
 		machines, err := s.Machines.Machines(ctx, s.Region)
 		if err != nil {
-			s.Log.WithError(err).Debug("machine list not read; the earlier one stands")
+			s.Log.WithError(err).Debug("machine list not read; the previous list stays in use")
 			sleep.For(ctx, machineListInterval)
 			continue
 		}
@@ -254,7 +254,7 @@
 	}
 }
 
-// watchEngine keeps an engine's inventory current by long polls.
+// watchEngine keeps an engine's inventory current by long polling.
 func (s *Service) watchEngine(ctx context.Context, term *leadership, id, address string) {
 	version := uint64(0)
 	for ctx.Err() == nil {
@@ -273,13 +273,13 @@
 	}
 }
 
-// Picture is the placement as this daemon leads it, for status.
+// PlacementStatus is the state of the cell that this daemon leads.
 type PlacementStatus struct {
 	Epoch uint64
 	cellView
 }
 
-// Picture returns the placement and whether this daemon leads.
+// PlacementStatus returns the state of the cell, and false if this daemon does not lead it.
 func (s *Service) PlacementStatus() (PlacementStatus, bool) {
 	term := s.leading.Load()
 	if term == nil {
--- a/placer/watch.go
+++ b/placer/watch.go
@@ -11,7 +11,7 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// broadcast wakes any number of waiters.
+// broadcast wakes all waiters at once.
 type broadcast struct {
 	mutex   sync.Mutex
 	channel chan struct{}
@@ -32,10 +32,10 @@
 	return b.channel
 }
 
-// errNotLeading tells a home to look for the placer again.
-var errNotLeading = errors.New("this daemon does not place for the region")
+// errNotLeading is returned to home daemons, which then look for the placer again.
+var errNotLeading = errors.New("this daemon is not the placer of its region")
 
-// watcher is one home's stream.
+// watcher is the stream of one home daemon.
 type watcher struct {
 	term   *leadership
 	mutex  sync.Mutex
@@ -43,17 +43,18 @@
 	sent   map[string]sentState
 }
 
-// sentState is what a home was last told of a model.
+// sentState is the state of a model that a home daemon was last sent.
 type sentState struct {
-	replicas []string // id, address and adapters, as one text each
+	replicas []string // id, address and adapters, joined by spaces
 	readyAt  time.Time
 	known    bool
 }
 
-// readyTolerance is how far an estimate may drift before it is sent again.
+// readyTolerance is how far an estimated ready time may drift before it is sent again.
 const readyTolerance = 500 * time.Millisecond
 
-// Watch implements the Placer rpc.
+// Watch implements the Placer rpc: it receives a home daemon's demand reports and sends
+// the replicas of the models reported.
 func (s *Service) Watch(stream rpc.DRPCPlacer_WatchStream) error {
 	term := s.leading.Load()
 	if term == nil {
@@ -61,7 +62,7 @@
 	}
 	first, err := stream.Recv()
 	if err != nil {
-		return errors.Wrap(err, "read demand")
+		return errors.Wrap(err, "receive demand report")
 	}
 	home := first.GetHomeId()
 	watch := &watcher{term: term, models: map[string]bool{}, sent: map[string]sentState{}}
@@ -75,7 +76,7 @@
 				return
 			}
 			watch.applyReport(home, report)
-			term.changed.signal() // a model reported anew is told of at once
+			term.changed.signal() // sends the replicas of a newly reported model at once
 		}
 	}()
 	defer term.cell.dropHome(home)
@@ -84,20 +85,20 @@
 		if update := watch.update(time.Now()); update != nil {
 			update.PlacerId, update.Epoch = s.SelfID, term.epoch
 			if err := stream.Send(update); err != nil {
-				return errors.Wrap(err, "tell home")
+				return errors.Wrap(err, "send placement update")
 			}
 		}
 		select {
 		case <-term.done:
 			return errNotLeading
 		case err := <-receiveErr:
-			return errors.Wrap(err, "read demand")
+			return errors.Wrap(err, "receive demand report")
 		case <-changed:
 		}
 	}
 }
 
-// take takes a demand report in.
+// applyReport records a demand report.
 func (w *watcher) applyReport(home string, report *rpc.DemandReport) {
 	now := time.Now()
 	reported := make(map[string]placement.TargetDemand, len(report.GetModels()))
@@ -119,7 +120,7 @@
 	w.term.cell.setDemand(home, reported)
 }
 
-// update returns what changed for the home since it was last told, or nil.
+// update returns the models whose state differs from what was last sent, or nil.
 func (w *watcher) update(now time.Time) *rpc.PlacementUpdate {
 	view := w.term.cell.cellView()
 	w.mutex.Lock()
@@ -139,11 +140,13 @@
 	return update
 }
 
+// equivalent reports whether two states differ by no more than readyTolerance.
 func (s sentState) equivalent(other sentState) bool {
 	drift := s.readyAt.Sub(other.readyAt).Abs()
 	return slices.Equal(s.replicas, other.replicas) && s.known == other.known && drift <= readyTolerance
 }
 
+// describeModel returns a model's state, as a message and in the form kept to compare.
 func describeModel(now time.Time, view cellView, model string) (*rpc.ModelReplicas, sentState) {
 	message := &rpc.ModelReplicas{BaseModel: model, ReadyInMs: -1}
 	state := sentState{}
