--- a/queue/affinity.go
+++ b/queue/affinity.go
@@ -3,15 +3,15 @@
 import "container/list"
 
 const (
-	// maxAffinityEntries bounds the prefixes remembered by one queue.
+	// maxAffinityEntries is how many prompt prefixes one queue tracks.
 	maxAffinityEntries = 4096
-	// affinityLoadFactor is how far above the mean a replica may be loaded and still be
-	// chosen for its cache.
+	// affinityLoadFactor limits the load, relative to the mean of the usable replicas, at
+	// which a replica is still preferred for its cached prefix.
 	affinityLoadFactor = 1.25
 )
 
-// affinity remembers which replica was last given each prompt prefix, the most
-// recent ones only. What an engine evicts meanwhile costs a prefill, no more.
+// affinity maps recent prompt prefixes to the replica that was last granted a request
+// with the prefix. An entry that the engine has evicted only costs a prefill.
 type affinity struct {
 	recency *list.List // of affinityEntry, newest first
 	entries map[uint64]*list.Element
--- a/queue/estimate.go
+++ b/queue/estimate.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// estimate is the time until an item would be granted, and whether enough is
-// known to say so.
+// estimateWait returns the expected time until an item is granted; known is false if there
+// is no data for an estimate.
 func (q *Queue) estimateWait(now time.Time, item Item) (wait time.Duration, known bool) {
 	ready := 0
 	free := 0
@@ -33,8 +33,8 @@
 	return time.Duration(perSlot * float64(q.meanService)), true
 }
 
-// ahead counts the items served before a new one: all of a higher class, and of
-// its own class no more than its branch's share lets through.
+// itemsAhead counts the items served before a new one: all of higher classes and, of its
+// own class, those of its branch plus what the shares of other branches grant meanwhile.
 func (q *Queue) itemsAhead(item Item) int {
 	higher, own := 0, q.waitingByClass[item.Class]
 	for class := range item.Class {
@@ -54,6 +54,7 @@
 	return higher + min(own, fair)
 }
 
+// recordService updates the mean service times with one completed request.
 func (q *Queue) recordService(service time.Duration, tokens int) {
 	updateMean(&q.meanService, service)
 	if tokens > 0 {
@@ -61,7 +62,7 @@
 	}
 }
 
-// blend moves a mean towards a new sample.
+// updateMean updates an exponentially weighted moving average.
 func updateMean(mean *time.Duration, sample time.Duration) {
 	if *mean == 0 {
 		*mean = sample
@@ -70,8 +71,8 @@
 	*mean += time.Duration(serviceSampleWeight * float64(sample-*mean))
 }
 
-// latestDispatch is when an item's dispatch can no longer end by its deadline, judged
-// by the kinder of the mean service and the mean for its tokens.
+// latestDispatch returns the latest time at which a dispatched item can end by its
+// deadline, with the shorter of the mean service time and the estimate for its tokens.
 func (q *Queue) latestDispatch(item Item) time.Time {
 	service := q.meanService
 	if item.Tokens > 0 && q.perToken > 0 {
--- a/queue/grant.go
+++ b/queue/grant.go
@@ -4,6 +4,7 @@
 	"time"
 )
 
+// suspend keeps a failed replica unused, longer with each consecutive failure.
 func (q *Queue) suspend(replica *replicaSlots, now time.Time) {
 	suspension := maxSuspension
 	const doublings = 6
@@ -19,7 +20,8 @@
 	return replica.ready && !now.Before(replica.suspendedUntil)
 }
 
-// fill grants items while any has a replica with a free slot.
+// grantWaiting grants items while one of them has a replica with a free slot, and refuses
+// items that can no longer end by their deadline.
 func (q *Queue) grantWaiting(now time.Time) []Action {
 	var actions []Action
 	for {
@@ -43,8 +45,8 @@
 	}
 }
 
-// next picks the item to grant: the highest class, of it the branch furthest
-// below its share, of that the earliest deadline.
+// next selects the item to grant and its replica: the highest class first, within it the
+// branch that is furthest below its share, within that the earliest deadline.
 func (q *Queue) next(now time.Time) (*waitingItem, *replicaSlots) {
 	var best *waitingItem
 	var bestReplica *replicaSlots
@@ -60,6 +62,7 @@
 	return best, bestReplica
 }
 
+// eligibleHead returns the first item of a lane whose branch is below MaxRunning.
 func (q *Queue) eligibleHead(targetLane *lane) *waitingItem {
 	for class := range targetLane.classes {
 		var best *waitingItem
@@ -80,7 +83,7 @@
 	return nil
 }
 
-// before orders two items for service.
+// before reports whether a is served before b.
 func (q *Queue) before(a, b *waitingItem) bool {
 	if a.item.Class != b.item.Class {
 		return a.item.Class < b.item.Class
@@ -92,11 +95,10 @@
 	return a.earlier(b)
 }
 
-// pick returns the replica for an item: the one that has its prompt's prefix
-// cached, unless it is loaded well above the others; else the one with the fewest
-// requests, one in the gateway's zone first among equals. Where every replica is
-// suspended, one request at a time tries the one that failed longest ago: holding
-// all back would only turn a short fault into a long one.
+// pickReplica returns the replica for an item: the one with the prompt prefix cached
+// unless its load is well above the mean, else the least loaded one, with ties going to
+// the gateway's zone. If all are suspended, the one whose last failure is the oldest gets
+// one request at a time, so that a short fault does not block the queue for long.
 func (q *Queue) pickReplica(item Item, now time.Time) *replicaSlots {
 	var best, trial *replicaSlots
 	usable, running := 0, 0
@@ -127,8 +129,8 @@
 	return best
 }
 
-// cachedReplica returns the usable replica with a free slot that was last given
-// the item's prefix, or nil.
+// cachedReplica returns the replica that was last granted the item's prefix, or nil if
+// it is not usable or has no free slot.
 func (q *Queue) cachedReplica(item Item, now time.Time) *replicaSlots {
 	replica := q.replicas[q.affinity.lookup(item.Prefix)]
 	if replica == nil || !q.usable(replica, now) || replica.running >= q.concurrency {
@@ -140,6 +142,7 @@
 	return replica
 }
 
+// preferred reports whether replica a is a better choice than b for a gateway in zone.
 func preferred(a, b *replicaSlots, zone string) bool {
 	if a.running != b.running {
 		return a.running < b.running
--- a/queue/heap.go
+++ b/queue/heap.go
@@ -1,11 +1,11 @@
 package queue
 
-// waitingItem is an item in its heap.
+// waitingItem is an item with its position in a heap.
 type waitingItem struct {
 	item     Item
 	heap     *itemHeap
 	index    int
-	sequence uint64 // order of arrival in this queue
+	sequence uint64 // arrival number in this queue
 }
 
 func (w *waitingItem) earlier(other *waitingItem) bool {
@@ -15,7 +15,7 @@
 	return w.sequence < other.sequence
 }
 
-// itemHeap is a heap by deadline; it implements heap.Interface.
+// itemHeap is a heap by deadline, then by arrival. It implements heap.Interface.
 type itemHeap []*waitingItem
 
 // Len implements heap.Interface.
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -1,9 +1,8 @@
-// Package queue is the pure core of a home: the one queue of a base model and
-// its adapters in a region, and the slots of the model's replicas.
+// Package queue implements the queue of a base model and its adapters in a region, and
+// the request slots of the model's replicas.
 //
-// A Queue reads no clock, starts nothing and sends nothing. Each method takes the
-// time and returns the actions to carry out, in order. It is not safe for
-// concurrent use.
+// A Queue performs no I/O and reads no clock: its methods take the time and return the
+// actions to perform, in sequence. It is not safe for concurrent use.
 package queue
 
 import (
@@ -16,7 +15,8 @@
 	"github.com/finchspoke/finchspoke/request"
 )
 
-// New returns an empty queue of a base model.
+// New returns an empty queue of a base model whose replicas each run up to concurrency
+// requests.
 func New(model string, concurrency int) *Queue {
 	return &Queue{
 		model: model, concurrency: max(1, concurrency),
@@ -26,14 +26,14 @@
 	}
 }
 
-// SetConcurrency changes how many requests run at once on a replica.
+// SetConcurrency changes how many requests may run on a replica concurrently.
 func (q *Queue) SetConcurrency(now time.Time, concurrency int) []Action {
 	q.concurrency = max(1, concurrency)
 	return q.grantWaiting(now)
 }
 
-// Submit adds an item, or refuses it at once if its branch has too many waiting
-// or its deadline cannot be met. Submitting a known id again does nothing.
+// Submit adds an item, or refuses it at once if it exceeds a limit of its branch or cannot
+// meet its deadline. Submitting an id that waits or runs already has no effect.
 func (q *Queue) Submit(now time.Time, item Item) []Action {
 	if q.items[item.ID] != nil {
 		return nil
@@ -53,11 +53,11 @@
 		return []Action{expiredRefusal(item, wait)}
 	case known && now.Add(wait).After(q.latestDispatch(item)):
 		return []Action{Refusal{Item: item, Kind: failure.DeadlineTooShort, RetryAfter: max(wait, minRetryAfter),
-			Message: fmt.Sprintf("%s is expected to be free in %s, after the deadline", item.Target, wait.Round(time.Millisecond))}}
+			Message: fmt.Sprintf("%s is expected to have a free slot in %s, too late for the deadline", item.Target, wait.Round(time.Millisecond))}}
 	}
 	if retryAfter, exceeded := state.admit(now, item); exceeded != "" {
 		return []Action{Refusal{Item: item, Kind: failure.LimitExceeded, RetryAfter: retryAfter,
-			Message: fmt.Sprintf("branch %s is over its limit of %s for %s", item.Branch, exceeded, q.model)}}
+			Message: fmt.Sprintf("branch %s exceeds its limit of %s for %s", item.Branch, exceeded, q.model)}}
 	}
 	q.push(item)
 	return q.grantWaiting(now)
@@ -68,15 +68,15 @@
 		Message: fmt.Sprintf("the request waited for %s until its deadline could no longer be met", item.Target)}
 }
 
-// Cancel withdraws a waiting item of an owner.
+// Cancel removes a waiting item.
 func (q *Queue) Cancel(id string) {
 	if waiting := q.items[id]; waiting != nil {
 		q.remove(waiting)
 	}
 }
 
-// Release gives a slot back. service is how long the request ran; zero when it
-// did not. engineFailed suspends the replica for a while.
+// Release frees the slot of a request. service is how long the request ran, zero if it
+// did not run; engineFailed suspends the replica.
 func (q *Queue) Release(now time.Time, id string, engineFailed bool, service time.Duration) []Action {
 	item, found := q.running[id]
 	if !found {
@@ -99,15 +99,15 @@
 	return q.grantWaiting(now)
 }
 
-// Running is a request that a gateway runs already.
+// Running is a request that holds a slot, as its gateway reports it.
 type Running struct {
 	ID        string
 	Target    string
 	ReplicaID string
 }
 
-// Restore counts a request that a gateway runs already, after this queue was made
-// or lost touch with the gateway.
+// Restore records a request that a gateway runs already, after the queue was created or
+// the gateway reconnected.
 func (q *Queue) Restore(now time.Time, owner string, running Running) {
 	if _, known := q.running[running.ID]; known {
 		return
@@ -130,9 +130,8 @@
 	replica.running++
 }
 
-// DropWaiting forgets what a gateway has waiting, after its link broke: it submits
-// that again when it is back. What it runs keeps its slots until it says otherwise
-// or is known dead.
+// DropWaiting removes the waiting items of a disconnected gateway, which submits them
+// again when it reconnects. Its running requests keep their slots until Reconcile.
 func (q *Queue) DropWaiting(owner string) {
 	for _, waiting := range q.items {
 		if waiting.item.Owner == owner {
@@ -141,8 +140,8 @@
 	}
 }
 
-// Reconcile takes in all that a gateway runs in this queue; whatever else of it
-// holds a slot has ended. With nothing running it forgets a dead gateway.
+// Reconcile replaces the running requests of a gateway: those not listed have ended, and
+// their slots are freed. For a dead gateway, running is empty.
 func (q *Queue) Reconcile(now time.Time, owner string, running []Running) []Action {
 	listed := make(map[string]bool, len(running))
 	for _, request := range running {
@@ -172,8 +171,8 @@
 	}
 }
 
-// SetReplicas replaces the ready replicas. readyIn is when a first replica is
-// expected where there is none; negative when unknown.
+// SetReplicas replaces the ready replicas. readyIn is the time until a first replica is
+// expected if there is none; it is negative if unknown.
 func (q *Queue) SetReplicas(now time.Time, replicas []Replica, readyIn time.Duration) []Action {
 	for _, replica := range q.replicas {
 		replica.ready = false
@@ -203,8 +202,8 @@
 	}
 }
 
-// refuseUnmeetable ends the items whose deadline is before the first replica can
-// be ready: the caller learns it now rather than at the deadline.
+// refuseUnmeetable refuses the items whose deadline cannot be met because the first replica
+// is ready too late, so that callers need not wait until the deadline.
 func (q *Queue) refuseUnmeetable(now time.Time) []Action {
 	if len(q.replicas) > 0 || q.firstReadyAt.IsZero() {
 		return nil
@@ -215,14 +214,14 @@
 		if q.firstReadyAt.After(q.latestDispatch(waiting.item)) {
 			q.remove(waiting)
 			actions = append(actions, Refusal{Item: waiting.item, Kind: failure.DeadlineTooShort, RetryAfter: max(wait, minRetryAfter),
-				Message: fmt.Sprintf("%s is expected to be loaded in %s, after the deadline", waiting.item.Target, wait.Round(time.Millisecond))})
+				Message: fmt.Sprintf("%s is expected to be loaded in %s, too late for the deadline", waiting.item.Target, wait.Round(time.Millisecond))})
 		}
 	}
 	return actions
 }
 
-// Tick refuses what has passed its deadline and uses replicas whose suspension
-// has ended.
+// Tick refuses items that can no longer meet their deadline, and grants slots on replicas
+// whose suspension has ended.
 func (q *Queue) Tick(now time.Time) []Action {
 	var actions []Action
 	for _, targetLane := range q.lanes {
@@ -240,16 +239,16 @@
 	return append(actions, q.grantWaiting(now)...)
 }
 
-// Waiting is the number of items that wait.
+// Waiting returns the number of waiting items.
 func (q *Queue) Waiting() int { return len(q.items) }
 
-// HasWaiting tells whether any item waits for a target.
+// HasWaiting reports whether any item waits for a target.
 func (q *Queue) HasWaiting(target string) bool { return q.lanes[target] != nil }
 
-// Running is the number of items that hold a slot.
+// Running returns the number of items that hold a slot.
 func (q *Queue) Running() int { return len(q.running) }
 
-// Demands lists the demand of every target used, sorted by name.
+// Demands lists the demand for every target used so far, sorted by name.
 func (q *Queue) Demands() []Demand {
 	byTarget := map[string]*Demand{}
 	for target, used := range q.lastUsed {
@@ -298,7 +297,7 @@
 	}
 	state := q.branch(item.Branch)
 	if state.waiting == 0 {
-		// A branch that was idle has no claim on the time it did not use.
+		// A branch gets no credit for the time in which it had no items waiting.
 		state.virtualStart = max(state.virtualStart, q.virtualTime)
 	}
 	state.waiting++
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -28,7 +28,7 @@
 	return ready
 }
 
-// grants returns the ids granted, in order.
+// grantedIDs returns the ids of granted items, in the order of their grants.
 func grantedIDs(actions []queue.Action) []string {
 	var ids []string
 	for _, action := range actions {
@@ -39,7 +39,7 @@
 	return ids
 }
 
-func TestOrderIsClassThenShareThenDeadline(t *testing.T) {
+func TestGrantOrderIsClassThenShareThenDeadline(t *testing.T) {
 	q := queue.New("m", 100)
 	q.Submit(start, newItem("bulk", request.Bulk, "a", time.Hour))
 	q.Submit(start, newItem("a-late", request.Standard, "a", 50*time.Second))
@@ -49,7 +49,7 @@
 	order := grantedIDs(q.SetReplicas(start, newReplicas("e"), -1))
 	require.Equal(t, "interactive", order[0])
 	require.Equal(t, "bulk", order[4])
-	require.Equal(t, "b", order[1], "branch a had its turn")
+	require.Equal(t, "b", order[1], "branch b must be next after branch a's grant")
 	require.Equal(t, []string{"a-soon", "a-late"}, order[2:4])
 }
 
@@ -70,7 +70,7 @@
 	require.Equal(t, map[string]int{"heavy": 15, "light": 5}, served)
 }
 
-func TestHopelessIsRefusedAtOnceWithAnEstimate(t *testing.T) {
+func TestUnmeetableDeadlineIsRefusedAtOnceWithEstimate(t *testing.T) {
 	q := queue.New("m", 1)
 	q.SetReplicas(start, nil, 10*time.Second)
 	refusal := q.Submit(start, newItem("short", request.Interactive, "a", 5*time.Second))[0].(queue.Refusal)
@@ -78,10 +78,10 @@
 	require.Equal(t, 10*time.Second, refusal.RetryAfter)
 	require.Empty(t, q.Submit(start, newItem("long", request.Interactive, "a", 15*time.Second)))
 	refusal = q.SetReplicas(start, nil, 20*time.Second)[0].(queue.Refusal)
-	require.Equal(t, "long", refusal.Item.ID, "told when it became hopeless, not at its deadline")
+	require.Equal(t, "long", refusal.Item.ID, "must be refused when the estimate changes, not at its deadline")
 }
 
-func TestNothingIsGrantedThatCannotEndInTime(t *testing.T) {
+func TestItemThatCannotEndInTimeIsNotGranted(t *testing.T) {
 	q := queue.New("m", 1)
 	q.SetReplicas(start, newReplicas("e"), -1)
 	require.Equal(t, []string{"first"}, grantedIDs(q.Submit(start, newItem("first", request.Standard, "a", time.Minute))))
@@ -93,7 +93,7 @@
 	require.Equal(t, []string{"roomy"}, grantedIDs(actions))
 }
 
-func TestFailingReplicaRestsWhileOthersServe(t *testing.T) {
+func TestFailedReplicaIsSuspendedWhileOthersServe(t *testing.T) {
 	q := queue.New("m", 10)
 	q.SetReplicas(start, newReplicas("e1", "e2"), -1)
 	first := q.Submit(start, newItem("1", request.Standard, "a", time.Minute))[0].(queue.Grant)
@@ -104,9 +104,9 @@
 	}
 }
 
-// TestOnlyReplicaIsTriedSoonHoweverOftenItFailed: requests waited for up to their
-// deadline while the one replica with their adapter was suspended for 16 s.
-func TestOnlyReplicaIsTriedSoonHoweverOftenItFailed(t *testing.T) {
+// TestOnlyReplicaIsRetriedSoonAfterRepeatedFailures guards against requests that wait
+// until their deadline while the only replica that could serve them is suspended.
+func TestOnlyReplicaIsRetriedSoonAfterRepeatedFailures(t *testing.T) {
 	q := queue.New("m", 10)
 	q.SetReplicas(start, newReplicas("e1"), -1)
 	now := start
@@ -115,21 +115,21 @@
 		q.Submit(now, newItem(id, request.Standard, "a", time.Hour))
 		now = now.Add(500 * time.Millisecond)
 		if number > 0 {
-			require.Empty(t, grantedIDs(q.Tick(now.Add(-time.Millisecond))), "not at once")
+			require.Empty(t, grantedIDs(q.Tick(now.Add(-time.Millisecond))), "must not be retried at once")
 		}
 		q.Tick(now)
-		require.Equal(t, 1, q.Running(), "tried within half a second of the last failure")
-		if number > 1 { // suspended for longer than that, and tried all the same
-			require.Empty(t, q.Submit(now, newItem(id+"-second", request.Standard, "a", time.Hour)), "one at a time")
+		require.Equal(t, 1, q.Running(), "must be retried within half a second of the last failure")
+		if number > 1 { // the suspension is longer than half a second now
+			require.Empty(t, q.Submit(now, newItem(id+"-second", request.Standard, "a", time.Hour)), "only one request may run on a suspended replica")
 			q.Cancel(id + "-second")
 		}
 		q.Release(now, id, true, 0)
 	}
 }
 
-// TestTwoReplicasOnOneEngineAreKeptApart: an adapter loaded on one of two replicas
-// on the same engine was not seen, and its requests waited to their deadline.
-func TestTwoReplicasOnOneEngineAreKeptApart(t *testing.T) {
+// TestReplicasOnOneEngineAreDistinguished guards against missing an adapter that only one
+// of two replicas on the same engine has loaded.
+func TestReplicasOnOneEngineAreDistinguished(t *testing.T) {
 	q := queue.New("m", 1)
 	q.SetReplicas(start, []queue.Replica{
 		{ID: "r1", EngineID: "e", Adapters: map[string]bool{"m.a": true}}, {ID: "r2", EngineID: "e"}}, -1)
@@ -139,7 +139,7 @@
 	require.Equal(t, "r2", q.Submit(start, newItem("plain", request.Standard, "a", time.Minute))[0].(queue.Grant).Replica.ID)
 }
 
-func TestLimitsOfABranch(t *testing.T) {
+func TestBranchLimits(t *testing.T) {
 	refusalOf := func(q *queue.Queue, now time.Time, limited queue.Item) queue.Refusal {
 		return q.Submit(now, limited)[0].(queue.Refusal)
 	}
@@ -173,8 +173,8 @@
 		q.SetReplicas(start, newReplicas("e"), -1)
 		limits := settings.Limits{MaxRunning: 1}
 		require.Len(t, q.Submit(start, limited("1", limits)), 1)
-		require.Empty(t, q.Submit(start, limited("2", limits)), "waits")
-		require.Len(t, q.Submit(start, newItem("other", request.Bulk, "b", time.Hour)), 1, "others go on")
+		require.Empty(t, q.Submit(start, limited("2", limits)), "must wait for MaxRunning")
+		require.Len(t, q.Submit(start, newItem("other", request.Bulk, "b", time.Hour)), 1, "other branches must still be granted")
 		require.Equal(t, []string{"2"}, grantedIDs(q.Release(start, "1", false, time.Second)))
 	})
 }
@@ -189,17 +189,17 @@
 	}
 	first := q.Submit(start, prefixed("0"))[0].(queue.Grant).Replica.ID
 	second := q.Submit(start, prefixed("1"))[0].(queue.Grant).Replica.ID
-	require.Equal(t, first, second, "the cache is used")
+	require.Equal(t, first, second, "the replica with the cached prefix must be used")
 	used := map[string]int{first: 2}
 	for number := range 58 {
 		used[q.Submit(start, prefixed(fmt.Sprint("n", number)))[0].(queue.Grant).Replica.ID]++
 	}
 	for _, id := range []string{"e1", "e2", "e3"} {
-		require.InDelta(t, 20, used[id], 6, "no hot spot: %v", used)
+		require.InDelta(t, 20, used[id], 6, "load must be spread over the replicas: %v", used)
 	}
 }
 
-// BenchmarkDispatch measures one submit, grant and release with many waiting.
+// BenchmarkDispatch measures one submit, grant and release with many items waiting.
 func BenchmarkDispatch(b *testing.B) {
 	for _, waiting := range []int{100, 1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
--- a/queue/types.go
+++ b/queue/types.go
@@ -8,7 +8,7 @@
 	"github.com/finchspoke/finchspoke/settings"
 )
 
-// Item is a request that waits for a slot.
+// Item is a request for a slot on a replica.
 type Item struct {
 	ID       string
 	Owner    string // the gateway that holds the caller's connection
@@ -18,13 +18,13 @@
 	Limits   settings.Limits
 	Class    request.Class
 	Zone     string // the gateway's zone
-	Tokens   int    // asked for, prompt and answer
+	Tokens   int    // requested, for prompt and response
 	Prefix   uint64 // hash of the prompt's leading part; zero: none
 	Arrived  time.Time
-	Deadline time.Time // the whole answer is due then
+	Deadline time.Time // for the complete response
 }
 
-// Replica is a ready replica.
+// Replica is a model replica that can serve requests.
 type Replica struct {
 	ID       string // an engine may hold several replicas of a model
 	EngineID string
@@ -36,13 +36,13 @@
 // Action is a Grant or a Refusal.
 type Action interface{ action() }
 
-// Grant gives an item a slot on a replica: it may be dispatched there once.
+// Grant assigns an item a slot on a replica, which permits one dispatch to it.
 type Grant struct {
 	Item    Item
 	Replica Replica
 }
 
-// Refusal ends an item that was never granted.
+// Refusal rejects an item that has not been granted a slot.
 type Refusal struct {
 	Item       Item
 	Kind       failure.Kind
@@ -53,27 +53,28 @@
 func (Grant) action()   {}
 func (Refusal) action() {}
 
-// Demand is what one target asks of the placer.
+// Demand is the demand for one target, as reported to the placer.
 type Demand struct {
 	Target   string
 	Waiting  int
-	Urgent   int // of the waiting, those of class interactive
+	Urgent   int // waiting items of class interactive
 	Running  int
 	LastUsed time.Time
 }
 
 const (
-	// minSuspension and maxSuspension bound how long a replica that failed
-	// gets nothing while others can serve; it doubles with each failure in a row.
+	// minSuspension and maxSuspension bound how long a failed replica is suspended; the
+	// time doubles with each consecutive failure.
 	minSuspension = 500 * time.Millisecond
 	maxSuspension = 10 * time.Second
-	// dispatchMargin before its deadline an item is no longer worth a dispatch.
+	// dispatchMargin is the time before its deadline within which an item is not dispatched.
 	dispatchMargin = 20 * time.Millisecond
-	// serviceSampleWeight is the weight of a new sample in the mean service time.
+	// serviceSampleWeight is the weight of a new sample in the mean service times.
 	serviceSampleWeight = 0.1
-	// minServiceFraction of the expected service must fit before the deadline.
+	// minServiceFraction is the fraction of the expected service time that must remain
+	// before the deadline.
 	minServiceFraction = 0.9
-	// minRetryAfter is the least advice when to come back.
+	// minRetryAfter is the shortest retry delay that a refusal advises.
 	minRetryAfter = time.Second
 )
 
@@ -84,7 +85,7 @@
 	lanes          map[string]*lane
 	items          map[string]*waitingItem
 	branches       map[string]*branchState
-	virtualTime    float64                  // of the branch served last
+	virtualTime    float64                  // virtualStart of the branch granted last
 	replicas       map[string]*replicaSlots // by replica id
 	running        map[string]runningItem
 	lastUsed       map[string]time.Time // by target
@@ -101,27 +102,28 @@
 	target    string
 	replicaID string
 	branch    string // empty if restored
-	tokens    int    // asked for; zero if restored
+	tokens    int    // requested; zero if restored
 }
 
-// slots is a replica with what runs on it.
+// replicaSlots is a replica with the state of its slots.
 type replicaSlots struct {
 	Replica
 	ready          bool
 	running        int
-	failures       int // in a row
+	failures       int // consecutive
 	failedAt       time.Time
 	suspendedUntil time.Time
 }
 
-// lane holds what waits for one target, by class and branch.
+// lane holds the waiting items of one target, by class and branch.
 type lane struct {
 	target  string
 	classes [request.ClassCount]map[string]*itemHeap
 }
 
+// branchState is the fair-share and limit state of one branch.
 type branchState struct {
-	virtualStart float64
+	virtualStart float64 // grows with each grant by the inverse of the branch's share
 	waiting      int
 	running      int
 	requests     bucket
