--- a/home/client.go
+++ b/home/client.go
@@ -13,33 +13,33 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// Ask is a request for a slot.
+// SlotRequest asks a home daemon for a slot on a replica.
 type SlotRequest struct {
 	RequestID string
 	Model     string   // base model
-	Regions   []string // where the model is served
+	Regions   []string // in which the model is served
 	Target    string
 	Branch    string
 	Class     request.Class
-	Tokens    int    // asked for, prompt and answer
+	Tokens    int    // requested, for prompt and response
 	Prefix    uint64 // engine.PrefixHash of the prompt
 	Arrived   time.Time
 	Deadline  time.Time
 }
 
-// Slot is the right to dispatch once to an engine. It must be released.
+// Slot permits one dispatch to a replica. It must be released.
 type Slot struct {
 	ReplicaID   string
 	EngineID    string
 	Address     string
 	HomeID      string
-	Waited      time.Duration // in the queue, by the home's clock
+	Waited      time.Duration // time in the queue, by the home daemon's clock
 	client      *Client
 	acquisition *acquisition
 	released    bool
 }
 
-// Client asks homes for slots on behalf of a gateway.
+// Client acquires slots from home daemons for a gateway.
 type Client struct {
 	gatewayID string
 	zone      string
@@ -54,13 +54,13 @@
 	stop         context.CancelFunc
 }
 
-// ask is a request in the client's hands, until its slot is released.
+// acquisition is a slot request that waits, or whose slot is not released yet.
 type acquisition struct {
 	SlotRequest
 	homeID    string
 	granted   bool
 	replicaID string
-	outcome   chan outcome // of size one
+	outcome   chan outcome // has capacity one, so that sends do not block
 }
 
 // outcome is a grant or a refusal.
@@ -69,8 +69,8 @@
 	refusal *failure.Error
 }
 
-// NewClient returns the client of a gateway; local is the home server in the same
-// process, which is reached without the network.
+// NewClient returns the client of a gateway. It reaches local, the home server in the same
+// process, without the network.
 func NewClient(gatewayID, zone string, view func() *membership.View, local *Server, log logrus.FieldLogger) *Client {
 	ctx, stop := context.WithCancel(context.Background())
 	return &Client{
@@ -79,17 +79,17 @@
 	}
 }
 
-// Close ends all links.
+// Close closes the links to all homes.
 func (c *Client) Close() { c.stop() }
 
-// noHomeError is the refusal when no daemon runs where the model is served.
+// noHomeError is returned when no daemon runs in a region that serves the model.
 func noHomeError(slotRequest SlotRequest) *failure.Error {
 	return failure.New(failure.NoCapacity, "try again shortly; if it persists, see `finchspoke status` for live daemons",
 		"no daemon runs in a region that serves %s", slotRequest.Model).WithRetryAfter(time.Second)
 }
 
-// Acquire waits for a slot. It fails with a *failure.Error when the home refuses,
-// and with the error of ctx when that ends first; either way nothing ran.
+// Acquire waits for a slot. It returns a *failure.Error if the home refuses the request,
+// and the error of ctx if that ends first; in both cases the request has not run.
 func (c *Client) Acquire(ctx context.Context, slotRequest SlotRequest) (*Slot, error) {
 	pending := &acquisition{SlotRequest: slotRequest, outcome: make(chan outcome, 1)}
 	c.mutex.Lock()
@@ -112,7 +112,7 @@
 		delete(c.acquisitions, slotRequest.RequestID)
 	}
 	c.mutex.Unlock()
-	// A grant may have come just now; it is given back.
+	// A grant that arrived meanwhile is released.
 	select {
 	case result := <-pending.outcome:
 		if slot, err := c.slot(pending, result); err == nil {
@@ -138,8 +138,8 @@
 	}, nil
 }
 
-// Release gives the slot back. service is how long the request ran, zero if it
-// did not; engineFailed keeps the replica from more work for a while.
+// Release frees the slot. service is how long the request ran, zero if it did not run;
+// engineFailed makes the home suspend the replica.
 func (s *Slot) Release(engineFailed bool, service time.Duration) {
 	c := s.client
 	c.mutex.Lock()
@@ -157,7 +157,7 @@
 		RequestId: pending.RequestID, BaseModel: pending.Model, EngineFailed: engineFailed, ServiceMs: service.Milliseconds()}}}
 }
 
-// submit sends an ask to a home; the mutex is held.
+// submit sends a slot request to a home; the caller holds the mutex.
 func (c *Client) submit(pending *acquisition, home membership.Member) {
 	pending.homeID = home.ID
 	c.link(home)
@@ -173,14 +173,15 @@
 	}}}
 }
 
-// send hands a message to the link to a home, if it is open.
+// send queues a message on the link to a home, if there is one.
 func (c *Client) send(homeID string, message *rpc.GatewayMessage) {
 	if opened := c.links[homeID]; opened != nil {
 		opened.send(message)
 	}
 }
 
-// MembersChanged moves asks whose home is another member now.
+// MembersChanged moves acquisitions whose home has changed to the new home, and closes
+// the links to members that no longer run.
 func (c *Client) MembersChanged(view *membership.View) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -188,7 +189,7 @@
 	for _, pending := range c.acquisitions {
 		home, found := view.Home(pending.Model, pending.Regions)
 		if !found || home.ID == pending.homeID {
-			inUse[pending.homeID] = true // the last daemon of a region serves to its end
+			inUse[pending.homeID] = true // without a new home, the previous one stays in use
 			continue
 		}
 		if pending.granted {
@@ -221,7 +222,7 @@
 	return &rpc.Running{RequestId: pending.RequestID, BaseModel: pending.Model, Target: pending.Target, ReplicaId: pending.replicaID}
 }
 
-// deliver takes a home's message in.
+// handle processes a message from a home.
 func (c *Client) handle(homeID string, message *rpc.HomeMessage) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -238,8 +239,8 @@
 	pending.outcome <- outcome{refusal: refusalError(refusal)}
 }
 
-// handleGrant accepts a grant, or gives it back when the ask is gone, moved to
-// another home or granted already.
+// handleGrant accepts a grant, or releases it if its request was cancelled, has moved to
+// another home or has a grant already.
 func (c *Client) handleGrant(homeID string, grant *rpc.Grant) {
 	pending := c.acquisitions[grant.GetRequestId()]
 	if pending == nil || pending.granted || pending.homeID != homeID {
@@ -257,9 +258,9 @@
 }
 
 var refusalRemedies = map[failure.Kind]string{
-	failure.LimitExceeded:    "come back after the time given, or ask your operator to raise max_waiting",
-	failure.DeadlineTooShort: "come back after the time given, or allow a longer deadline",
-	failure.DeadlineExceeded: "come back after the time given, or allow a longer deadline",
+	failure.LimitExceeded:    "retry after the time given, or ask your operator to raise max_waiting",
+	failure.DeadlineTooShort: "retry after the time given, or allow a longer deadline",
+	failure.DeadlineExceeded: "retry after the time given, or allow a longer deadline",
 }
 
 func refusalError(refusal *rpc.Refusal) *failure.Error {
@@ -268,7 +269,7 @@
 		WithRetryAfter(time.Duration(refusal.GetRetryAfterMs()) * time.Millisecond)
 }
 
-// link opens the link to a home unless there is one; the mutex is held.
+// link opens the link to a home if there is none; the caller holds the mutex.
 func (c *Client) link(home membership.Member) {
 	if c.links[home.ID] != nil {
 		return
@@ -283,8 +284,8 @@
 	go opened.run()
 }
 
-// openAcquisitions returns the asks at a home: those that run, and those that wait; the
-// mutex is held.
+// openAcquisitions returns the running and the waiting acquisitions of a home; the caller
+// holds the mutex.
 func (c *Client) openAcquisitions(homeID string) (running, waiting []*acquisition) {
 	for _, pending := range c.acquisitions {
 		switch {
--- a/home/link.go
+++ b/home/link.go
@@ -17,7 +17,7 @@
 	maxReconnectDelay = time.Second
 )
 
-// link carries a gateway's messages to one home, across broken connections.
+// link carries a gateway's messages to one home and reconnects when the connection breaks.
 type link struct {
 	client *Client
 	home   membership.Member
@@ -28,8 +28,8 @@
 	outgoing *mailbox[*rpc.GatewayMessage] // nil while not connected
 }
 
-// connectLocal serves the home in this process. The home's lock is never taken
-// under the client's, so messages pass through mailboxes both ways.
+// connectLocal links to the home in the same process. Messages pass through mailboxes in
+// both directions, so that no goroutine holds the client's and the server's mutex at once.
 func (l *link) connectLocal(server *Server) {
 	l.inbox = newMailbox[*rpc.GatewayMessage]()
 	responses := newMailbox[*rpc.HomeMessage]()
@@ -51,8 +51,8 @@
 	}()
 }
 
-// send passes a message on; while there is no connection it is left out, since
-// opening one tells the home of all that is open then.
+// send queues a message. It drops the message while there is no connection, since
+// openMailbox sends all open acquisitions on a new one.
 func (l *link) send(message *rpc.GatewayMessage) {
 	if l.outgoing != nil {
 		l.outgoing.put(message)
@@ -70,7 +70,7 @@
 		if l.ctx.Err() != nil {
 			return
 		}
-		l.client.log.WithError(err).WithField("home", l.home.ID).Debug("link to home broke; it is opened again")
+		l.client.log.WithError(err).WithField("home", l.home.ID).Debug("link to home broken; reconnecting")
 		if time.Since(started) > maxReconnectDelay {
 			delay = minReconnectDelay
 		}
@@ -79,7 +79,7 @@
 	}
 }
 
-// connect serves one connection.
+// connect opens a connection and exchanges messages until it breaks.
 func (l *link) connect() error {
 	ctx, cancel := context.WithCancel(l.ctx)
 	defer cancel()
@@ -102,13 +102,14 @@
 	for {
 		message, err := stream.Recv()
 		if err != nil {
-			return errors.Wrap(err, "read home")
+			return errors.Wrap(err, "receive from home")
 		}
 		l.client.handle(l.home.ID, message)
 	}
 }
 
-// begin fills a new connection's mailbox with all that is open at the home.
+// openMailbox returns the mailbox of a new connection, which first sends all open
+// acquisitions of the home.
 func (l *link) openMailbox() *mailbox[*rpc.GatewayMessage] {
 	l.client.mutex.Lock()
 	defer l.client.mutex.Unlock()
--- a/home/mailbox.go
+++ b/home/mailbox.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// mailbox is an unbounded queue between a producer that must not block and a
-// sender. What it holds is bounded by the requests that are open.
+// mailbox is a queue between a producer that must not block and a sender. It has no limit
+// of its own; the number of open requests bounds its length.
 type mailbox[T any] struct {
 	mutex  sync.Mutex
 	items  []T
@@ -41,8 +41,7 @@
 	m.wake()
 }
 
-// drainTo sends items in order until the mailbox is closed, ctx ends or a send
-// fails.
+// drainTo sends items in sequence until the mailbox is closed, ctx ends or a send fails.
 func (m *mailbox[T]) drainTo(ctx context.Context, send func(T) error) error {
 	for {
 		m.mutex.Lock()
--- a/home/placement.go
+++ b/home/placement.go
@@ -13,23 +13,22 @@
 )
 
 const (
-	// reportInterval is how often changed demand is reported when nothing is
-	// urgent.
+	// reportInterval is how often changed demand is reported if none is urgent.
 	reportInterval = 500 * time.Millisecond
-	// urgentPause gathers what arrives together into one report.
+	// batchDelay lets changes that arrive together go into one report.
 	batchDelay = 2 * time.Millisecond
-	// placerRetryDelay is the wait before the placer is looked for again.
+	// placerRetryDelay is the delay before reconnecting to the placer.
 	placerRetryDelay = 100 * time.Millisecond
 )
 
-// Reporter tells the region's placer of the demand in a server's queues, and the
-// server of its replicas. It is a suture service.
+// DemandReporter reports the demand in a server's queues to the region's placer, and
+// passes the replicas that the placer sends to the server. It is a suture service.
 type DemandReporter struct {
 	server *Server
 	region string
 }
 
-// NewDemandReporter returns the reporter of a server in a region.
+// NewDemandReporter returns a reporter from a server to a region's placer.
 func NewDemandReporter(server *Server, region string) *DemandReporter {
 	return &DemandReporter{server: server, region: region}
 }
@@ -37,23 +36,24 @@
 // String names the service in the supervisor's events.
 func (r *DemandReporter) String() string { return "demand-reporter" }
 
-// Serve implements suture.Service. While no placer answers, the replicas known
-// last stay in use.
+// Serve implements suture.Service. While there is no placer, the server keeps using the
+// replicas received last.
 func (r *DemandReporter) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := r.watchPlacer(ctx); err != nil && ctx.Err() == nil {
-			r.server.log.WithError(err).Debug("no placer; replicas known last stay in use")
+			r.server.log.WithError(err).Debug("no connection to the placer; the replicas received last stay in use")
 		}
 		sleep.For(ctx, placerRetryDelay)
 	}
 	return ctx.Err()
 }
 
-// follow keeps one stream to the placer until it breaks or another should place.
+// watchPlacer exchanges demand and replicas with the placer until the stream breaks or
+// another daemon becomes the placer.
 func (r *DemandReporter) watchPlacer(ctx context.Context) error {
 	placer, found := r.server.view().Placer(r.region)
 	if !found {
-		return errors.New("no member runs in the region")
+		return errors.New("no daemon of the region is running")
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -82,7 +82,7 @@
 			sleep.For(ctx, batchDelay)
 		case <-ticker.C:
 			if current, found := r.server.view().Placer(r.region); !found || current.ID != placer.ID {
-				return errors.New("another member places now")
+				return errors.New("another daemon has become the placer")
 			}
 		}
 		if report := r.report(false, reported); len(report.GetModels()) > 0 {
@@ -117,8 +117,8 @@
 	return replicas
 }
 
-// report gathers the demand that changed, or all of it; queues long unused are
-// forgotten. reported remembers the targets told of in this stream, by model.
+// report returns the demand that changed, or all of it, and drops idle queues. reported
+// holds the targets reported on this stream, by model.
 func (r *DemandReporter) report(all bool, reported map[string]map[string]bool) *rpc.DemandReport {
 	s := r.server
 	s.mutex.Lock()
@@ -150,7 +150,8 @@
 	return report
 }
 
-// forget drops the queues that were long unused; the mutex is held.
+// dropIdleQueues deletes the queues unused for idleQueueRetention and returns messages that
+// make the placer forget their targets. The caller holds the mutex.
 func (s *Server) dropIdleQueues(now time.Time, reported map[string]map[string]bool) []*rpc.ModelDemand {
 	var forgotten []*rpc.ModelDemand
 	for model, q := range s.queues {
--- a/home/server.go
+++ b/home/server.go
@@ -1,9 +1,7 @@
-// Package home runs the queues of the models that a daemon is home to, and the
-// client with which a gateway asks a home for a slot on a replica.
-//
-// A gateway owns its requests: it holds the caller's connection and the request
-// body, and dispatches to the engine itself. A home decides when and where. When
-// a home is lost, gateways submit what still waits to the next one.
+// Package home implements home daemons, which queue the requests for the models assigned
+// to them, and the client with which gateways acquire slots on replicas. The home decides
+// when and where a request runs; the gateway dispatches it. When a home fails, gateways
+// submit their waiting requests to its successor.
 package home
 
 import (
@@ -22,15 +20,15 @@
 )
 
 const (
-	// tickInterval is how often queues look for items past their deadline.
+	// tickInterval is how often queues are checked for expired items.
 	tickInterval = 20 * time.Millisecond
-	// forgetAfter is how long a queue without requests is kept.
+	// idleQueueRetention is how long a queue without requests is kept.
 	idleQueueRetention = time.Hour
-	// defaultConcurrency is for a model that this daemon's settings do not know yet.
+	// defaultConcurrency applies to models that the current settings do not declare.
 	defaultConcurrency = 1
 )
 
-// Server owns the queues. It is a suture service and serves the Home rpc.
+// Server runs a daemon's queues. It is a suture service and serves the Home rpc.
 type Server struct {
 	settings *settings.Store
 	view     func() *membership.View
@@ -40,10 +38,10 @@
 	mutex       sync.Mutex
 	queues      map[string]*queue.Queue // by base model
 	sessions    map[string]*Session     // by gateway id
-	detached    map[string]bool         // gateways without a session that may still run requests
+	detached    map[string]bool         // disconnected gateways that may still run requests
 	dirty       map[string]bool         // base models whose demand changed
-	urgent      chan struct{}           // signals demand that must not wait
-	itemWaiting chan struct{}           // signals that some item waits
+	urgent      chan struct{}           // signals demand to report at once
+	itemWaiting chan struct{}           // signals that an item waits
 }
 
 // NewServer returns a server without queues.
@@ -58,8 +56,7 @@
 // String names the service in the supervisor's events.
 func (s *Server) String() string { return "home" }
 
-// Serve implements suture.Service: it drives the queues' time, and rests while
-// nothing waits.
+// Serve implements suture.Service: it ticks the queues, and pauses while no item waits.
 func (s *Server) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -82,7 +79,7 @@
 	}
 }
 
-// tick returns how many items wait after it.
+// tick ticks all queues and returns the number of items that still wait.
 func (s *Server) tick(now time.Time) (waiting int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -98,14 +95,15 @@
 	return waiting
 }
 
-// Session is a gateway's link, over the network or within the process.
+// Session is the server's end of a gateway's link, over the network or in the process.
 type Session struct {
 	server    *Server
 	gatewayID string
 	deliver   func(*rpc.HomeMessage)
 }
 
-// Attach opens a session for a gateway; deliver must not block.
+// OpenSession opens a session for a gateway and replaces its earlier one. The server calls
+// deliver with its mutex held; it must not block.
 func (s *Server) OpenSession(gatewayID string, deliver func(*rpc.HomeMessage)) *Session {
 	session := &Session{server: s, gatewayID: gatewayID, deliver: deliver}
 	s.mutex.Lock()
@@ -115,14 +113,14 @@
 	return session
 }
 
-// Close ends the session; what it had waiting is forgotten, since the gateway
-// submits it again elsewhere.
+// Close ends the session and drops the gateway's waiting items, which the gateway submits
+// again when it reconnects or to another home.
 func (l *Session) Close() {
 	s := l.server
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.sessions[l.gatewayID] != l {
-		return // a newer session of the gateway has taken over
+		return // a newer session of the gateway has replaced it
 	}
 	delete(s.sessions, l.gatewayID)
 	for _, q := range s.queues {
@@ -132,7 +130,7 @@
 	s.reconcileDead(s.view())
 }
 
-// MembersChanged frees what gateways held that are known dead now.
+// MembersChanged frees the slots of disconnected gateways that are dead.
 func (s *Server) MembersChanged(view *membership.View) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -142,14 +140,14 @@
 func (s *Server) reconcileDead(view *membership.View) {
 	for gatewayID := range s.detached {
 		if member, known := view.Member(gatewayID); known && member.Status != membership.Dead {
-			continue // one that left still finishes what it runs
+			continue // a member that left completes its running requests
 		}
 		delete(s.detached, gatewayID)
 		s.reconcile(gatewayID, nil)
 	}
 }
 
-// reconcile takes in all that a gateway runs, over all queues.
+// reconcile replaces a gateway's running requests in all queues.
 func (s *Server) reconcile(gatewayID string, running []*rpc.Running) {
 	byModel := map[string][]queue.Running{}
 	for _, entry := range running {
@@ -166,7 +164,7 @@
 	return queue.Running{ID: message.GetRequestId(), Target: message.GetTarget(), ReplicaID: message.GetReplicaId()}
 }
 
-// Handle takes a gateway's message in.
+// Handle processes a message from the gateway.
 func (l *Session) Handle(message *rpc.GatewayMessage) {
 	s := l.server
 	now := time.Now()
@@ -188,7 +186,7 @@
 			signal(s.itemWaiting)
 		}
 		if !hadWaiting && q.HasWaiting(submit.GetTarget()) {
-			signal(s.urgent) // the placer learns of the first that waits at once, of others soon
+			signal(s.urgent) // the first waiting item is reported at once, further ones within reportInterval
 		}
 	case message.GetCancel() != nil:
 		s.withQueue(message.GetCancel().GetBaseModel(), func(q *queue.Queue) []queue.Action {
@@ -210,8 +208,8 @@
 	}
 }
 
-// signal wakes a reader of a channel of size one; signals that come together are
-// one.
+// signal sends to a channel of capacity one without blocking, so that pending signals
+// are merged into one.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -219,7 +217,7 @@
 	}
 }
 
-// queue returns the queue of a base model, making it if new.
+// queue returns the queue of a base model and creates it if needed.
 func (s *Server) queue(model string) *queue.Queue {
 	q := s.queues[model]
 	if q == nil {
@@ -238,7 +236,8 @@
 	return defaultConcurrency
 }
 
-// item fills in what the branch's settings say.
+// item converts a submit message to a queue item, with the share and limits from the
+// branch's settings.
 func (s *Server) item(gatewayID string, submit *rpc.Submit, now time.Time) queue.Item {
 	item := queue.Item{
 		ID: submit.GetRequestId(), Owner: gatewayID, Target: submit.GetTarget(), Branch: submit.GetBranch(), Share: 1,
@@ -256,7 +255,7 @@
 	return item
 }
 
-// carryOut sends a queue's actions to the gateways concerned.
+// deliverActions sends a queue's grants and refusals to the gateways that own the items.
 func (s *Server) deliverActions(model string, actions []queue.Action) {
 	s.dirty[model] = true
 	for _, action := range actions {
@@ -278,7 +277,7 @@
 	}
 }
 
-// SetReplicas takes in what the placer says of a base model.
+// SetReplicas applies the placer's report of a base model's replicas.
 func (s *Server) SetReplicas(model string, replicas []queue.Replica, readyIn time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -298,7 +297,7 @@
 	}
 }
 
-// ModelStatus is the state of one queue, for status.
+// ModelStatus is the state of one model's queue, as the status endpoint reports it.
 type ModelStatus struct {
 	Model   string         `json:"model"`
 	Waiting int            `json:"waiting"`
@@ -306,7 +305,7 @@
 	Demand  []queue.Demand `json:"demand"`
 }
 
-// Status lists the queues of this daemon.
+// Status returns the state of all queues of this daemon.
 func (s *Server) Status() []ModelStatus {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -317,14 +316,14 @@
 	return status
 }
 
-// Link implements the Home rpc.
+// Link implements the Home rpc: it serves the session of one gateway.
 func (s *Server) Link(stream rpc.DRPCHome_LinkStream) error {
 	first, err := stream.Recv()
 	if err != nil {
-		return errors.Wrap(err, "read hello")
+		return errors.Wrap(err, "receive hello")
 	}
 	if first.GetHello() == nil {
-		return errors.New("a link begins with hello")
+		return errors.New("the first message on a link must be hello")
 	}
 	outgoing := newMailbox[*rpc.HomeMessage]()
 	session := s.OpenSession(first.GetHello().GetGatewayId(), outgoing.put)
@@ -337,7 +336,7 @@
 		if err != nil {
 			outgoing.close()
 			<-sent
-			return errors.Wrap(err, "read gateway")
+			return errors.Wrap(err, "receive from gateway")
 		}
 		session.Handle(message)
 	}
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -1,8 +1,7 @@
-// Package placement computes which models and adapters are loaded on which engines.
-// It is a pure function from a snapshot to the next plan, without a clock or I/O.
-//
-// A plan lists a replica from before its load until its unload is confirmed, so that
-// its memory is not assigned to another replica too early.
+// Package placement computes which models and adapters are loaded on which engines, as
+// a pure function from a snapshot to the next plan, without a clock or I/O. A plan lists
+// a replica from before its load until its unload is confirmed, so that its memory is not
+// assigned to another replica too early.
 package placement
 
 import (
--- a/placer/service.go
+++ b/placer/service.go
@@ -1,9 +1,7 @@
-// Package placer runs the placement of a cell, the engines of one region. The placer
-// watches the engines and receives demand from home daemons, which queue requests; each
-// plan of package placement is committed to a replicated group before its orders are sent.
-//
-// Engines refuse orders, and the group refuses commits, of an earlier epoch, so that at
-// most one daemon's orders take effect. The key-value service is not needed.
+// Package placer runs the placement of a cell, the engines of one region: it watches the
+// engines, receives demand from the home daemons, which queue requests, and sends orders
+// once a replicated group has stored the plan. Engines and group reject earlier epochs, so
+// that the orders of at most one daemon take effect.
 package placer
 
 import (
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -1,8 +1,7 @@
 // Package queue implements the queue of a base model and its adapters in a region, and
-// the request slots of the model's replicas.
-//
-// A Queue performs no I/O and reads no clock: its methods take the time and return the
-// actions to perform, in sequence. It is not safe for concurrent use.
+// the request slots of the model's replicas. A Queue performs no I/O and reads no clock:
+// its methods take the time and return the actions to perform, in sequence. It is not safe
+// for concurrent use.
 package queue
 
 import (
