--- a/adminapi/adminapi.go
+++ b/adminapi/adminapi.go
@@ -1,15 +1,15 @@
-// Package adminapi holds the messages of a daemon's operator interface and the
-// client that the command line uses.
+// Package adminapi defines the messages of a daemon's operator interface and the client
+// for it.
 //
-//	GET  /healthz, /readyz, /metrics        open
+//	GET  /healthz, /readyz, /metrics        without a token
 //	GET  /v1/status                         Status
 //	GET  /v1/settings/current               Revision
 //	GET  /v1/settings/revisions/{number}    Revision
 //	GET  /v1/settings/history               []Revision, without YAML
-//	POST /v1/settings/apply                 Application, answered by a Revision
+//	POST /v1/settings/apply                 Application; returns a Revision
 //	GET  /v1/explain/model/{name}           Explanation
 //	GET  /v1/explain/request/{id}           gateway.Ended
-//	POST /v1/drain                          begins a planned stop
+//	POST /v1/drain                          starts a planned stop
 package adminapi
 
 import (
@@ -38,17 +38,17 @@
 	PathExplainRequest = "/v1/explain/request/"
 )
 
-// Member is a daemon as another knows it.
+// Member is a daemon in the membership view of the daemon queried.
 type Member struct {
 	ID               string `json:"id"`
 	Region           string `json:"region"`
 	Zone             string `json:"zone"`
 	Status           string `json:"status"`
 	RPCAddress       string `json:"rpc_address"`
-	SettingsRevision uint64 `json:"settings_revision"` // last heard
+	SettingsRevision uint64 `json:"settings_revision"` // last announced
 }
 
-// Placement is the plan of the cell, shown by the daemon that places.
+// Placement is the current plan of a region's cell, reported by its placer only.
 type Placement struct {
 	Region  string                 `json:"region"`
 	Epoch   uint64                 `json:"epoch"`
@@ -71,12 +71,12 @@
 	Placement        *Placement         `json:"placement,omitempty"`
 }
 
-// Explanation says why a model is, or is not, where it is.
+// Explanation describes why a model is, or is not, loaded on the engines of a region.
 type Explanation struct {
 	Lines []string `json:"lines"`
 }
 
-// Revision is an accepted state of the settings tree.
+// Revision is an accepted revision of the settings tree.
 type Revision struct {
 	Number      uint64    `json:"revision"`
 	OperationID string    `json:"operation_id"`
@@ -85,7 +85,7 @@
 	YAML        string    `json:"yaml,omitempty"`
 }
 
-// Application asks for a tree to be put in force.
+// Application is a request to apply a settings tree on top of a base revision.
 type Application struct {
 	BaseRevision uint64 `json:"base_revision"`
 	OperationID  string `json:"operation_id"`
@@ -112,12 +112,12 @@
 	Token   string
 }
 
-// Get reads a path into answer.
+// Get requests a path and decodes the response into result.
 func (c Client) Get(ctx context.Context, path string, result any) error {
 	return c.call(ctx, http.MethodGet, path, nil, result)
 }
 
-// Post sends a message to a path and reads the answer.
+// Post sends a message to a path and decodes the response into result, unless that is nil.
 func (c Client) Post(ctx context.Context, path string, message, result any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
@@ -132,7 +132,7 @@
 	defer cancel()
 	httpRequest, err := http.NewRequestWithContext(ctx, method, "http://"+c.Address+path, bytes.NewReader(body))
 	if err != nil {
-		return failure.Wrap(err, failure.InvalidRequest, "give --address as host:port", "the address is not valid")
+		return failure.Wrap(err, failure.InvalidRequest, "set --address to host:port", "the address is invalid")
 	}
 	if c.Token != "" {
 		httpRequest.Header.Set("Authorization", "Bearer "+c.Token)
@@ -144,7 +144,7 @@
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return failure.Wrap(err, failure.Unavailable, remedy, "the daemon's answer broke off").WithExecution(failure.Unknown)
+		return failure.Wrap(err, failure.Unavailable, remedy, "the daemon's response was interrupted").WithExecution(failure.Unknown)
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
 		return responseError(response.StatusCode, text)
@@ -153,15 +153,16 @@
 		return nil
 	}
 	if err := json.Unmarshal(text, result); err != nil {
-		return failure.Wrap(err, failure.Unavailable, remedy, "the daemon's answer is not understood")
+		return failure.Wrap(err, failure.Unavailable, remedy, "the daemon's response is not valid")
 	}
 	return nil
 }
 
+// responseError decodes an error response.
 func responseError(status int, text []byte) error {
 	var body Error
 	if err := json.Unmarshal(text, &body); err != nil || body.Kind == "" {
-		return failure.New(failure.Unavailable, "check --address", "the daemon answered status %d", status)
+		return failure.New(failure.Unavailable, "check --address", "the daemon responded with status %d", status)
 	}
 	return failure.New(body.Kind, body.Remedy, "%s", body.Message).WithExecution(body.Execution)
 }
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -23,12 +23,12 @@
 
 const (
 	maxApplyBytes        = 64 << 20
-	maxOperationID       = 128
+	maxOperationID       = 128 // bytes
 	adminHeaderTimeout   = 5 * time.Second
 	adminShutdownTimeout = 2 * time.Second
 )
 
-// adminServer is the operator interface. It is a suture service.
+// adminServer serves the operator interface over HTTP. It is a suture service.
 type adminServer struct {
 	daemon   *Daemon
 	listener net.Listener
@@ -50,7 +50,7 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return errors.Wrap(err, "serve operators")
+	return errors.Wrap(err, "serve operator interface")
 }
 
 func (a *adminServer) routes() http.Handler {
@@ -72,7 +72,7 @@
 	return mux
 }
 
-// profiles serves the runtime's profiles, to operators only.
+// profiles serves pprof profiles to authorized operators.
 func (a *adminServer) profiles(writer http.ResponseWriter, httpRequest *http.Request) {
 	if err := a.authorize(httpRequest); err != nil {
 		http.Error(writer, err.Error(), http.StatusUnauthorized)
@@ -93,8 +93,8 @@
 	_, _ = writer.Write([]byte("ready\n"))
 }
 
-// guarded asks for the operator token, where there is one, and turns the result
-// of a call into its answer.
+// guarded wraps a call as an HTTP handler that requires the operator token, if one is
+// configured, and writes the result or the error as JSON.
 func (a *adminServer) guarded(call func(*http.Request) (any, error)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, httpRequest *http.Request) {
 		writer.Header().Set("Content-Type", "application/json")
@@ -107,7 +107,7 @@
 			writer.WriteHeader(adminStatus(failed.Kind))
 			result = adminapi.Error{Kind: failed.Kind, Message: failed.Message, Remedy: failed.Remedy, Execution: failed.Execution}
 		}
-		_ = json.NewEncoder(writer).Encode(result) // the operator may be gone
+		_ = json.NewEncoder(writer).Encode(result) // fails only if the client has disconnected
 	}
 }
 
@@ -115,11 +115,12 @@
 	expected := a.daemon.config.OperatorToken
 	given := strings.TrimPrefix(httpRequest.Header.Get("Authorization"), "Bearer ")
 	if expected != "" && subtle.ConstantTimeCompare([]byte(expected), []byte(given)) != 1 {
-		return failure.New(failure.Unauthenticated, "give the operator token with --token", "the operator token is missing or wrong")
+		return failure.New(failure.Unauthenticated, "pass the operator token with --token", "the operator token is missing or wrong")
 	}
 	return nil
 }
 
+// adminStatus returns the HTTP status for a kind of failure.
 func adminStatus(kind failure.Kind) int {
 	switch kind {
 	case failure.Unauthenticated:
@@ -181,7 +182,7 @@
 func (a *adminServer) revision(httpRequest *http.Request) (any, error) {
 	number, err := strconv.ParseUint(httpRequest.PathValue("number"), 10, 64)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.InvalidRequest, "give a revision number", "the revision is not a number")
+		return nil, failure.Wrap(err, failure.InvalidRequest, "give a revision number", "the revision number is invalid")
 	}
 	revision, err := a.daemon.registry.Get(httpRequest.Context(), number)
 	if err != nil {
@@ -207,10 +208,10 @@
 	var application adminapi.Application
 	body := http.MaxBytesReader(nil, httpRequest.Body, maxApplyBytes)
 	if err := json.NewDecoder(body).Decode(&application); err != nil {
-		return nil, failure.Wrap(err, failure.InvalidRequest, "use `finchspoke settings apply`", "the application is not understood")
+		return nil, failure.Wrap(err, failure.InvalidRequest, "use `finchspoke settings apply`", "the request body is not valid JSON for applying settings")
 	}
 	if application.OperationID == "" || len(application.OperationID) > maxOperationID {
-		return nil, failure.New(failure.InvalidRequest, "give an operation id of 1 to 128 bytes", "the operation id is not valid")
+		return nil, failure.New(failure.InvalidRequest, "give an operation id of 1 to 128 bytes", "the operation id has an invalid length")
 	}
 	tree, err := settings.Parse(settings.Source{Name: "settings", Data: []byte(application.YAML)})
 	if err != nil {
@@ -225,13 +226,13 @@
 	return describe(revision), nil
 }
 
-// explainModel names the model's home and asks the region's placer for the rest.
+// explainModel returns the model's home and the explanation from its region's placer.
 func (a *adminServer) explainModel(httpRequest *http.Request) (any, error) {
 	d := a.daemon
 	name := httpRequest.PathValue("name")
 	current := d.settings.Current()
 	if current == nil {
-		return nil, failure.New(failure.Unavailable, "try again shortly", "this daemon has no settings yet")
+		return nil, failure.New(failure.Unavailable, "try again shortly", "this daemon has not received any settings yet")
 	}
 	target, found := current.Tree.Targets[name]
 	if !found {
@@ -250,7 +251,7 @@
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Unavailable, "try again shortly", "the placer of %s, %s, did not answer", home.Region, placer.ID)
 	}
-	summary := "requests through this daemon queue at home " + home.ID + "; " + placer.ID + " places for " + home.Region
+	summary := "requests through this daemon queue at home " + home.ID + "; " + placer.ID + " is the placer of " + home.Region
 	return adminapi.Explanation{Lines: append([]string{summary}, response.GetLines()...)}, nil
 }
 
@@ -258,8 +259,8 @@
 	id := httpRequest.PathValue("id")
 	ended, found := a.daemon.gateway.EndedRequest(id)
 	if !found {
-		return nil, failure.New(failure.InvalidRequest, "ask the daemon that served it, or search the logs for request_id",
-			"request %s is not among those that ended here last", id)
+		return nil, failure.New(failure.InvalidRequest, "query the daemon that served it, or search the logs for request_id",
+			"request %s is not among the requests that ended last on this daemon", id)
 	}
 	return ended, nil
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon assembles a finchspoke daemon: gateway, home, placer, membership
-// and settings, each a service under one suture supervisor.
+// Package daemon assembles a finchspoke daemon from its gateway, home, placer, membership
+// and settings services, which run under one suture supervisor.
 package daemon
 
 import (
@@ -33,17 +33,18 @@
 	"github.com/finchspoke/finchspoke/transport"
 )
 
-// Version of the product.
+// Version is the version that the status endpoint reports.
 const Version = "0.1.0"
 
 const (
-	// leavePropagationDelay is the time for the news of leaving to spread before the
-	// gateway stops to listen.
+	// leavePropagationDelay lets the other members learn by gossip that this daemon leaves
+	// before its gateway closes its listener.
 	leavePropagationDelay = 500 * time.Millisecond
-	// handoverTimeout bounds the wait for others to take over this daemon's claims.
+	// handoverTimeout bounds the wait for others to replace this daemon in its groups.
 	handoverTimeout      = 15 * time.Second
 	handoverPollInterval = 50 * time.Millisecond
-	// suspicionIntervals is how many probe intervals a suspect has to refute.
+	// suspicionIntervals is the number of probe intervals within which a suspected member
+	// must answer before it is declared dead.
 	suspicionIntervals  = 3
 	probeTimeoutDivisor = 3
 )
@@ -70,7 +71,7 @@
 	drainOnce  sync.Once
 }
 
-// sockets are what a daemon listens on.
+// sockets are a daemon's listening sockets.
 type sockets struct {
 	gateway net.Listener
 	rpc     net.Listener
@@ -78,7 +79,7 @@
 	gossip  net.PacketConn
 }
 
-// Addresses are those a daemon listens on, host:port.
+// Addresses are a daemon's listening addresses, as host:port.
 type Addresses struct {
 	Gateway string
 	RPC     string
@@ -86,7 +87,7 @@
 	Admin   string
 }
 
-// New opens a daemon's sockets and assembles it; Run starts it.
+// New opens a daemon's sockets and assembles its services; Run starts them.
 func New(cfg config.Config, log logrus.FieldLogger) (*Daemon, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
@@ -142,7 +143,7 @@
 }
 
 func listenError(err error, name, address string) error {
-	return failure.Wrap(err, failure.InvalidConfig, "give a free address of this machine under listen."+name, "cannot listen on %s for %s", address, name)
+	return failure.Wrap(err, failure.InvalidConfig, "set an unused address of this machine in listen."+name, "cannot listen on %s for %s", address, name)
 }
 
 func withTLS(listener net.Listener, files config.TLS) (net.Listener, error) {
@@ -151,7 +152,7 @@
 	}
 	certificate, err := tls.LoadX509KeyPair(files.CertificateFile, files.KeyFile)
 	if err != nil {
-		return listener, failure.Wrap(err, failure.InvalidConfig, "give a certificate and its key as PEM files", "the TLS files cannot be used")
+		return listener, failure.Wrap(err, failure.InvalidConfig, "provide a certificate and its key as PEM files", "cannot load the TLS certificate and key")
 	}
 	return tls.NewListener(listener, &tls.Config{Certificates: []tls.Certificate{certificate}, MinVersion: tls.VersionTLS12}), nil
 }
@@ -167,7 +168,7 @@
 	}
 }
 
-// Addresses returns the addresses listened on, with the ports that were taken.
+// Addresses returns the addresses listened on, with the ports actually assigned.
 func (d *Daemon) Addresses() Addresses {
 	return Addresses{
 		Gateway: d.sockets.gateway.Addr().String(),
@@ -177,19 +178,19 @@
 	}
 }
 
-// SettingsRevision returns the number of the settings revision in force here.
+// SettingsRevision returns the number of the settings revision in effect on this daemon.
 func (d *Daemon) SettingsRevision() uint64 { return d.settings.Number() }
 
 // GossipTraffic returns the bytes of membership packets sent and received so far.
 func (d *Daemon) GossipTraffic() (sent, received uint64) { return d.members.Traffic() }
 
-// PlacerEpoch returns the epoch in which this daemon places; zero if it does not.
+// PlacerEpoch returns the epoch in which this daemon is the placer; zero if it is not.
 func (d *Daemon) PlacerEpoch() uint64 { return d.placer.Epoch() }
 
-// ID returns the daemon's id.
+// ID returns the configured id, or the rpc address if none is configured.
 func (d *Daemon) ID() string { return d.config.ID }
 
-// assemble makes the parts and hands them to the supervisor.
+// assemble creates the services and adds them to the supervisor.
 func (d *Daemon) assemble() {
 	store := kv.NewClient(d.config.Platform.KeyValue)
 	d.registry = settings.NewRegistry(store, time.Now)
@@ -232,7 +233,7 @@
 		rpc.DRPCRegisterGroups(mux, claims), rpc.DRPCRegisterExplain(mux, d.placer),
 	} {
 		if err != nil {
-			panic(err) // a service registered twice: a mistake in this function
+			panic(err) // only if this function registers a service twice
 		}
 	}
 }
@@ -268,11 +269,11 @@
 	gauge := func(name, help string, value func() float64) {
 		d.metrics.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 	}
-	gauge("finchspoke_settings_revision", "Settings revision in force.", func() float64 { return float64(d.settings.Number()) })
-	gauge("finchspoke_members_running", "Members known as running.", func() float64 {
+	gauge("finchspoke_settings_revision", "Settings revision in effect.", func() float64 { return float64(d.settings.Number()) })
+	gauge("finchspoke_members_running", "Members known to be running.", func() float64 {
 		return float64(len(d.members.View().RunningIn("")))
 	})
-	gauge("finchspoke_placer_epoch", "Epoch in which this daemon places; 0 if it does not.", func() float64 { return float64(d.placer.Epoch()) })
+	gauge("finchspoke_placer_epoch", "Epoch in which this daemon is the placer; 0 if it is not.", func() float64 { return float64(d.placer.Epoch()) })
 	gauge("finchspoke_gossip_sent_bytes", "Bytes of membership packets sent.", func() float64 {
 		sent, _ := d.members.Traffic()
 		return float64(sent)
@@ -283,7 +284,7 @@
 	})
 }
 
-// notReady returns why the daemon should not get callers, or nothing.
+// notReady returns why the daemon should get no requests, or "" if it is ready.
 func (d *Daemon) notReady() string {
 	switch {
 	case d.draining.Load():
@@ -294,13 +295,14 @@
 	return ""
 }
 
-// BeginDrain starts a planned stop; Run returns when it is done.
+// BeginDrain starts a planned stop; Run returns when the stop is complete.
 func (d *Daemon) BeginDrain() {
 	d.draining.Store(true)
 	d.drainOnce.Do(func() { close(d.drain) })
 }
 
-// Run serves until ctx ends (at once) or a planned stop is done (no request cut).
+// Run serves until ctx ends, which stops the daemon at once, or until a planned stop
+// is complete, which lets running requests end within the drain timeout.
 func (d *Daemon) Run(ctx context.Context) error {
 	serving, stop := context.WithCancel(ctx)
 	defer stop()
@@ -324,9 +326,9 @@
 	return err
 }
 
-// handOverClaims waits until other daemons have taken this one's place in the
-// run-once groups, if there are others and they do so soon: a rolling restart must
-// not take two members from one group.
+// handOverClaims waits, up to handoverTimeout, until other daemons of the region have
+// replaced this one in the run-once groups, which hold idempotency claims, so that a
+// rolling restart does not take two members from one group.
 func (d *Daemon) handOverClaims(ctx context.Context) {
 	deadline := time.Now().Add(handoverTimeout)
 	for d.claims.Serving() && time.Now().Before(deadline) && ctx.Err() == nil && len(d.members.View().RunningIn(d.config.Region)) > 0 {
@@ -334,10 +336,10 @@
 	}
 }
 
-// leave tells the members, so that queues move to other homes, and waits for the
-// requests of this gateway.
+// leave announces the stop to the members, so that queues move to other homes, and waits
+// for the gateway's requests to end.
 func (d *Daemon) leave(ctx context.Context) error {
-	d.log.Info("planned stop: leaving")
+	d.log.Info("planned stop: leaving the cluster")
 	d.members.Leave()
 	sleep.For(ctx, leavePropagationDelay)
 	d.handOverClaims(ctx)
--- a/daemon/spread.go
+++ b/daemon/spread.go
@@ -15,37 +15,37 @@
 )
 
 const (
-	// watchersPerZone is how many daemons of a zone follow the key-value service;
-	// the others hear of a revision by gossip and fetch it from a peer.
+	// watchersPerZone is how many daemons of a zone watch the key-value service. The others
+	// learn of new revisions by gossip and fetch them from a peer.
 	watchersPerZone      = 2
 	watcherCheckInterval = 500 * time.Millisecond
 	fetchTimeout         = 2 * time.Second
 )
 
-// spreader puts accepted settings revisions in force in this daemon, from the
-// key-value service or from peers. It is a suture service and serves the Settings
+// settingsDistributor brings accepted settings revisions, from the key-value service or
+// from peers, into effect in this daemon. It is a suture service and serves the Settings
 // rpc.
 type settingsDistributor struct {
 	store     *settings.Store
 	registry  *settings.Registry
 	members   *membership.Service
 	log       logrus.FieldLogger
-	fetchFrom chan string // ids of members that told of a newer revision
+	fetchFrom chan string // ids of members that announced a newer revision
 }
 
 func newSettingsDistributor(store *settings.Store, registry *settings.Registry, members *membership.Service, log logrus.FieldLogger) *settingsDistributor {
 	distributor := &settingsDistributor{store: store, registry: registry, members: members, log: log, fetchFrom: make(chan string, 1)}
 	store.Listen(func(revision *settings.Revision) {
-		log.WithFields(logrus.Fields{"revision": revision.Number, "author": revision.Author}).Info("settings in force")
+		log.WithFields(logrus.Fields{"revision": revision.Number, "author": revision.Author}).Info("settings in effect")
 		members.Announce(revision.Number)
-		// Reading a tree of thousands of models takes several times its memory;
-		// revisions are rare enough to give that back at once.
+		// Decoding a large settings tree needs several times its size in memory. Revisions
+		// are rare enough to return that memory to the system each time.
 		debug.FreeOSMemory()
 	})
 	members.OnRevisionHeard(func(memberID string, _ uint64) {
 		select {
 		case distributor.fetchFrom <- memberID:
-		default: // one fetch at a time; gossip will tell again
+		default: // a fetch is pending; gossip repeats the announcement
 		}
 	})
 	return distributor
@@ -63,14 +63,14 @@
 			return ctx.Err()
 		case memberID := <-s.fetchFrom:
 			if err := s.fetch(ctx, memberID); err != nil {
-				s.log.WithError(err).WithField("member", memberID).Debug("settings not fetched; gossip will tell again")
+				s.log.WithError(err).WithField("member", memberID).Debug("settings not fetched; gossip repeats the announcement")
 			}
 		}
 	}
 }
 
-// watchWhileAssigned follows the key-value service while this daemon is one of its
-// zone's watchers.
+// watchWhileAssigned watches the key-value service while this daemon is one of its zone's
+// settings watchers.
 func (s *settingsDistributor) watchWhileAssigned(ctx context.Context) {
 	for ctx.Err() == nil {
 		if s.members.View().IsSettingsWatcher(watchersPerZone) {
@@ -95,16 +95,16 @@
 			}
 		}
 	}()
-	_ = s.registry.Follow(ctx, s.store, func(err error) { // ends with ctx only
-		s.log.WithError(err).Error("accepted settings cannot be read; the earlier revision stays in force")
+	_ = s.registry.Follow(ctx, s.store, func(err error) { // returns only when ctx ends
+		s.log.WithError(err).Error("cannot read accepted settings; the previous revision stays in effect")
 	})
 }
 
-// fetch gets the newest settings of a member.
+// fetch gets the current settings of a member and applies them if they are newer.
 func (s *settingsDistributor) fetch(ctx context.Context, memberID string) error {
 	member, known := s.members.View().Member(memberID)
 	if !known {
-		return errors.New("the member is not known yet")
+		return errors.New("the member is not in the membership view yet")
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -131,7 +131,8 @@
 	return nil
 }
 
-// Fetch implements the Settings rpc.
+// Fetch implements the Settings rpc: it returns the current revision if the peer does not
+// have it.
 func (s *settingsDistributor) Fetch(_ context.Context, query *rpc.FetchSettings) (*rpc.SettingsRevision, error) {
 	current := s.store.Current()
 	if current == nil || current.Number <= query.GetKnownRevision() {
--- a/gzipped/gzipped.go
+++ b/gzipped/gzipped.go
@@ -9,16 +9,16 @@
 	"github.com/pkg/errors"
 )
 
-// Compress returns data compressed.
+// Compress returns the gzip encoding of data.
 func Compress(data []byte) []byte {
 	var buffer bytes.Buffer
 	writer := gzip.NewWriter(&buffer)
-	_, _ = writer.Write(data) // a bytes.Buffer takes every write
+	_, _ = writer.Write(data) // writes to a bytes.Buffer do not fail
 	_ = writer.Close()
 	return buffer.Bytes()
 }
 
-// Decompress returns what was compressed; more than limit bytes are an error.
+// Decompress decodes gzip data. It fails if the result exceeds limit bytes.
 func Decompress(data []byte, limit int64) ([]byte, error) {
 	reader, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
--- a/placement/explain.go
+++ b/placement/explain.go
@@ -14,7 +14,7 @@
 func Explain(snapshot Snapshot, target string) []string {
 	declared, found := snapshot.Tree.Targets[target]
 	if !found {
-		return []string{fmt.Sprintf("%s is not declared in the settings in force", target)}
+		return []string{fmt.Sprintf("%s is not declared in the settings in effect", target)}
 	}
 	model := snapshot.Tree.Models[declared.Model]
 	if !slices.Contains(model.ServiceRegions, snapshot.Region) {
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous picks owners by highest-random-weight hashing: every
-// member computes the same owner from the same member list, and a change of one
-// member moves only the keys that member owned.
+// Package rendezvous implements rendezvous hashing (highest random weight): all members
+// compute the same owner of a key from the same member list, and adding or removing a
+// member moves only the keys that it owns.
 package rendezvous
 
 import (
@@ -10,15 +10,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// separator keeps ("ab","c") and ("a","bc") apart.
+// separator distinguishes ("ab", "c") from ("a", "bc") in the hash input.
 const separator = "\x00"
 
-// Score is the weight of a member for a key; the highest wins.
+// Score returns the weight of a member for a key; the member with the highest owns it.
 func Score(key, memberID string) uint64 {
 	return xxhash.Sum64String(key + separator + memberID)
 }
 
-// Owner returns the member with the highest score, or false without members.
+// Owner returns the member with the highest score for the key, and false if there are no
+// members. The lower id wins a tie.
 func Owner(key string, memberIDs []string) (string, bool) {
 	owner := ""
 	best := uint64(0)
--- a/transport/traffic.go
+++ b/transport/traffic.go
@@ -5,11 +5,11 @@
 	"sync/atomic"
 )
 
-// Traffic is what other daemons' connections to this one carry.
+// Traffic counts the traffic on connections that other daemons have opened to this one.
 type Traffic struct {
 	SentBytes     uint64
 	ReceivedBytes uint64
-	Connections   int64 // that are open
+	Connections   int64 // currently open
 }
 
 // meter counts the traffic of a listener's connections.
@@ -22,7 +22,7 @@
 	return Traffic{SentBytes: m.sent.Load(), ReceivedBytes: m.received.Load(), Connections: m.open.Load()}
 }
 
-// meteredListener counts what its connections carry.
+// meteredListener counts the traffic of the connections that it accepts.
 type meteredListener struct {
 	net.Listener
 	meter *meter
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -1,4 +1,4 @@
-// Package transport carries drpc between daemons over TCP.
+// Package transport provides drpc clients and servers over TCP between daemons.
 package transport
 
 import (
@@ -36,25 +36,25 @@
 	poolCapacityPerPeer = 8
 )
 
-// Pool keeps connections for single calls.
+// Pool keeps connections open for unary calls to daemons.
 type Pool struct {
 	connections *drpcpool.Pool[string, drpcpool.Conn]
 }
 
-// NewPool returns an empty pool.
+// NewPool returns a pool without connections.
 func NewPool() *Pool {
 	return &Pool{drpcpool.New[string, drpcpool.Conn](drpcpool.Options{
 		Expiration: poolIdleTimeout, Capacity: poolCapacity, KeyCapacity: poolCapacityPerPeer})}
 }
 
-// To returns a connection to a daemon for calls; it is dialed when first used.
+// Conn returns a connection for calls to a daemon; the pool dials it on first use.
 func (p *Pool) Conn(ctx context.Context, address string) drpc.Conn {
 	return p.connections.Get(ctx, address, func(ctx context.Context, address string) (drpcpool.Conn, error) {
 		return Dial(ctx, address)
 	})
 }
 
-// Close drops all connections.
+// Close closes all connections in the pool.
 func (p *Pool) Close() { _ = p.connections.Close() }
 
 // Server serves registered drpc services on a listener. It is a suture service.
@@ -64,16 +64,16 @@
 	meter    meter
 }
 
-// NewServer returns a server for a listener; services are registered on Mux
-// before it serves.
+// NewServer returns a server for a listener. Services must be registered on its Mux
+// before Serve.
 func NewServer(listener net.Listener) *Server {
 	return &Server{listener: listener, mux: drpcmux.New()}
 }
 
-// Mux is where services are registered.
+// Mux returns the mux on which services are registered.
 func (s *Server) Mux() *drpcmux.Mux { return s.mux }
 
-// Traffic returns what the connections of other daemons have carried.
+// Traffic returns the traffic on the server's connections so far.
 func (s *Server) Traffic() Traffic { return s.meter.traffic() }
 
 // Serve implements suture.Service.
