--- a/adminapi/adminapi.go
+++ b/adminapi/adminapi.go
@@ -142,26 +142,26 @@
 		return failure.Wrap(err, failure.Unavailable, remedy, "the daemon at %s did not answer", c.Address).WithExecution(failure.Unknown)
 	}
 	defer func() { _ = response.Body.Close() }()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return failure.Wrap(err, failure.Unavailable, remedy, "the daemon's response was interrupted").WithExecution(failure.Unknown)
 	}
 	if response.StatusCode >= http.StatusMultipleChoices {
-		return responseError(response.StatusCode, text)
+		return responseError(response.StatusCode, data)
 	}
 	if result == nil {
 		return nil
 	}
-	if err := json.Unmarshal(text, result); err != nil {
+	if err := json.Unmarshal(data, result); err != nil {
 		return failure.Wrap(err, failure.Unavailable, remedy, "the daemon's response is not valid")
 	}
 	return nil
 }
 
 // responseError decodes an error response.
-func responseError(status int, text []byte) error {
+func responseError(status int, data []byte) error {
 	var body Error
-	if err := json.Unmarshal(text, &body); err != nil || body.Kind == "" {
+	if err := json.Unmarshal(data, &body); err != nil || body.Kind == "" {
 		return failure.New(failure.Unavailable, "check --address", "the daemon responded with status %d", status)
 	}
 	return failure.New(body.Kind, body.Remedy, "%s", body.Message).WithExecution(body.Execution)
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -182,7 +182,7 @@
 func (a *adminServer) revision(httpRequest *http.Request) (any, error) {
 	number, err := strconv.ParseUint(httpRequest.PathValue("number"), 10, 64)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.InvalidRequest, "give a revision number", "the revision number is invalid")
+		return nil, failure.Wrap(err, failure.InvalidRequest, "specify a revision number", "the revision number is invalid")
 	}
 	revision, err := a.daemon.registry.Get(httpRequest.Context(), number)
 	if err != nil {
@@ -211,7 +211,7 @@
 		return nil, failure.Wrap(err, failure.InvalidRequest, "use `finchspoke settings apply`", "the request body is not valid JSON for applying settings")
 	}
 	if application.OperationID == "" || len(application.OperationID) > maxOperationID {
-		return nil, failure.New(failure.InvalidRequest, "give an operation id of 1 to 128 bytes", "the operation id has an invalid length")
+		return nil, failure.New(failure.InvalidRequest, "specify an operation id of 1 to 128 bytes", "the operation id has an invalid length")
 	}
 	tree, err := settings.Parse(settings.Source{Name: "settings", Data: []byte(application.YAML)})
 	if err != nil {
--- a/placement/decide.go
+++ b/placement/decide.go
@@ -364,7 +364,7 @@
 	p.update(best.engineID, assignments)
 }
 
-// takeLoadToken takes a token for one load from the weight store. It fails if no
+// takeLoadToken takes a token for one load from the weight store. It returns false if no
 // token is left or the region's limit of concurrent loads is reached.
 func (p *planner) takeLoadToken() bool {
 	running := 0
--- a/placement/explain.go
+++ b/placement/explain.go
@@ -32,7 +32,7 @@
 
 func (p *planner) explainNeed(model *settings.Model) []string {
 	need := p.needOf(model)
-	lines := []string{fmt.Sprintf("%s (service %s, version %s) should have %d replica(s): %d waiting (%d interactive), %d running, at least %d and at most %d, %d requests at once on each",
+	lines := []string{fmt.Sprintf("%s (service %s, version %s) should have %d replica(s): %d waiting (%d interactive), %d running, at least %d and at most %d, %d concurrent requests on each",
 		model.Name, model.Service, model.Version, need.replicas, need.waiting, need.urgent, p.runningOf(model), model.MinReplicas, model.MaxReplicas, model.Concurrency)}
 	switch idle := p.Now.Sub(need.lastUsed); {
 	case need.lastUsed.IsZero():
--- a/placer/apply.go
+++ b/placer/apply.go
@@ -95,15 +95,15 @@
 	if state == nil || state.inventory == nil {
 		return nil
 	}
-	held := map[string]engine.Replica{}
+	reported := map[string]engine.Replica{}
 	for _, replica := range state.inventory.Replicas {
-		held[replica.ID] = replica
+		reported[replica.ID] = replica
 	}
 	var unloads, loads []engine.Order
 	planned := map[string]bool{}
 	for _, assignment := range c.plan.Engines[id].Assignments {
 		planned[assignment.ReplicaID] = true
-		replica, present := held[assignment.ReplicaID]
+		replica, present := reported[assignment.ReplicaID]
 		if assignment.DesiredState == placement.Remove {
 			unseen := state.inventory.Fence.Less(assignment.Fence)
 			if unseen || (present && replica.State != engine.Unloading) {
--- a/placer/service.go
+++ b/placer/service.go
@@ -101,8 +101,8 @@
 }
 
 func (s *Service) shouldLead() bool {
-	chosen, found := s.View().Placer(s.Region)
-	return found && chosen.ID == s.SelfID
+	member, found := s.View().Placer(s.Region)
+	return found && member.ID == s.SelfID
 }
 
 // lead takes over the cell and makes decisions until another daemon should lead.
--- a/queue/estimate.go
+++ b/queue/estimate.go
@@ -58,7 +58,7 @@
 func (q *Queue) recordService(service time.Duration, tokens int) {
 	updateMean(&q.meanService, service)
 	if tokens > 0 {
-		updateMean(&q.perToken, service/time.Duration(tokens))
+		updateMean(&q.meanPerToken, service/time.Duration(tokens))
 	}
 }
 
@@ -75,8 +75,8 @@
 // deadline, with the shorter of the mean service time and the estimate for its tokens.
 func (q *Queue) latestDispatch(item Item) time.Time {
 	service := q.meanService
-	if item.Tokens > 0 && q.perToken > 0 {
-		service = min(service, q.perToken*time.Duration(item.Tokens))
+	if item.Tokens > 0 && q.meanPerToken > 0 {
+		service = min(service, q.meanPerToken*time.Duration(item.Tokens))
 	}
 	return item.Deadline.Add(-dispatchMargin - time.Duration(minServiceFraction*float64(service)))
 }
--- a/queue/types.go
+++ b/queue/types.go
@@ -90,7 +90,7 @@
 	running        map[string]runningItem
 	lastUsed       map[string]time.Time // by target
 	meanService    time.Duration        // zero until the first sample
-	perToken       time.Duration        // mean of service by tokens asked for
+	meanPerToken   time.Duration        // mean service time per requested token
 	firstReadyAt   time.Time            // when a first replica is expected; zero unknown
 	waitingByClass [request.ClassCount]int
 	sequence       uint64
