--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -262,7 +262,7 @@
 }
 
 func (d *Daemon) logEvent(event suture.Event) {
-	d.log.WithField("event", event.String()).Warn("supervisor")
+	d.log.WithField("event", event.String()).Warn("supervisor event")
 }
 
 func (d *Daemon) registerMetrics() {
