--- a/core/core.go
+++ b/core/core.go
@@ -150,25 +150,25 @@
 }
 
 // waitReason returns why the call first waited; empty if it did not.
-func (r *callState) waitReason() string {
-	if r.miss == fleet.Found {
+func (s *callState) waitReason() string {
+	if s.miss == fleet.Found {
 		return ""
 	}
-	return r.miss.String()
+	return s.miss.String()
 }
 
 // recordWrite records that a part of the response was sent to the caller.
-func (r *callState) recordWrite(now time.Time) {
-	if r.pick != nil {
-		r.pick.MarkPromptRead()
-		r.pick = nil
+func (s *callState) recordWrite(now time.Time) {
+	if s.pick != nil {
+		s.pick.MarkPromptRead()
+		s.pick = nil
 	}
-	if r.lastWrite.IsZero() {
-		r.firstByte = now.Sub(r.Arrived)
+	if s.lastWrite.IsZero() {
+		s.firstByte = now.Sub(s.Arrived)
 	} else {
-		r.longestPause = max(r.longestPause, now.Sub(r.lastWrite))
+		s.longestPause = max(s.longestPause, now.Sub(s.lastWrite))
 	}
-	r.lastWrite = now
+	s.lastWrite = now
 }
 
 // Serve runs a call to completion. It returns nil once a complete response, possibly a replica's error
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -48,9 +48,9 @@
 	defer cancel()
 	outcome := c.exchange(attemptCtx, state, pick)
 	if ctx.Err() != nil && outcome.health == fleet.Unreachable {
-		outcome.health = fleet.Answered // the caller disconnected or the deadline passed, which is not a failure of the replica
+		outcome.health = fleet.Answered // not a failure of the replica: the caller disconnected or time ran out
 	}
-	if outcome.result != Answered && !errors.Is(outcome.cause, fleet.ErrRateLimited) { // the replica may be used again with a permit
+	if outcome.result != Answered && !errors.Is(outcome.cause, fleet.ErrRateLimited) { // usable again with a permit
 		state.tried = append(state.tried, pick.ID)
 	}
 	pick.Release(outcome.health, state.Target, time.Now())
--- a/core/obstacle.go
+++ b/core/obstacle.go
@@ -13,8 +13,8 @@
 // demandWait counts a call as waiting demand while no replica can take it.
 type demandWait struct{ stop func() }
 
-// starts reports whether the call must be counted from now on. An undiscovered replica is no demand,
-// since it may have the target loaded.
+// starts reports whether the call must be counted as demand from now on. A call whose replicas are not
+// known yet is not counted, since its target may be loaded already.
 func (w *demandWait) starts(miss fleet.Miss) bool { return w.stop == nil && miss != fleet.Undiscovered }
 
 func (w *demandWait) end() {
@@ -64,16 +64,16 @@
 }
 
 // clearBy moves the constraint's end to the given time unless it ends earlier.
-func (o *constraint) clearBy(at time.Time) {
-	if !o.known || at.Before(o.until) {
-		o.until, o.known = at, true
+func (c *constraint) clearBy(at time.Time) {
+	if !c.known || at.Before(c.until) {
+		c.until, c.known = at, true
 	}
 }
 
 // recheckIn returns the time after which to choose again even if no replica has changed.
-func (o *constraint) recheckIn(now time.Time) time.Duration {
-	if o.miss == fleet.RateLimited {
-		return min(recheckInterval, max(minPause, o.until.Sub(now)))
+func (c *constraint) recheckIn(now time.Time) time.Duration {
+	if c.miss == fleet.RateLimited {
+		return min(recheckInterval, max(minPause, c.until.Sub(now)))
 	}
 	return recheckInterval
 }
--- a/core/replicalimit.go
+++ b/core/replicalimit.go
@@ -79,25 +79,25 @@
 // deniedReplicas are the replicas that denied a call, by id.
 type deniedReplicas map[string]deniedReplica
 
-func (t *deniedReplicas) add(denied deniedReplica) {
-	if *t == nil {
-		*t = deniedReplicas{}
+func (d *deniedReplicas) add(denied deniedReplica) {
+	if *d == nil {
+		*d = deniedReplicas{}
 	}
-	(*t)[denied.replica] = denied
+	(*d)[denied.replica] = denied
 }
 
 // notBefore returns when each replica may accept the call.
-func (t deniedReplicas) notBefore() map[string]time.Time {
-	times := make(map[string]time.Time, len(t))
-	for id, denied := range t {
+func (d deniedReplicas) notBefore() map[string]time.Time {
+	times := make(map[string]time.Time, len(d))
+	for id, denied := range d {
 		times[id] = denied.notBefore
 	}
 	return times
 }
 
 // earliest returns the replica that may accept the call first, ignoring those that may do so now.
-func (t deniedReplicas) earliest(now time.Time) (earliest deniedReplica) {
-	for _, denied := range t {
+func (d deniedReplicas) earliest(now time.Time) (earliest deniedReplica) {
+	for _, denied := range d {
 		if denied.notBefore.After(now) && (earliest.replica == "" || denied.notBefore.Before(earliest.notBefore)) {
 			earliest = denied
 		}
@@ -106,9 +106,9 @@
 }
 
 // returnPermit releases the call's permit unless a dispatch has used it.
-func (r *callState) returnPermit() {
-	if r.permit != nil {
-		r.permit.Return()
-		r.permit = nil
+func (s *callState) returnPermit() {
+	if s.permit != nil {
+		s.permit.Return()
+		s.permit = nil
 	}
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -69,11 +69,11 @@
 
 // older reports whether other is known to be newer. Sequences are compared only within one
 // incarnation.
-func (c *LeaderRecord) older(other *LeaderRecord) bool {
-	if bornBefore(c.Born, other.Born) || bornBefore(other.Born, c.Born) {
-		return c.Born < other.Born
+func (r *LeaderRecord) older(other *LeaderRecord) bool {
+	if bornBefore(r.Born, other.Born) || bornBefore(other.Born, r.Born) {
+		return r.Born < other.Born
 	}
-	return c.Fence < other.Fence || c.Fence == other.Fence && c.Sequence < other.Sequence
+	return r.Fence < other.Fence || r.Fence == other.Fence && r.Sequence < other.Sequence
 }
 
 // Replica is a registry entry with this daemon's own state for it.
@@ -86,10 +86,10 @@
 	health          health
 	leaderRecord    *LeaderRecord // nil if the leader has reported nothing
 	leaderRecordAt  time.Time
-	missingUntil    map[Target]time.Time // targets the replica reported missing, until when that is believed; may be nil
+	missingUntil    map[Target]time.Time // targets that the replica reported missing, with expiry; may be nil
 	removalPending  bool                 // no longer followed; removed with its last request
 	unlisted        bool                 // not yet in the registry list of the current full sync
-	untrusted       bool                 // listed again by a restored registry; treated as draining until trusted
+	untrusted       bool                 // listed again by a restored registry; draining until trusted
 	perSecond       float64              // rate limit over all daemons in messages per second; zero means none
 	limitObservedAt time.Time            // when the replica last stated the limit
 	lastChosenAt    time.Time            // when a request was last sent to it, or its limit last changed
@@ -103,7 +103,7 @@
 	if target.Model == "" {
 		return true
 	}
-	if till, absent := r.missingUntil[target]; absent && now.Before(till) {
+	if until, missing := r.missingUntil[target]; missing && now.Before(until) {
 		return false
 	}
 	if r.leaderRecord == nil || r.entryReceivedAt.After(r.leaderRecordAt.Add(registryLag)) {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -180,8 +180,8 @@
 		return counts
 	}
 	all := countChoices("")
-	// 24 requests with a run time of 1 s give 15.6 arrivals in 0.65 s, which fill up to (15.6 + 24) /
-	// 4 = 9.9.
+	// In 0.65 s, 24 requests with a run time of 1 s give 15.6 arrivals. They fill the replicas up to
+	// 9.9 requests, the mean of 15.6 + 24 over four replicas.
 	require.InDelta(t, 63, all["r4"], 3)
 	require.InDelta(t, 19, all["r3"], 3)
 	require.InDelta(t, 12, all["r2"], 3)
@@ -192,20 +192,20 @@
 }
 
 func TestChooseSkipsReplicaWithTooLongQueue(t *testing.T) {
-	narrow := pressEntry("r1", "a", nil)
-	narrow.Slots = 4
-	directory := newTestDirectory(narrow)
+	small := pressEntry("r1", "a", nil)
+	small.Slots = 4
+	directory := newTestDirectory(small)
 	pick, _ := directory.Choose(Ask{Service: "press", MaxQueueTime: time.Second}, testTime)
 	pick.Release(Answered, Target{}, testTime.Add(2*time.Second)) // sets the mean run time to 2 s
 	for _, test := range []struct {
-		requests int
-		patience time.Duration
-		want     Miss
+		requests     int
+		maxQueueTime time.Duration
+		want         Miss
 	}{
 		{3, time.Second, Found}, {5, time.Second, Found}, {6, time.Second, Saturated}, {6, 2 * time.Second, Found}, {60, 0, Found},
 	} {
 		directory.SetRemoteInflight("r1", test.requests, testTime)
-		pick, miss := directory.Choose(Ask{Service: "press", MaxQueueTime: test.patience}, testTime)
+		pick, miss := directory.Choose(Ask{Service: "press", MaxQueueTime: test.maxQueueTime}, testTime)
 		require.Equal(t, test.want, miss, "%d requests", test.requests)
 		if pick != nil {
 			pick.Release(Refused, Target{}, testTime)
--- a/fleet/index.go
+++ b/fleet/index.go
@@ -70,7 +70,7 @@
 
 // eachModel calls visit for each model that is loaded, loading or cached on the replica. A model may
 // be visited more than once.
-func (r *Replica) eachModel(visit func(where modelState, model string)) {
+func (r *Replica) eachModel(visit func(state modelState, model string)) {
 	for model := range r.Holdings {
 		visit(loaded, model)
 	}
--- a/fleet/interest.go
+++ b/fleet/interest.go
@@ -152,13 +152,13 @@
 	if state.Limit != nil {
 		d.applyRelayedLimit(*state.Limit, now)
 	}
-	d.change(state.ID, func(known *Replica) {
-		d.applyEntry(known, state.Entry, now)
-		known.remoteInflight = max(0, state.Requests-known.inflight)
+	d.change(state.ID, func(replica *Replica) {
+		d.applyEntry(replica, state.Entry, now)
+		replica.remoteInflight = max(0, state.Requests-replica.inflight)
 		record := LeaderRecord{Born: state.Born, Fence: state.Fence, Sequence: state.Sequence, Holdings: state.Holdings, Loading: state.Loading,
 			InMemory: state.InMemory, OnDisk: state.OnDisk}
-		if state.Fence > 0 && (known.leaderRecord == nil || !record.older(known.leaderRecord)) {
-			known.applyLeaderRecord(record, now)
+		if state.Fence > 0 && (replica.leaderRecord == nil || !record.older(replica.leaderRecord)) {
+			replica.applyLeaderRecord(record, now)
 		}
 	})
 }
--- a/fleet/limit.go
+++ b/fleet/limit.go
@@ -127,8 +127,8 @@
 }
 
 // limitRecord returns the record as the limit of the replica with the given id.
-func (n *hintRecord) limitRecord(id string) ReplicaLimit {
-	return ReplicaLimit{Incarnation{id, n.born}, n.limit.perSecond, n.limit.observedAt}
+func (r *hintRecord) limitRecord(id string) ReplicaLimit {
+	return ReplicaLimit{Incarnation{id, r.born}, r.limit.perSecond, r.limit.observedAt}
 }
 
 // LimitRecords lists the last stated limits of all replicas, ended ones included, sorted by id. With
--- a/fleet/limit_test.go
+++ b/fleet/limit_test.go
@@ -132,17 +132,17 @@
 	require.Equal(t, Found, miss, "NotBefore applies only to rate-limited replicas")
 }
 
-// fakePermit counts its uses and allows up to most.
-type fakePermit struct{ uses, most int }
+// fakePermit counts its uses and allows a fixed number.
+type fakePermit struct{ uses, allowed int }
 
 func (p *fakePermit) Use() bool {
 	p.uses++
-	return p.uses <= p.most
+	return p.uses <= p.allowed
 }
 
 func TestAdmitRequiresPermitForLimitedReplica(t *testing.T) {
 	d := twoReplicaDirectory()
-	permit := &fakePermit{most: 1}
+	permit := &fakePermit{allowed: 1}
 	require.NoError(t, d.Admit("r1", permit, testTime))
 	require.Zero(t, permit.uses, "no permit is needed without a limit")
 	d.ApplyLimitHint(statedLimit(2, testTime), testTime)
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -91,7 +91,7 @@
 )
 
 // Error returns the reason.
-func (n AdmissionError) Error() string { return string(n) }
+func (e AdmissionError) Error() string { return string(e) }
 
 // Permit allows sending one message to a rate-limited replica.
 type Permit interface {
@@ -215,7 +215,7 @@
 // LocallyReportedDraining lists the draining replicas that this daemon is to report to the leader,
 // sorted by id.
 func (d *Directory) LocallyReportedDraining() []Incarnation {
-	return d.drainingWhere(func(known *hintRecord) bool { return known.localReport })
+	return d.drainingWhere(func(record *hintRecord) bool { return record.localReport })
 }
 
 // ReportedDraining lists the replicas known to have reported draining to any daemon, sorted by id.
--- a/fleet/restored.go
+++ b/fleet/restored.go
@@ -35,9 +35,9 @@
 	case entry.Draining:
 		d.recordHistory(entry.Incarnation(), registryHistory{drained: true}, now)
 	}
-	d.change(entry.ID, func(known *Replica) {
-		d.applyEntry(known, entry, now)
-		known.unlisted, known.untrusted = false, untrusted
+	d.change(entry.ID, func(replica *Replica) {
+		d.applyEntry(replica, entry, now)
+		replica.unlisted, replica.untrusted = false, untrusted
 	})
 	return untrusted
 }
@@ -51,9 +51,9 @@
 	if member == nil || !member.untrusted || member.Born != incarnation.Born {
 		return
 	}
-	d.change(incarnation.ID, func(known *Replica) {
-		known.Draining, known.untrusted = false, false
-		known.Entry = d.mergeHints(known.Entry)
+	d.change(incarnation.ID, func(replica *Replica) {
+		replica.Draining, replica.untrusted = false, false
+		replica.Entry = d.mergeHints(replica.Entry)
 	})
 }
 
--- a/fleet/share.go
+++ b/fleet/share.go
@@ -73,8 +73,8 @@
 		return false
 	}
 	_, targetLoading := r.leaderRecord.Loading[target]
-	_, model := r.leaderRecord.Loading[Target{Model: target.Model}]
-	return targetLoading || model
+	_, modelLoading := r.leaderRecord.Loading[Target{Model: target.Model}]
+	return targetLoading || modelLoading
 }
 
 // Serves reports whether a replica serves a target.
--- a/fleet/spread.go
+++ b/fleet/spread.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// reportLag is the age of the request counts that the leader sums; daemons report them every 300
-	// ms.
+	// reportLag is the age of the request counts that the leader sums, given how often daemons report
+	// them.
 	reportLag = 300 * time.Millisecond
 	// initialUpdateInterval is the assumed interval between updates of other daemons' requests until
 	// two have arrived; it is the leader's minimum interval.
