--- a/core/core.go
+++ b/core/core.go
@@ -214,7 +214,7 @@
 // loaded, and must not count as demand since callers can make up names.
 func rejectUndeclared(call *Call) *failure.Error {
 	target := call.Target
-	if call.Service.Engine == nil || target.Model == "" || call.Service.Engine.Declares(target.Model, target.Adapter) {
+	if call.Service.Engine == nil || target.Model == "" || call.Service.Engine.HasModel(target.Model, target.Adapter) {
 		return nil
 	}
 	return failure.New(failure.Unavailable, "name a model and adapter that the service declares; new ones become known shortly after the operator adds them",
@@ -274,7 +274,7 @@
 }
 
 func callerDisconnected(cause error, execution failure.Execution) *failure.Error {
-	return failure.Wrap(cause, failure.CallerLeft, "none: the caller closed the connection", "caller disconnected").WithExecution(execution)
+	return failure.Wrap(cause, failure.CallerDisconnected, "none: the caller closed the connection", "caller disconnected").WithExecution(execution)
 }
 
 // finalFailure returns the failure of a call that is not retried.
@@ -290,7 +290,7 @@
 		return callerDisconnected(cause, execution)
 	case ctx.Err() != nil:
 		kind = failure.DeadlineExceeded
-	case state.lifecycle.MayHaveRun() && kind != failure.AnswerBroken:
+	case state.lifecycle.MayHaveRun() && kind != failure.ResponseInterrupted:
 		kind = failure.OutcomeUnknown
 	}
 	remedy := "retry after the given time"
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -106,7 +106,7 @@
 		Metrics: NewMetrics(prometheus.NewRegistry()), Log: log}
 	c.Prepare()
 	service := &routing.Service{Name: "press", Engine: &routing.Engine{Models: map[string]*routing.Model{
-		"m": {Name: "m", StoreLoad: 4 * time.Second}, "slow": {Name: "slow", StoreLoad: 4 * time.Second}}}}
+		"m": {Name: "m", StoreLoadTime: 4 * time.Second}, "slow": {Name: "slow", StoreLoadTime: 4 * time.Second}}}}
 	return &testSetup{core: c, driver: driver, call: &Call{
 		ID: "1", Service: service, Target: fleet.Target{Model: "m"}, Arrived: time.Now(), Deadline: time.Now().Add(10 * time.Second),
 		Route: &routing.Route{Name: "route", Kind: kind, Attempts: attempts, Objective: time.Second, Resumable: kind == routing.Stream && attempts > 1},
@@ -174,7 +174,7 @@
 	s := newSetup(t, routing.Stream, 1, reply(200, "id: 1\ndata: a\n\nid: 2\nda", true))
 	failed, responseStarted := s.serve(t)
 	require.True(t, responseStarted)
-	require.Equal(t, failure.AnswerBroken, failed.Kind)
+	require.Equal(t, failure.ResponseInterrupted, failed.Kind)
 	require.Equal(t, "id: 1\ndata: a\n\n", s.caller.String())
 }
 
@@ -262,7 +262,7 @@
 		time.AfterFunc(time.Second, disconnect)
 		startedAt := time.Now()
 		failed, _ := s.core.Serve(ctx, s.call, &s.caller)
-		require.Equal(t, failure.CallerLeft, failed.Kind)
+		require.Equal(t, failure.CallerDisconnected, failed.Kind)
 		require.Equal(t, time.Second, time.Since(startedAt))
 	})
 }
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -41,7 +41,7 @@
 
 // dispatch sends the call to a replica and relays the response.
 func (c *Core) dispatch(ctx context.Context, state *callState, pick *fleet.Pick) dispatchOutcome {
-	stopRunning := c.Demand.Run(state.key())
+	stopRunning := c.Demand.BeginRun(state.key())
 	defer stopRunning()
 	state.lastReplicaID, state.pick = pick.ID, pick
 	attemptCtx, cancel := c.attemptContext(ctx, state)
--- a/core/finish.go
+++ b/core/finish.go
@@ -16,7 +16,7 @@
 // is safe for concurrent use.
 type runTimes struct {
 	mutex  sync.Mutex
-	routes map[string]*estimate.Moving
+	routes map[string]*estimate.Duration
 }
 
 // record adds the duration of a call with a complete response.
@@ -24,11 +24,11 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.routes == nil {
-		r.routes = map[string]*estimate.Moving{}
+		r.routes = map[string]*estimate.Duration{}
 	}
 	durations := r.routes[route]
 	if durations == nil {
-		durations = &estimate.Moving{}
+		durations = &estimate.Duration{}
 		r.routes[route] = durations
 	}
 	durations.Add(duration)
@@ -42,7 +42,7 @@
 	if durations == nil {
 		return 0
 	}
-	return durations.Bound(runTimeDeviations)
+	return durations.UpperBound(runTimeDeviations)
 }
 
 // StopTimes are the time limits of a planned stop.
--- a/core/lifecycle.go
+++ b/core/lifecycle.go
@@ -73,7 +73,7 @@
 		l.runs++
 		l.partialSent = true
 		if !l.Resumable {
-			return Verdict{Kind: failure.AnswerBroken}
+			return Verdict{Kind: failure.ResponseInterrupted}
 		}
 	case Failed, Lost:
 		l.runs++
@@ -95,7 +95,7 @@
 func (l *Lifecycle) adjustKind(kind failure.Kind) failure.Kind {
 	switch {
 	case l.partialSent:
-		return failure.AnswerBroken
+		return failure.ResponseInterrupted
 	case l.mayHaveRun:
 		return failure.OutcomeUnknown
 	}
--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -102,7 +102,7 @@
 	ctx, disconnect := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, disconnect)
 	failed, _ := s.core.Serve(ctx, s.call, &s.caller)
-	require.Equal(t, failure.CallerLeft, failed.Kind)
+	require.Equal(t, failure.CallerDisconnected, failed.Kind)
 	require.Zero(t, fake.broken)
 	require.Equal(t, 1, fake.abandoned, "the replica may still run the request")
 }
--- a/core/replica_model_test.go
+++ b/core/replica_model_test.go
@@ -30,7 +30,7 @@
 	objective    time.Duration
 	limit        float64 // requests per second that the replica accepts; zero: it asks for back-offs instead
 	perSecond    float64 // arriving requests per second
-	pacer        *permit.Book
+	pacer        *permit.Pacer
 	arrivals     []time.Time
 	cores        []*Core
 	backoffUntil []time.Time // by daemon
@@ -100,15 +100,15 @@
 }
 
 // RequestPermit implements ReplicaPermitter in place of the leader.
-func (m *replicaModel) RequestPermit(_ context.Context, ask permit.Ask) (ReplicaPermit, PermitDenial) {
+func (m *replicaModel) RequestPermit(_ context.Context, ask permit.Request) (ReplicaPermit, PermitDenial) {
 	time.Sleep(2 * modelNetworkDelay)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	answer := m.pacer.Ask(ask, 1, time.Now())
+	answer := m.pacer.Request(ask, 1, time.Now())
 	if !answer.Granted {
 		return nil, PermitDenial{RetryIn: answer.RetryIn}
 	}
-	return &modelPermit{usableAt: time.Now().Add(answer.In)}, PermitDenial{}
+	return &modelPermit{usableAt: time.Now().Add(answer.Delay)}, PermitDenial{}
 }
 
 // modelPermit is a permit that may be used once.
@@ -131,7 +131,7 @@
 	log.SetOutput(io.Discard)
 	m.random = rand.New(rand.NewPCG(1, 2))
 	m.backoffUntil = make([]time.Time, modelDaemons)
-	m.pacer = permit.NewBook(true, time.Now())
+	m.pacer = permit.NewPacer(true, time.Now())
 	for daemon := range modelDaemons {
 		directory := fleet.NewDirectory("a", func() float64 { return 0 })
 		directory.Put(fleet.Entry{ID: "r1", Service: "press", Address: "r1:1", Zone: "a", Holdings: fleet.Holdings{"m": nil}}, time.Now())
@@ -148,7 +148,7 @@
 
 func (m *replicaModel) run() {
 	m.prepare()
-	service := &routing.Service{Name: "press", Engine: &routing.Engine{Models: map[string]*routing.Model{"m": {Name: "m", StoreLoad: 4 * time.Second}}}}
+	service := &routing.Service{Name: "press", Engine: &routing.Engine{Models: map[string]*routing.Model{"m": {Name: "m", StoreLoadTime: 4 * time.Second}}}}
 	route := &routing.Route{Name: "route", Kind: routing.Stream, Attempts: 2, Objective: m.objective, MaxGap: 300 * time.Millisecond, Resumable: true}
 	startedAt := time.Now()
 	var callers sync.WaitGroup
--- a/core/replicalimit.go
+++ b/core/replicalimit.go
@@ -13,7 +13,7 @@
 type ReplicaPermitter interface {
 	// RequestPermit requests a permit for one message to a replica. If no reservation is available in
 	// time, it returns nil and the denial.
-	RequestPermit(ctx context.Context, ask permit.Ask) (ReplicaPermit, PermitDenial)
+	RequestPermit(ctx context.Context, ask permit.Request) (ReplicaPermit, PermitDenial)
 }
 
 // PermitDenial describes why no permit was granted.
@@ -39,8 +39,8 @@
 	if pick.PerSecond == 0 || c.Permits == nil {
 		return true
 	}
-	granted, denial := c.Permits.RequestPermit(ctx, permit.Ask{
-		Replica: pick.Incarnation, PerSecond: pick.PerSecond, Priority: state.Priority(), Patience: max(0, time.Until(reservationLimit(state.Call))),
+	granted, denial := c.Permits.RequestPermit(ctx, permit.Request{
+		Replica: pick.Incarnation, PerSecond: pick.PerSecond, Priority: state.Priority(), MaxWait: max(0, time.Until(reservationLimit(state.Call))),
 	})
 	if granted == nil {
 		pick.Cancel()
--- a/core/replicalimit_test.go
+++ b/core/replicalimit_test.go
@@ -19,11 +19,11 @@
 // scriptedPermits grants or denies permits as listed in delays.
 type scriptedPermits struct {
 	delays   []time.Duration // delay of each permit; negative: denied, with this retry time
-	requests []permit.Ask
+	requests []permit.Request
 	returned int
 }
 
-func (p *scriptedPermits) RequestPermit(_ context.Context, ask permit.Ask) (ReplicaPermit, PermitDenial) {
+func (p *scriptedPermits) RequestPermit(_ context.Context, ask permit.Request) (ReplicaPermit, PermitDenial) {
 	p.requests = append(p.requests, ask)
 	delays := p.delays[0]
 	p.delays = p.delays[1:]
@@ -72,7 +72,7 @@
 		require.Equal(t, 300*time.Millisecond, time.Since(startedAt))
 		require.Len(t, permits.requests, 1)
 		require.Equal(t, 2.0, permits.requests[0].PerSecond)
-		require.Positive(t, permits.requests[0].Patience)
+		require.Positive(t, permits.requests[0].MaxWait)
 		require.Zero(t, permits.returned)
 	})
 }
--- a/core/wait.go
+++ b/core/wait.go
@@ -153,12 +153,12 @@
 		return loadEstimate{defaultDecisionTime, sourceCatalogue}
 	}
 	if miss == fleet.NotLoaded && c.LeaderAttached != nil && c.LeaderAttached() {
-		times := fleet.LoadTimes{FromMemory: model.MemoryLoad, FromDisk: model.DiskLoad}
-		if duration, cached := c.Fleet.CachedLoadTime(call.Service.Name, model.Name, times, now); cached && duration < model.StoreLoad {
+		times := fleet.LoadTimes{FromMemory: model.MemoryLoadTime, FromDisk: model.DiskLoadTime}
+		if duration, cached := c.Fleet.CachedLoadTime(call.Service.Name, model.Name, times, now); cached && duration < model.StoreLoadTime {
 			return loadEstimate{duration + defaultDecisionTime, sourceCached}
 		}
 	}
-	return loadEstimate{model.StoreLoad + defaultDecisionTime, sourceCatalogue}
+	return loadEstimate{model.StoreLoadTime + defaultDecisionTime, sourceCatalogue}
 }
 
 // awaitReplica returns the replica for the next dispatch, waiting for one if that is worthwhile, or
@@ -187,7 +187,7 @@
 		found := c.findConstraint(state, miss, now)
 		decision := c.decide(state, found, now)
 		if demandWait.starts(miss) {
-			demandWait.stop = c.Demand.Wait(state.key(), now)
+			demandWait.stop = c.Demand.BeginWait(state.key(), now)
 			c.recordWait(state, found, decision)
 		}
 		if !decision.wait {
--- a/discovery/client.go
+++ b/discovery/client.go
@@ -119,7 +119,7 @@
 }
 
 // Current returns the address of the directory that answers this daemon; empty: none does.
-func (c *Client) Current() string {
+func (c *Client) DirectoryAddress() string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.current
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -38,11 +38,11 @@
 	made := &directory{address: listener.Addr().String()}
 	made.all.Store(true)
 	made.Server = &Server{
-		Fleet: fleet.NewDirectory("a", func() float64 { return 0 }), KnowsAll: made.all.Load, WillKnow: func() bool { return false }, Now: time.Now,
+		Fleet: fleet.NewDirectory("a", func() float64 { return 0 }), HasAllReplicas: made.all.Load, IsLoading: func() bool { return false }, Now: time.Now,
 		ContactAge: func() (time.Duration, bool) { return time.Duration(made.age.Load()), true },
 	}
 	made.Prepare()
-	made.Begin()
+	made.StartObserving()
 	server := transport.NewServer(listener)
 	require.NoError(t, rpc.DRPCRegisterDiscovery(server.Mux(), made.Server))
 	ctx, stop := context.WithCancel(context.Background())
@@ -302,7 +302,7 @@
 	)
 	known := &Server{Fleet: fleet.NewDirectory("a", func() float64 { return 0 })}
 	known.Prepare()
-	known.Begin()
+	known.StartObserving()
 	now := time.Now()
 	entry := func(number int) fleet.Entry {
 		return fleet.Entry{ID: fmt.Sprintf("r%d", number), Service: testService, Zone: string("abcde"[number%5]), Slots: 12,
--- a/loader/limits_test.go
+++ b/loader/limits_test.go
@@ -84,7 +84,7 @@
 
 func TestALimitIsToldAtOnce(t *testing.T) {
 	follower, _ := limitFollower(emptyFleet())
-	follower.LimitHeard()
-	follower.LimitHeard()
+	follower.LimitReported()
+	follower.LimitReported()
 	require.Len(t, follower.news, 1)
 }
--- a/node/notices.go
+++ b/node/notices.go
@@ -27,7 +27,7 @@
 	if change, news := n.fleet.ApplyLimitHint(notice, now); news {
 		n.notices.limits.Inc()
 		n.noticeEntry(notice).WithFields(logrus.Fields{logging.Limit: change.PerSecond, logging.LimitBefore: change.Previous}).Info(logging.MessageReplicaLimit)
-		n.follower.LimitHeard()
+		n.follower.LimitReported()
 		n.holder.RegistryChanged(notice.Replica)
 	}
 	if !notice.Leaving && notice.Backoff == 0 {
