--- a/access/access.go
+++ b/access/access.go
@@ -65,7 +65,7 @@
 	if table == nil || g.Bound.Strict && !recent {
 		return nil, g.outdated()
 	}
-	if tenant := table.TenantOf(key); tenant != nil {
+	if tenant := table.TenantByKey(key); tenant != nil {
 		return tenant, nil
 	}
 	if !recent {
@@ -93,7 +93,7 @@
 // Open tells whether requests with keys can be served at all.
 func (g *Gate) Open() bool {
 	table := g.Table.Current()
-	return table != nil && (!g.Bound.Strict || !table.NeedsKeys() || g.recent())
+	return table != nil && (!g.Bound.Strict || !table.RequiresKeys() || g.recent())
 }
 
 // outdated is the failure of a request that cannot be judged under the configuration in
--- a/core/core.go
+++ b/core/core.go
@@ -217,7 +217,7 @@
 // it, and demand for names that callers make up must not be counted.
 func undeclared(call *Call) *failure.Error {
 	target := call.Target
-	if call.Service.Engine == nil || target.Model == "" || call.Service.Engine.Declares(target.Model, target.Adapter) {
+	if call.Service.Engine == nil || target.Model == "" || call.Service.Engine.HasModel(target.Model, target.Adapter) {
 		return nil
 	}
 	return failure.New(failure.Unavailable, "name a model, and an adapter, of the service's catalogue; a new one is known shortly after the operator adds it",
@@ -276,7 +276,7 @@
 }
 
 func callerLeft(cause error, execution failure.Execution) *failure.Error {
-	return failure.Wrap(cause, failure.CallerLeft, "none: the caller closed the connection", "the caller left").WithExecution(execution)
+	return failure.Wrap(cause, failure.CallerDisconnected, "none: the caller closed the connection", "the caller left").WithExecution(execution)
 }
 
 // ended is the failure of a call that is not tried again.
@@ -292,7 +292,7 @@
 		return callerLeft(cause, execution)
 	case ctx.Err() != nil:
 		kind = failure.DeadlineExceeded
-	case running.life.MayHaveRun() && kind != failure.AnswerBroken:
+	case running.life.MayHaveRun() && kind != failure.ResponseInterrupted:
 		kind = failure.OutcomeUnknown
 	}
 	remedy := "come back after the time given"
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -106,7 +106,7 @@
 		Metrics: NewMetrics(prometheus.NewRegistry()), Log: log}
 	made.Prepare()
 	service := &routing.Service{Name: "press", Engine: &routing.Engine{Models: map[string]*routing.Model{
-		"m": {Name: "m", StoreLoad: 4 * time.Second}, "slow": {Name: "slow", StoreLoad: 4 * time.Second}}}}
+		"m": {Name: "m", StoreLoadTime: 4 * time.Second}, "slow": {Name: "slow", StoreLoadTime: 4 * time.Second}}}}
 	return &setup{core: made, driver: driver, call: &Call{
 		ID: "1", Service: service, Target: fleet.Target{Model: "m"}, Arrived: time.Now(), Deadline: time.Now().Add(10 * time.Second),
 		Route: &routing.Route{Name: "route", Kind: kind, Attempts: attempts, Objective: time.Second, Resumable: kind == routing.Stream && attempts > 1},
@@ -174,7 +174,7 @@
 	s := arrange(t, routing.Stream, 1, reply(200, "id: 1\ndata: a\n\nid: 2\nda", true))
 	failed, began := s.serve(t)
 	require.True(t, began)
-	require.Equal(t, failure.AnswerBroken, failed.Kind)
+	require.Equal(t, failure.ResponseInterrupted, failed.Kind)
 	require.Equal(t, "id: 1\ndata: a\n\n", s.caller.String())
 }
 
@@ -264,7 +264,7 @@
 		time.AfterFunc(time.Second, leave)
 		began := time.Now()
 		failed, _ := s.core.Serve(ctx, s.call, &s.caller)
-		require.Equal(t, failure.CallerLeft, failed.Kind)
+		require.Equal(t, failure.CallerDisconnected, failed.Kind)
 		require.Equal(t, time.Second, time.Since(began))
 	})
 }
--- a/core/lifecycle.go
+++ b/core/lifecycle.go
@@ -77,7 +77,7 @@
 		l.runs++
 		l.partly = true
 		if !l.Resumable {
-			return Verdict{Kind: failure.AnswerBroken}
+			return Verdict{Kind: failure.ResponseInterrupted}
 		}
 	case Failed, Lost:
 		l.runs++
@@ -100,7 +100,7 @@
 func (l *Lifecycle) failedAs(kind failure.Kind) failure.Kind {
 	switch {
 	case l.partly:
-		return failure.AnswerBroken
+		return failure.ResponseInterrupted
 	case l.mayHaveRun:
 		return failure.OutcomeUnknown
 	}
--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -102,7 +102,7 @@
 	ctx, leave := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, leave)
 	failed, _ := s.core.Serve(ctx, s.call, &s.caller)
-	require.Equal(t, failure.CallerLeft, failed.Kind)
+	require.Equal(t, failure.CallerDisconnected, failed.Kind)
 	require.Zero(t, counted.broken)
 	require.Equal(t, 1, counted.left, "the replica may go on with it")
 }
--- a/core/replica_model_test.go
+++ b/core/replica_model_test.go
@@ -31,7 +31,7 @@
 	objective time.Duration
 	limit     float64 // requests a second that it takes; zero: it asks for rest
 	perSecond float64 // requests that come
-	book      *permit.Book
+	book      *permit.Pacer
 	arrivals  []time.Time
 	cores     []*Core
 	resting   []time.Time // by daemon, as the replica counts
@@ -101,15 +101,15 @@
 }
 
 // AskPermit implements ReplicaPermits, as the owner of the replica's turns.
-func (m *replicaModel) AskPermit(_ context.Context, ask permit.Ask) (ReplicaPermit, NoTurn) {
+func (m *replicaModel) AskPermit(_ context.Context, ask permit.Request) (ReplicaPermit, NoTurn) {
 	time.Sleep(2 * modelHop)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	answer := m.book.Ask(ask, 1, time.Now())
+	answer := m.book.Request(ask, 1, time.Now())
 	if !answer.Granted {
 		return nil, NoTurn{RetryIn: answer.RetryIn}
 	}
-	return &modelPermit{turn: time.Now().Add(answer.In)}, NoTurn{}
+	return &modelPermit{turn: time.Now().Add(answer.Delay)}, NoTurn{}
 }
 
 // modelPermit is a permit that may be used once.
@@ -132,7 +132,7 @@
 	log.SetOutput(io.Discard)
 	m.random = rand.New(rand.NewPCG(1, 2))
 	m.resting = make([]time.Time, modelDaemons)
-	m.book = permit.NewBook(true, time.Now())
+	m.book = permit.NewPacer(true, time.Now())
 	for daemon := range modelDaemons {
 		directory := fleet.NewDirectory("a", func() float64 { return 0 })
 		directory.Put(fleet.Entry{ID: "r1", Service: "press", Address: "r1:1", Zone: "a", Holdings: fleet.Holdings{"m": nil}}, time.Now())
@@ -149,7 +149,7 @@
 
 func (m *replicaModel) play() {
 	m.prepare()
-	service := &routing.Service{Name: "press", Engine: &routing.Engine{Models: map[string]*routing.Model{"m": {Name: "m", StoreLoad: 4 * time.Second}}}}
+	service := &routing.Service{Name: "press", Engine: &routing.Engine{Models: map[string]*routing.Model{"m": {Name: "m", StoreLoadTime: 4 * time.Second}}}}
 	route := &routing.Route{Name: "route", Kind: routing.Stream, Attempts: 2, Objective: m.objective, MaxGap: 300 * time.Millisecond, Resumable: true}
 	began := time.Now()
 	var callers sync.WaitGroup
--- a/core/replicalimit.go
+++ b/core/replicalimit.go
@@ -13,7 +13,7 @@
 type ReplicaPermits interface {
 	// AskPermit asks for the permission to send one message to a replica. It returns nil if the message
 	// gets no turn in time, and why.
-	AskPermit(ctx context.Context, ask permit.Ask) (ReplicaPermit, NoTurn)
+	AskPermit(ctx context.Context, ask permit.Request) (ReplicaPermit, NoTurn)
 }
 
 // NoTurn says why a message gets no turn in time.
@@ -39,8 +39,8 @@
 	if pick.PerSecond == 0 || c.Permits == nil {
 		return true
 	}
-	granted, none := c.Permits.AskPermit(ctx, permit.Ask{
-		Replica: pick.Incarnation, PerSecond: pick.PerSecond, Priority: running.Priority(), Patience: max(0, time.Until(inTime(running.Call))),
+	granted, none := c.Permits.AskPermit(ctx, permit.Request{
+		Replica: pick.Incarnation, PerSecond: pick.PerSecond, Priority: running.Priority(), MaxWait: max(0, time.Until(inTime(running.Call))),
 	})
 	if granted == nil {
 		pick.Withdraw()
--- a/core/replicalimit_test.go
+++ b/core/replicalimit_test.go
@@ -19,11 +19,11 @@
 // scriptPermits grants turns, each after a while, or refuses them.
 type scriptPermits struct {
 	in       []time.Duration // negative: refused for so long
-	asked    []permit.Ask
+	asked    []permit.Request
 	returned int
 }
 
-func (p *scriptPermits) AskPermit(_ context.Context, ask permit.Ask) (ReplicaPermit, NoTurn) {
+func (p *scriptPermits) AskPermit(_ context.Context, ask permit.Request) (ReplicaPermit, NoTurn) {
 	p.asked = append(p.asked, ask)
 	in := p.in[0]
 	p.in = p.in[1:]
@@ -72,7 +72,7 @@
 		require.Equal(t, 300*time.Millisecond, time.Since(began))
 		require.Len(t, permits.asked, 1)
 		require.Equal(t, 2.0, permits.asked[0].PerSecond)
-		require.Positive(t, permits.asked[0].Patience)
+		require.Positive(t, permits.asked[0].MaxWait)
 		require.Zero(t, permits.returned)
 	})
 }
--- a/core/wait.go
+++ b/core/wait.go
@@ -160,12 +160,12 @@
 		return loadEstimate{decisionGuess, sourceCatalogue}
 	}
 	if miss == fleet.NotLoaded && c.OrdersGiven != nil && c.OrdersGiven() {
-		times := fleet.LoadTimes{FromMemory: model.MemoryLoad, FromDisk: model.DiskLoad}
-		if in, kept := c.Fleet.KeptLoad(call.Service.Name, model.Name, times, now); kept && in < model.StoreLoad {
+		times := fleet.LoadTimes{FromMemory: model.MemoryLoadTime, FromDisk: model.DiskLoadTime}
+		if in, kept := c.Fleet.KeptLoad(call.Service.Name, model.Name, times, now); kept && in < model.StoreLoadTime {
 			return loadEstimate{in + decisionGuess, sourceKept}
 		}
 	}
-	return loadEstimate{model.StoreLoad + decisionGuess, sourceCatalogue}
+	return loadEstimate{model.StoreLoadTime + decisionGuess, sourceCatalogue}
 }
 
 // await returns the replica for the next dispatch, waiting for one if that is worth
--- a/core/wait_test.go
+++ b/core/wait_test.go
@@ -27,7 +27,7 @@
 // requests wait, where somebody hears of them.
 func TestARequestWaitsForAModelThatAReplicaKeeps(t *testing.T) {
 	now := time.Now()
-	model := &routing.Model{Name: "rare", StoreLoad: 20 * time.Second, MemoryLoad: time.Second, DiskLoad: 2 * time.Second}
+	model := &routing.Model{Name: "rare", StoreLoadTime: 20 * time.Second, MemoryLoadTime: time.Second, DiskLoadTime: 2 * time.Second}
 	service := &routing.Service{Name: "press", Engine: &routing.Engine{Models: map[string]*routing.Model{"rare": model}}}
 	call := &Call{Route: &routing.Route{Kind: routing.Stream, Objective: 4 * time.Second}, Service: service, Target: fleet.Target{Model: "rare"},
 		Arrived: now.Add(-time.Second), Deadline: now.Add(30 * time.Second)}
--- a/limiter/owner.go
+++ b/limiter/owner.go
@@ -8,84 +8,84 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// unsureReturn is the advice to requests for a permit while another holder may have begun: the time in
+// uncertainRetryIn is the advice to requests for a permit while another holder may have begun: the time in
 // which the lease is renewed, or that one is known.
-const unsureReturn = 300 * time.Millisecond
+const uncertainRetryIn = 300 * time.Millisecond
 
 // Begin opens the book of a term as it begins: the turns that the last holder gave out pass from then on,
 // and not from the first question.
 func (s *Server) Begin() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if term, standing := s.Term(); term != 0 && standing == election.Sure {
+	if term, status := s.Term(); term != 0 && status == election.Sure {
 		s.refresh(term, s.now())
 	}
 }
 
 // TakeTurn takes a turn for a message of the holder itself, if one is free now.
-func (s *Server) TakeTurn(ask permit.Ask) (taken bool, retryIn time.Duration) {
+func (s *Server) TakeTurn(request permit.Request) (taken bool, retryIn time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	term, standing := s.Term()
+	term, status := s.Term()
 	if term == 0 || term != s.fence {
-		return false, unsureReturn
+		return false, uncertainRetryIn
 	}
-	ask.Patience = 0
-	answer := s.askBook(ask, standing, s.now())
+	request.MaxWait = 0
+	answer := s.reserve(request, status, s.now())
 	return answer.Granted, answer.RetryIn
 }
 
 // Waiting returns how many turns are given out and have not come yet; zero if this daemon is not the
 // holder.
-func (s *Server) Waiting() int {
+func (s *Server) PendingReservations() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if term, _ := s.Term(); term == 0 || term != s.fence {
 		return 0
 	}
-	return s.book.Waiting(s.now())
+	return s.pacer.PendingReservations(s.now())
 }
 
-// askBook asks for a turn; the mutex is held.
+// reserve asks for a turn; the mutex is held.
 //
 // What is given out is the part of the limit of those daemons that reach this one: the others use their
 // own shares, or ask another holder. So a holder that can't reach the key-value service goes on, and two
 // that believe in their terms at the same time together give out no more than the limit.
-func (s *Server) askBook(ask permit.Ask, standing election.Standing, now time.Time) permit.Answer {
+func (s *Server) reserve(request permit.Request, status election.Standing, now time.Time) permit.Answer {
 	reached := 1.0
 	if s.Reached != nil {
 		reached = s.Reached()
 	}
-	if standing == election.Unsure || reached <= 0 {
-		return permit.Answer{RetryIn: unsureReturn}
+	if status == election.Unsure || reached <= 0 {
+		return permit.Answer{RetryIn: uncertainRetryIn}
 	}
-	return s.book.Ask(s.turnAsked(ask), reached, now)
+	return s.pacer.Request(s.withKnownRate(request), reached, now)
 }
 
-// turnAsked is the question of a line, at the rate that this daemon knows of: two daemons may have heard
+// withKnownRate is the question of a line, at the rate that this daemon knows of: two daemons may have heard
 // different words.
-func (s *Server) turnAsked(ask permit.Ask) permit.Ask {
+func (s *Server) withKnownRate(request permit.Request) permit.Request {
 	if s.LimitOf != nil {
-		if perSecond := s.LimitOf(ask.Replica.ID); perSecond > 0 {
-			ask.PerSecond = perSecond
+		if perSecond := s.LimitOf(request.Replica.ID); perSecond > 0 {
+			request.PerSecond = perSecond
 		}
 	}
-	return ask
+	return request
 }
 
 // answerPermit answers a question for a permit; the mutex is held.
-func (s *Server) answerPermit(id uint64, asked *rpc.PermitQuestion, standing election.Standing, now time.Time) *rpc.QuotaAnswer {
-	ask := permit.Ask{
+func (s *Server) answerPermit(id uint64, asked *rpc.PermitQuestion, status election.Standing, now time.Time) *rpc.QuotaAnswer {
+	request := permit.Request{
 		Replica: asked.GetReplica().Incarnation(), PerSecond: asked.GetPerSecond(),
-		Priority: int(asked.GetPriority()), Patience: time.Duration(asked.GetPatienceMs()) * time.Millisecond,
+		Priority: int(asked.GetPriority()), MaxWait: time.Duration(asked.GetPatienceMs()) * time.Millisecond,
 	}
-	if !(ask.PerSecond > 0) { // NaN is not above zero either
-		return &rpc.QuotaAnswer{Id: id, RetryMs: unsureReturn.Milliseconds()}
+	if !(request.PerSecond > 0) { // NaN is not above zero either
+		return &rpc.QuotaAnswer{Id: id, RetryMs: uncertainRetryIn.Milliseconds()}
 	}
 	if asked.GetCharge() {
-		s.book.Charge(s.turnAsked(ask), 1, now)
+		s.pacer.Charge(s.withKnownRate(request), 1, now)
 		return &rpc.QuotaAnswer{Id: id}
 	}
-	answer := s.askBook(ask, standing, now)
-	return &rpc.QuotaAnswer{Id: id, Granted: answer.Granted, InMs: answer.In.Milliseconds(), RetryMs: answer.RetryIn.Milliseconds()}
+	answer := s.reserve(request, status, now)
+	return &rpc.QuotaAnswer{Id: id, Granted: answer.Granted, InMs: answer.Delay.Milliseconds(), RetryMs: answer.RetryIn.Milliseconds()}
 }
--- a/limiter/permits.go
+++ b/limiter/permits.go
@@ -12,57 +12,57 @@
 )
 
 const (
-	// ownerSilent is how long no holder has answered before a daemon uses its own share of replicas'
+	// fallbackDelay is how long no holder has answered before a daemon uses its own share of replicas'
 	// limits: the holder notes within 5 s that a daemon is cut off, and gives its part to nobody then.
 	// Another holder mostly answers before.
-	ownerSilent = 6 * time.Second
-	// ownerPatience is how long a request waits for a holder that does not answer, at most: a stream to
+	fallbackDelay = 6 * time.Second
+	// leaderWaitTimeout is how long a request waits for a holder that does not answer, at most: a stream to
 	// it may just be opening.
-	ownerPatience = 300 * time.Millisecond
-	// giveBackTime is how long after its turn a permit is given back: as long as a message is on its way.
+	leaderWaitTimeout = 300 * time.Millisecond
+	// maxReturnDelay is how long after its turn a permit is given back: as long as a message is on its way.
 	// A turn that passed unused is lost. Given out again later, it came beside the turns of that time: two
 	// of them were two messages too many in 4 s.
-	giveBackTime = 20 * time.Millisecond
-	// ownerReturn is the advice to requests that find none.
-	ownerReturn = 500 * time.Millisecond
+	maxReturnDelay = 20 * time.Millisecond
+	// unansweredRetryIn is the advice to requests that find none.
+	unansweredRetryIn = 500 * time.Millisecond
 )
 
 // Sources of permits, in log lines and metrics.
 const (
-	sourceHolder = "order_holder"
-	sourceOwn    = "own_share"
-	sourceNone   = "unanswered"
+	sourceLeader     = "order_holder"
+	sourceLocalShare = "own_share"
+	sourceUnanswered = "unanswered"
 )
 
-// permitQuestion is a question for a permit, or the word that a message goes without one.
-type permitQuestion struct {
-	id     uint64
-	ask    permit.Ask
-	charge bool
+// permitRequest is a question for a permit, or the word that a message goes without one.
+type permitRequest struct {
+	id      uint64
+	request permit.Request
+	charge  bool
 }
 
-func (q permitQuestion) message() *rpc.QuotaQuestion {
+func (q permitRequest) message() *rpc.QuotaQuestion {
 	return &rpc.QuotaQuestion{Id: q.id, Permit: &rpc.PermitQuestion{
-		Replica: rpc.IncarnationMessage(q.ask.Replica), PerSecond: q.ask.PerSecond,
-		Priority: int32(q.ask.Priority), PatienceMs: q.ask.Patience.Milliseconds(), Charge: q.charge,
+		Replica: rpc.IncarnationMessage(q.request.Replica), PerSecond: q.request.PerSecond,
+		Priority: int32(q.request.Priority), PatienceMs: q.request.MaxWait.Milliseconds(), Charge: q.charge,
 	}}
 }
 
 // Permit is the permission for one message to a replica with a limit. It implements core.ReplicaPermit.
 type Permit struct {
-	client  *Client
-	replica fleet.Incarnation
-	turn    time.Time // by when the answer was read, which is no earlier than the owner's
-	until   time.Time // when it is good for nothing any more; by when the question was made
-	source  string
-	fence   int64
-
-	mutex sync.Mutex
-	spent bool // used, or given back
+	client     *Client
+	replica    fleet.Incarnation
+	reservedAt time.Time // by when the answer was read, which is no earlier than the owner's
+	expiresAt  time.Time // when it is good for nothing any more; by when the question was made
+	source     string
+	fence      int64
+
+	mutex    sync.Mutex
+	consumed bool // used, or given back
 }
 
 // In implements core.ReplicaPermit.
-func (p *Permit) In() time.Duration { return max(0, p.turn.Sub(p.client.Now())) }
+func (p *Permit) In() time.Duration { return max(0, p.reservedAt.Sub(p.client.Now())) }
 
 // Source implements core.ReplicaPermit.
 func (p *Permit) Source() string { return p.source }
@@ -72,81 +72,81 @@
 // have waited: what is written then comes within the life of the owner's turn. Counted from the answer,
 // messages came up to 0.3 s later, and one more than the limit allows in 4 s.
 func (p *Permit) Use() bool {
-	if p.client.Now().After(p.until) {
+	if p.client.Now().After(p.expiresAt) {
 		return false
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	first := !p.spent
-	p.spent = true
+	first := !p.consumed
+	p.consumed = true
 	return first
 }
 
 // Return implements core.ReplicaPermit.
 func (p *Permit) Return() {
 	p.mutex.Lock()
-	spent := p.spent
-	p.spent = true
+	consumed := p.consumed
+	p.consumed = true
 	p.mutex.Unlock()
 	c := p.client
-	if spent || p.source != sourceHolder || c.Now().Sub(p.turn) > giveBackTime {
+	if consumed || p.source != sourceLeader || c.Now().Sub(p.reservedAt) > maxReturnDelay {
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.isUp && p.fence == c.fence {
-		c.outbox.unused = append(c.outbox.unused, p.replica)
+	if c.isConnected && p.fence == c.fence {
+		c.outbox.unusedPermits = append(c.outbox.unusedPermits, p.replica)
 		c.signal() // others wait for the turn
 	}
 }
 
 // AskPermit implements core.ReplicaPermits: it asks the holder, and uses this daemon's own share of the
 // limit where none has answered for long.
-func (c *Client) AskPermit(ctx context.Context, ask permit.Ask) (core.ReplicaPermit, core.NoTurn) {
-	for deadline := time.Now().Add(min(ask.Patience, ownerPatience)); ; {
-		answer, up := c.askHolder(ctx, c.permitQuestion(ask))
-		if up && !answer.Unknown {
-			return c.granted(ask, sourceHolder, permit.Answer{Granted: answer.Granted, In: answer.in, RetryIn: answer.RetryIn}, answer)
+func (c *Client) AskPermit(ctx context.Context, request permit.Request) (core.ReplicaPermit, core.NoTurn) {
+	for deadline := time.Now().Add(min(request.MaxWait, leaderWaitTimeout)); ; {
+		answer, answered := c.sendToLeader(ctx, c.permitRequest(request))
+		if answered && !answer.Unknown {
+			return c.newPermit(request, sourceLeader, permit.Answer{Granted: answer.Granted, Delay: answer.delay, RetryIn: answer.RetryIn}, answer)
 		}
-		if own, alone := c.ownTurn(ask, up); alone {
-			return c.granted(ask, sourceOwn, own, told{asked: c.Now()})
+		if local, allowed := c.requestLocally(request, answered); allowed {
+			return c.newPermit(request, sourceLocalShare, local, leaderAnswer{asked: c.Now()})
 		}
-		if !c.awaitHolder(ctx, time.Until(deadline)) {
-			c.count(sourceNone, "refused")
-			return nil, core.NoTurn{RetryIn: ownerReturn, Source: sourceNone}
+		if !c.awaitLeader(ctx, time.Until(deadline)) {
+			c.countPermit(sourceUnanswered, "refused")
+			return nil, core.NoTurn{RetryIn: unansweredRetryIn, Source: sourceUnanswered}
 		}
 	}
 }
 
-// permitQuestion is the question for a permit.
-func (c *Client) permitQuestion(ask permit.Ask) holderQuestion {
-	return holderQuestion{
-		put: func(now time.Time) uint64 {
-			made := permitQuestion{id: c.account.Ask("", 0, now).ID, ask: ask}
-			c.permitsAsked[made.id] = true
-			c.outbox.permits = append(c.outbox.permits, made)
-			return made.id
+// permitRequest is the question for a permit.
+func (c *Client) permitRequest(request permit.Request) leaderRequest {
+	return leaderRequest{
+		enqueue: func(now time.Time) uint64 {
+			queued := permitRequest{id: c.account.Request("", 0, now).ID, request: request}
+			c.pendingPermits[queued.id] = true
+			c.outbox.permits = append(c.outbox.permits, queued)
+			return queued.id
 		},
-		giveBack: func(told) {}, // its turn has passed meanwhile, or soon will have
+		returnGrant: func(leaderAnswer) {}, // its turn has passed meanwhile, or soon will have
 	}
 }
 
 // granted makes the permit of an answer, or tells when to ask again.
-func (c *Client) granted(ask permit.Ask, source string, answer permit.Answer, said told) (core.ReplicaPermit, core.NoTurn) {
+func (c *Client) newPermit(request permit.Request, source string, answer permit.Answer, received leaderAnswer) (core.ReplicaPermit, core.NoTurn) {
 	if !answer.Granted {
-		c.count(source, "refused")
+		c.countPermit(source, "refused")
 		return nil, core.NoTurn{RetryIn: answer.RetryIn, Source: source}
 	}
-	c.count(source, "granted")
+	c.countPermit(source, "granted")
 	return &Permit{
-		client: c, replica: ask.Replica, source: source, fence: said.fence,
-		turn: c.Now().Add(answer.In), until: said.asked.Add(answer.In + permit.Life),
+		client: c, replica: request.Replica, source: source, fence: received.fence,
+		reservedAt: c.Now().Add(answer.Delay), expiresAt: received.asked.Add(answer.Delay + permit.Validity),
 	}, core.NoTurn{}
 }
 
-// ownTurn takes a turn of this daemon's own share; alone tells whether it may. A holder that knows
+// requestLocally takes a turn of this daemon's own share; alone tells whether it may. A holder that knows
 // nothing of permits, since it runs an earlier version, is as good as none.
-func (c *Client) ownTurn(ask permit.Ask, holderAnswers bool) (answer permit.Answer, alone bool) {
+func (c *Client) requestLocally(request permit.Request, leaderAnswered bool) (answer permit.Answer, allowed bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.Now()
@@ -154,25 +154,25 @@
 	if c.Daemons != nil {
 		daemons = c.Daemons()
 	}
-	if daemons == 0 || !holderAnswers && now.Sub(c.heardAt) <= ownerSilent {
+	if daemons == 0 || !leaderAnswered && now.Sub(c.lastAnswerAt) <= fallbackDelay {
 		return permit.Answer{}, false
 	}
-	return c.shares.Ask(ask, daemons, now), true
+	return c.localShares.Request(request, daemons, now), true
 }
 
 // Charge tells the holder that a message goes to a replica with a limit whether it has a turn or not.
 func (c *Client) Charge(replica fleet.Incarnation, perSecond float64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.isUp {
+	if !c.isConnected {
 		return
 	}
-	c.outbox.permits = append(c.outbox.permits, permitQuestion{ask: permit.Ask{Replica: replica, PerSecond: perSecond, Priority: permit.LeastUrgent}, charge: true})
+	c.outbox.permits = append(c.outbox.permits, permitRequest{request: permit.Request{Replica: replica, PerSecond: perSecond, Priority: permit.LowestPriority}, charge: true})
 	c.signal()
 }
 
-func (c *Client) count(source, outcome string) {
-	if c.Count != nil {
-		c.Count(source, outcome)
+func (c *Client) countPermit(source, outcome string) {
+	if c.CountPermit != nil {
+		c.CountPermit(source, outcome)
 	}
 }
--- a/limiter/permits_test.go
+++ b/limiter/permits_test.go
@@ -21,7 +21,7 @@
 )
 
 // owner is a daemon that hands out permits; the test says what it knows.
-type owner struct {
+type permitLeader struct {
 	*Server
 	*term
 	address string
@@ -29,220 +29,220 @@
 	first   bool
 }
 
-func startOwner(t *testing.T, first bool) *owner {
+func startPermitLeader(t *testing.T, first bool) *permitLeader {
 	t.Helper()
 	log, _ := test.NewNullLogger()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	made := &owner{term: &term{fence: 1, standing: election.Sure}, address: listener.Addr().String(), first: first}
-	made.reached.Store(100)
-	made.Server = &Server{
-		Bounds: testBounds, Table: &routing.Store{}, Term: made.get, First: func() bool { return first },
-		Reached: func() float64 { return float64(made.reached.Load()) / 100 }, Log: log,
+	leader := &permitLeader{term: &term{fence: 1, status: election.Sure}, address: listener.Addr().String(), first: first}
+	leader.reached.Store(100)
+	leader.Server = &Server{
+		Bounds: testBounds, Table: &routing.Store{}, Term: leader.get, IsFirstTerm: func() bool { return first },
+		Reached: func() float64 { return float64(leader.reached.Load()) / 100 }, Log: log,
 	}
 	server := transport.NewServer(listener)
-	require.NoError(t, rpc.DRPCRegisterQuotas(server.Mux(), made.Server))
+	require.NoError(t, rpc.DRPCRegisterQuotas(server.Mux(), leader.Server))
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() { _ = server.Serve(ctx) }()
-	return made
+	return leader
 }
 
-func permitAsk(perSecond float64, patience time.Duration) permit.Ask {
-	return permit.Ask{Replica: fleet.Incarnation{ID: "r1", Born: 1000}, PerSecond: perSecond, Patience: patience}
+func newPermitRequest(perSecond float64, maxWait time.Duration) permit.Request {
+	return permit.Request{Replica: fleet.Incarnation{ID: "r1", Born: 1000}, PerSecond: perSecond, MaxWait: maxWait}
 }
 
 // connected returns a client that the holder answers.
-func connected(t *testing.T, address string) *Client {
+func startConnectedClient(t *testing.T, address string) *Client {
 	t.Helper()
-	client := clientOf(t, address)
-	require.Eventually(t, client.Answers, 5*time.Second, time.Millisecond)
+	client := startClient(t, address)
+	require.Eventually(t, client.LeaderResponsive, 5*time.Second, time.Millisecond)
 	return client
 }
 
-func TestDaemonsGetTurnsOneAfterTheOther(t *testing.T) {
-	held := startOwner(t, true)
-	first, second := connected(t, held.address), connected(t, held.address)
-	ask := permitAsk(4, time.Second)
-	var turns []time.Time
+func TestDaemonsReceiveConsecutiveReservations(t *testing.T) {
+	leader := startPermitLeader(t, true)
+	first, second := startConnectedClient(t, leader.address), startConnectedClient(t, leader.address)
+	request := newPermitRequest(4, time.Second)
+	var reservations []time.Time
 	for _, client := range []*Client{first, second, first, second} {
-		granted, _ := client.AskPermit(t.Context(), ask)
+		granted, _ := client.AskPermit(t.Context(), request)
 		require.NotNil(t, granted)
-		require.Equal(t, sourceHolder, granted.Source())
-		turns = append(turns, granted.(*Permit).turn)
-		require.LessOrEqual(t, granted.(*Permit).until.Sub(granted.(*Permit).turn), permit.Life, "its life counts from the question")
+		require.Equal(t, sourceLeader, granted.Source())
+		reservations = append(reservations, granted.(*Permit).reservedAt)
+		require.LessOrEqual(t, granted.(*Permit).expiresAt.Sub(granted.(*Permit).reservedAt), permit.Validity, "its life counts from the question")
 	}
-	require.InDelta(t, 0.75, turns[3].Sub(turns[0]).Seconds(), 0.1)
-	require.GreaterOrEqual(t, held.Waiting(), 2)
-	refused, none := first.AskPermit(t.Context(), permitAsk(4, 0))
+	require.InDelta(t, 0.75, reservations[3].Sub(reservations[0]).Seconds(), 0.1)
+	require.GreaterOrEqual(t, leader.PendingReservations(), 2)
+	refused, denial := first.AskPermit(t.Context(), newPermitRequest(4, 0))
 	require.Nil(t, refused)
-	require.InDelta(t, 1, none.RetryIn.Seconds(), 0.15)
-	_, later := second.AskPermit(t.Context(), permitAsk(4, 0))
-	require.Greater(t, later.RetryIn, none.RetryIn)
-	taken, _ := held.TakeTurn(ask)
+	require.InDelta(t, 1, denial.RetryIn.Seconds(), 0.15)
+	_, later := second.AskPermit(t.Context(), newPermitRequest(4, 0))
+	require.Greater(t, later.RetryIn, denial.RetryIn)
+	taken, _ := leader.TakeTurn(request)
 	require.False(t, taken, "the holder's own messages wait for a free turn")
 }
 
-func TestAPermitIsGoodOnceAndForAShortWhile(t *testing.T) {
-	held := startOwner(t, true)
-	client := connected(t, held.address)
-	asked := func() core.ReplicaPermit {
+func TestPermitIsUsableOnceUntilItExpires(t *testing.T) {
+	leader := startPermitLeader(t, true)
+	client := startConnectedClient(t, leader.address)
+	requestPermit := func() core.ReplicaPermit {
 		var granted core.ReplicaPermit
 		require.Eventually(t, func() bool {
-			granted, _ = client.AskPermit(t.Context(), permitAsk(0.05, 0))
+			granted, _ = client.AskPermit(t.Context(), newPermitRequest(0.05, 0))
 			return granted != nil
 		}, 5*time.Second, time.Millisecond)
 		return granted
 	}
-	unused := asked()
+	unused := requestPermit()
 	require.Zero(t, unused.In())
 	unused.Return()
 	unused.Return()
 	require.False(t, unused.Use())
-	used := asked() // it was given back
+	used := requestPermit() // it was given back
 	require.True(t, used.Use())
 	require.False(t, used.Use())
 	used.Return()
-	none, _ := client.AskPermit(t.Context(), permitAsk(0.05, 0))
+	none, _ := client.AskPermit(t.Context(), newPermitRequest(0.05, 0))
 	require.Nil(t, none, "what was used is not given back")
-	used.(*Permit).spent = false
-	used.(*Permit).until = time.Now().Add(-time.Millisecond)
+	used.(*Permit).consumed = false
+	used.(*Permit).expiresAt = time.Now().Add(-time.Millisecond)
 	require.False(t, used.Use(), "its process stood still")
 }
 
-func TestAHolderGivesOutThePartOfTheDaemonsThatReachIt(t *testing.T) {
-	held := startOwner(t, true)
-	client := connected(t, held.address)
-	held.reached.Store(50)
-	_, _ = client.AskPermit(t.Context(), permitAsk(1, 0))
-	_, none := client.AskPermit(t.Context(), permitAsk(1, 0))
-	require.InDelta(t, 2, none.RetryIn.Seconds(), 0.1)
-	held.set(1, election.Blind)
-	_, none = client.AskPermit(t.Context(), permitAsk(1, 0))
-	require.Greater(t, none.RetryIn, 2*time.Second, "it goes on without the key-value service")
-	held.set(1, election.Unsure)
-	refused, none := client.AskPermit(t.Context(), permitAsk(1, time.Second))
+func TestLeaderGrantsShareOfReachableDaemons(t *testing.T) {
+	leader := startPermitLeader(t, true)
+	client := startConnectedClient(t, leader.address)
+	leader.reached.Store(50)
+	_, _ = client.AskPermit(t.Context(), newPermitRequest(1, 0))
+	_, denial := client.AskPermit(t.Context(), newPermitRequest(1, 0))
+	require.InDelta(t, 2, denial.RetryIn.Seconds(), 0.1)
+	leader.set(1, election.Blind)
+	_, denial = client.AskPermit(t.Context(), newPermitRequest(1, 0))
+	require.Greater(t, denial.RetryIn, 2*time.Second, "it goes on without the key-value service")
+	leader.set(1, election.Unsure)
+	refused, denial := client.AskPermit(t.Context(), newPermitRequest(1, time.Second))
 	require.Nil(t, refused, "another may have begun")
-	require.Equal(t, unsureReturn, none.RetryIn)
-	held.reached.Store(0)
-	taken, _ := held.TakeTurn(permitAsk(1, 0))
+	require.Equal(t, uncertainRetryIn, denial.RetryIn)
+	leader.reached.Store(0)
+	taken, _ := leader.TakeTurn(newPermitRequest(1, 0))
 	require.False(t, taken)
 }
 
-func TestAFurtherHolderCountsTheTurnsThatAreOutFromTheBeginOfItsTerm(t *testing.T) {
-	held := startOwner(t, false)
-	held.Begin()
+func TestNewLeaderDelaysFromStartOfTerm(t *testing.T) {
+	leader := startPermitLeader(t, false)
+	leader.Begin()
 	begun := time.Now()
-	client := connected(t, held.address)
+	client := startConnectedClient(t, leader.address)
 	time.Sleep(200 * time.Millisecond)
-	_, none := client.AskPermit(t.Context(), permitAsk(2, 0))
-	require.InDelta(t, (permit.MostAhead + 500*time.Millisecond).Seconds(), (time.Since(begun) + none.RetryIn).Seconds(), 0.05)
+	_, denial := client.AskPermit(t.Context(), newPermitRequest(2, 0))
+	require.InDelta(t, (permit.MaxReservationDelay + 500*time.Millisecond).Seconds(), (time.Since(begun) + denial.RetryIn).Seconds(), 0.05)
 }
 
-func TestAMessageThatGoesWithoutATurnIsCounted(t *testing.T) {
-	held := startOwner(t, true)
-	client := connected(t, held.address)
-	ask := permitAsk(1, 0)
+func TestChargedMessageUsesReservation(t *testing.T) {
+	leader := startPermitLeader(t, true)
+	client := startConnectedClient(t, leader.address)
+	request := newPermitRequest(1, 0)
 	for range 3 {
-		client.Charge(ask.Replica, ask.PerSecond)
+		client.Charge(request.Replica, request.PerSecond)
 	}
 	require.Eventually(t, func() bool {
-		held.Server.mutex.Lock()
-		defer held.Server.mutex.Unlock()
-		return held.book != nil && held.book.Waiting(time.Now()) >= 2
+		leader.Server.mutex.Lock()
+		defer leader.Server.mutex.Unlock()
+		return leader.pacer != nil && leader.pacer.PendingReservations(time.Now()) >= 2
 	}, 5*time.Second, time.Millisecond)
 }
 
 // At first a daemon without a holder waits for the next; then it uses its own share.
-func TestWithoutAHolderADaemonUsesItsOwnShareAfterAWhile(t *testing.T) {
-	held := startOwner(t, true)
-	client := connected(t, held.address)
+func TestDaemonFallsBackToLocalShareWithoutLeader(t *testing.T) {
+	leader := startPermitLeader(t, true)
+	client := startConnectedClient(t, leader.address)
 	var daemons atomic.Int64
 	client.Daemons = func() int { return int(daemons.Load()) }
-	ask := permitAsk(1000, 10*time.Millisecond)
-	held.set(0, election.None)
+	request := newPermitRequest(1000, 10*time.Millisecond)
+	leader.set(0, election.None)
 	require.Eventually(t, func() bool {
-		none, _ := client.AskPermit(t.Context(), ask)
+		none, _ := client.AskPermit(t.Context(), request)
 		return none == nil
 	}, 5*time.Second, time.Millisecond)
-	refused, none := client.AskPermit(t.Context(), ask)
+	refused, none := client.AskPermit(t.Context(), request)
 	require.Nil(t, refused)
-	require.Equal(t, core.NoTurn{RetryIn: ownerReturn, Source: sourceNone}, none)
+	require.Equal(t, core.NoTurn{RetryIn: unansweredRetryIn, Source: sourceUnanswered}, none)
 
 	client.mutex.Lock()
-	client.heardAt = client.heardAt.Add(-ownerSilent)
+	client.lastAnswerAt = client.lastAnswerAt.Add(-fallbackDelay)
 	client.mutex.Unlock()
-	refused, _ = client.AskPermit(t.Context(), ask)
+	refused, _ = client.AskPermit(t.Context(), request)
 	require.Nil(t, refused, "nobody knows how many share the limit")
 	daemons.Store(3)
-	granted, _ := client.AskPermit(t.Context(), ask)
+	granted, _ := client.AskPermit(t.Context(), request)
 	require.NotNil(t, granted)
-	require.Equal(t, sourceOwn, granted.Source())
+	require.Equal(t, sourceLocalShare, granted.Source())
 	granted.Return()
 	require.False(t, granted.Use())
 }
 
 // The daemons of an earlier version answer that they know no such tenant.
-func TestAHolderOfAnEarlierVersionIsAsGoodAsNone(t *testing.T) {
-	held := startOwner(t, true)
-	client := connected(t, held.address)
+func TestLeaderWithoutPermitSupportCausesFallback(t *testing.T) {
+	leader := startPermitLeader(t, true)
+	client := startConnectedClient(t, leader.address)
 	client.Daemons = func() int { return 3 }
-	own, alone := client.ownTurn(permitAsk(1000, time.Second), true)
-	require.True(t, alone)
-	require.True(t, own.Granted)
-	_, alone = client.ownTurn(permitAsk(1000, time.Second), false)
-	require.False(t, alone, "it was there just now")
+	local, allowed := client.requestLocally(newPermitRequest(1000, time.Second), true)
+	require.True(t, allowed)
+	require.True(t, local.Granted)
+	_, allowed = client.requestLocally(newPermitRequest(1000, time.Second), false)
+	require.False(t, allowed, "it was there just now")
 }
 
-func TestNonsenseGetsNoPermit(t *testing.T) {
-	held := startOwner(t, true)
-	held.Begin()
+func TestInvalidPermitRequestsAreRefused(t *testing.T) {
+	leader := startPermitLeader(t, true)
+	leader.Begin()
 	for _, asked := range []*rpc.PermitQuestion{{}, {PerSecond: -1}, {PatienceMs: -5}} {
-		require.False(t, held.answerPermit(7, asked, election.Sure, time.Now()).GetGranted())
+		require.False(t, leader.answerPermit(7, asked, election.Sure, time.Now()).GetGranted())
 	}
-	held.ledger.Heard("d1", time.Now())
-	held.book.Return(fleet.Incarnation{})
+	leader.ledger.RecordContact("d1", time.Now())
+	leader.pacer.Return(fleet.Incarnation{})
 }
 
 // A turn that passed unused is lost: given out again, it would come beside the turns of that time.
-func TestATurnThatPassedIsNotGivenOutAgain(t *testing.T) {
-	held := startOwner(t, true)
-	client := connected(t, held.address)
-	granted, _ := client.AskPermit(t.Context(), permitAsk(1, 0))
+func TestPassedReservationIsNotReturned(t *testing.T) {
+	leader := startPermitLeader(t, true)
+	client := startConnectedClient(t, leader.address)
+	granted, _ := client.AskPermit(t.Context(), newPermitRequest(1, 0))
 	require.NotNil(t, granted)
-	granted.(*Permit).turn = time.Now().Add(-giveBackTime - time.Millisecond)
+	granted.(*Permit).reservedAt = time.Now().Add(-maxReturnDelay - time.Millisecond)
 	client.mutex.Lock()
-	asked := client.permitQuestion(permitAsk(1, 0))
-	id := asked.put(time.Now())
+	request := client.permitRequest(newPermitRequest(1, 0))
+	id := request.enqueue(time.Now())
 	client.account.Abandon(id)
-	client.settle(quota.Answer{ID: id, Granted: true}, time.Now()) // the answer came late
+	client.applyAnswer(quota.Answer{ID: id, Granted: true}, time.Now()) // the answer came late
 	client.mutex.Unlock()
 	granted.Return()
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
-	require.Empty(t, client.outbox.unused)
+	require.Empty(t, client.outbox.unusedPermits)
 	require.Empty(t, client.outbox.refunds)
 	client.outbox = outbox{}
 }
 
 // A thousand daemons keep no streams to the holder for limits that were lifted.
-func TestAStreamOnWhichNothingIsAskedEnds(t *testing.T) {
-	held := startOwner(t, true)
-	var needed, passed atomic.Int64
-	needed.Store(1)
+func TestUnusedStreamIsClosed(t *testing.T) {
+	leader := startPermitLeader(t, true)
+	var limited, elapsed atomic.Int64
+	limited.Store(1)
 	log, _ := test.NewNullLogger()
-	client := &Client{Bounds: testBounds, Holder: func() string { return held.address }, Needed: func() bool { return needed.Load() == 1 },
-		Now: func() time.Time { return time.Now().Add(time.Duration(passed.Load())) }, Log: log}
+	client := &Client{Bounds: testBounds, Holder: func() string { return leader.address }, HasLimits: func() bool { return limited.Load() == 1 },
+		Now: func() time.Time { return time.Now().Add(time.Duration(elapsed.Load())) }, Log: log}
 	client.Prepare()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _ = client.Serve(ctx) }()
-	require.Eventually(t, client.Answers, 5*time.Second, time.Millisecond)
-	needed.Store(0)
-	time.Sleep(3 * connectPause)
-	require.True(t, client.Answers(), "a limit may be named again")
-	passed.Store(int64(unneededTime))
-	require.Eventually(t, func() bool { return !client.Answers() }, 5*time.Second, time.Millisecond)
-	needed.Store(1)
-	require.Eventually(t, client.Answers, 5*time.Second, time.Millisecond)
+	require.Eventually(t, client.LeaderResponsive, 5*time.Second, time.Millisecond)
+	limited.Store(0)
+	time.Sleep(3 * reconnectDelay)
+	require.True(t, client.LeaderResponsive(), "a limit may be named again")
+	elapsed.Store(int64(unusedStreamTimeout))
+	require.Eventually(t, func() bool { return !client.LeaderResponsive() }, 5*time.Second, time.Millisecond)
+	limited.Store(1)
+	require.Eventually(t, client.LeaderResponsive, 5*time.Second, time.Millisecond)
 }
--- a/limiter/suspended_test.go
+++ b/limiter/suspended_test.go
@@ -13,9 +13,9 @@
 
 // A machine that was suspended must not use credit that its holder counts as lapsed: the
 // monotonic clock stood still meanwhile.
-func TestCreditLapsesWhileTheMachineIsSuspended(t *testing.T) {
-	tenant := brewery(1000)
-	held, address := holderOf(t, tenant)
+func TestCreditExpiresWhileMachineIsSuspended(t *testing.T) {
+	tenant := testTenant(1000)
+	leaderTerm, address := startLeader(t, tenant)
 	suspended := atomic.Int64{}
 	start := time.Now()
 	clock := boottime.New(start, func() time.Duration { return time.Since(start) + time.Duration(suspended.Load()) })
@@ -25,8 +25,8 @@
 	go func() { _ = client.Serve(t.Context()) }()
 	awaitAdmit(t, client, tenant)
 	require.Positive(t, client.Credit(), "lent ahead with the answer")
-	held.set(0, 0) // the holder is lost
+	leaderTerm.set(0, 0) // the holder is lost
 	suspended.Store(int64(2 * testBounds.Window))
 	require.Zero(t, client.Credit())
-	require.False(t, client.useAhead(tenant.Name, 1))
+	require.False(t, client.useCredit(tenant.Name, 1))
 }
--- a/loader/holder.go
+++ b/loader/holder.go
@@ -412,7 +412,7 @@
 		if service.Engine != nil {
 			snapshot.Services[service.Name] = service.Engine
 			perSecond = max(perSecond, service.Engine.LoadsPerSecond)
-			longest = max(longest, service.Engine.LongestLoad)
+			longest = max(longest, service.Engine.MaxStoreLoadTime)
 		}
 	})
 	h.window.Most = int(storeShare * (perSecond*h.Limits.Window.Seconds()*h.Limits.Slack + float64(h.Limits.Extra)))
--- a/loader/holder_test.go
+++ b/loader/holder_test.go
@@ -99,7 +99,7 @@
 	log := discarding()
 	made := elected(t, log)
 	table, err := routing.NewTable(routing.Revision{Version: 1, Services: []*routing.Service{{Name: "press", Engine: &routing.Engine{
-		MemoryMB: 200, Models: map[string]*routing.Model{"m1": {Name: "m1", MemoryMB: 90, StoreLoad: 4 * time.Second, DiskLoad: time.Second}},
+		MemoryMB: 200, Models: map[string]*routing.Model{"m1": {Name: "m1", MemoryMB: 90, StoreLoadTime: 4 * time.Second, DiskLoadTime: time.Second}},
 	}}}})
 	require.NoError(t, err)
 	routes := &routing.Store{}
@@ -139,7 +139,7 @@
 	t.Helper()
 	log := discarding()
 	table, err := routing.NewTable(routing.Revision{Version: 1, Services: []*routing.Service{{Name: "press", Engine: &routing.Engine{
-		MemoryMB: 200, LoadsPerSecond: 4, Models: map[string]*routing.Model{"m1": {Name: "m1", MemoryMB: 90, StoreLoad: 4 * time.Second}},
+		MemoryMB: 200, LoadsPerSecond: 4, Models: map[string]*routing.Model{"m1": {Name: "m1", MemoryMB: 90, StoreLoadTime: 4 * time.Second}},
 	}}}})
 	require.NoError(t, err)
 	routes := &routing.Store{}
--- a/loading/fetch_test.go
+++ b/loading/fetch_test.go
@@ -155,7 +155,7 @@
 	asked := waitingFor("m5", "")
 	made := snapshot(asked, keeper, replica("r2", "m0"))
 	for _, model := range made.Services["press"].Models {
-		model.DiskLoad = second / 2
+		model.DiskLoadTime = second / 2
 	}
 	require.Empty(t, decideOnDemand(made))
 
@@ -199,7 +199,7 @@
 	}
 	made := snapshot(asked, quick...)
 	for _, model := range made.Services["press"].Models {
-		model.DiskLoad = second / 10
+		model.DiskLoadTime = second / 10
 	}
 	require.Empty(t, decideOnDemand(made))
 }
@@ -209,7 +209,7 @@
 	crowded.Slots, crowded.Running = 10, 9
 	made := snapshot(waitingFor("m5", ""), crowded, replica("r2"))
 	for _, model := range made.Services["press"].Models {
-		model.StoreLoad, model.DiskLoad, model.MemoryLoad = 0, 0, 0
+		model.StoreLoadTime, model.DiskLoadTime, model.MemoryLoadTime = 0, 0, 0
 	}
 	orders := decideOnDemand(made)
 	require.Len(t, orders, 1)
--- a/loading/models.go
+++ b/loading/models.go
@@ -304,16 +304,16 @@
 
 // shareOfStoreLoad returns a time as a share of that of a load from the weight store.
 func (n *modelNeed) shareOfStoreLoad(takes time.Duration) float64 {
-	if n.model.StoreLoad <= 0 {
+	if n.model.StoreLoadTime <= 0 {
 		return 1
 	}
-	return takes.Seconds() / n.model.StoreLoad.Seconds()
+	return takes.Seconds() / n.model.StoreLoadTime.Seconds()
 }
 
 // loadShare returns how long a load of the model takes, as a share of one from the store.
 func (n *modelNeed) loadShare() float64 {
-	if n.cached && n.model.DiskLoad > 0 {
-		return n.shareOfStoreLoad(n.model.DiskLoad)
+	if n.cached && n.model.DiskLoadTime > 0 {
+		return n.shareOfStoreLoad(n.model.DiskLoadTime)
 	}
 	return 1
 }
@@ -322,10 +322,10 @@
 // requests wait for the first.
 func (p *planner) valueOfCopy(need *modelNeed, urgent bool) float64 {
 	if urgent {
-		return worthFirst + worthRequest*float64(need.waiting) + need.perSecond*need.model.StoreLoad.Seconds()
+		return worthFirst + worthRequest*float64(need.waiting) + need.perSecond*need.model.StoreLoadTime.Seconds()
 	}
 	if need.copies == 0 {
-		return need.perSecond * need.model.DiskLoad.Seconds()
+		return need.perSecond * need.model.DiskLoadTime.Seconds()
 	}
 	if need.perSecond >= busyRate && need.copies < spareCopies {
 		return (worthSpare + need.perSecond) * need.loadShare()
--- a/node/node.go
+++ b/node/node.go
@@ -200,7 +200,7 @@
 	})
 	n.metrics.MustRegister(opened)
 	n.pool = upstream.NewPool(opened.Inc)
-	n.fleet.Connected(n.pool.Rests)
+	n.fleet.Connected(n.pool.HasIdle)
 	n.notices = newNoticeCounts(n.metrics)
 	replicas := adapters.Replicas(n.pool, Notices{Hear: n.hear, Admit: func(replica string, held fleet.Permit) error { return n.fleet.Admit(replica, held, time.Now()) }})
 	tracker := demand.NewTracker()
@@ -250,12 +250,12 @@
 	n.quarantine.Prepare()
 	requests.Quarantine = n.quarantine
 	n.follow(adapters)
-	n.quotas = &limiter.Client{Bounds: n.config.Quotas, Holder: n.election.HolderAddress, Needed: n.needsQuotas, Now: boottime.Now,
-		Daemons: requests.Daemons, Count: newPermitCounts(n.metrics), Log: n.log}
+	n.quotas = &limiter.Client{Bounds: n.config.Quotas, Holder: n.election.HolderAddress, HasLimits: n.needsQuotas, Now: boottime.Now,
+		Daemons: requests.Daemons, CountPermit: newPermitCounts(n.metrics), Log: n.log}
 	n.quotas.Prepare()
 	requests.Limits, requests.Permits = n.quotas, n.quotas
 	n.quarantine.Turns = &replicaTurns{fleet: n.fleet, quotas: n.quotas}
-	n.limits = &limiter.Server{Bounds: n.config.Quotas, Table: n.routes, Term: n.election.Term, First: n.holder.FirstOfAll, Now: boottime.Now,
+	n.limits = &limiter.Server{Bounds: n.config.Quotas, Table: n.routes, Term: n.election.Term, IsFirstTerm: n.holder.FirstOfAll, Now: boottime.Now,
 		Reached: n.holder.Reached, LimitOf: n.fleet.LimitOf, Log: n.log}
 	n.holder.Turns = n.limits
 	subscriber := &records.Subscriber{Daemon: n.config.ID, Mirror: n.mirror, Source: n.recordSource, Deputy: n.deputySource, Seeds: n.replicas.recordPeers, Log: n.log}
--- a/permit/book_test.go
+++ b/permit/book_test.go
@@ -11,110 +11,110 @@
 
 var start = time.Unix(1_000, 0)
 
-func live(perSecond float64, patience time.Duration) Ask {
-	return Ask{Replica: fleet.Incarnation{ID: "r1"}, PerSecond: perSecond, Patience: patience}
+func newRequest(perSecond float64, maxWait time.Duration) Request {
+	return Request{Replica: fleet.Incarnation{ID: "r1"}, PerSecond: perSecond, MaxWait: maxWait}
 }
 
-func TestTurnsComeAtTheRateAndAreGivenOutOnlyInTime(t *testing.T) {
-	book := NewBook(true, start)
-	require.Equal(t, Answer{Granted: true}, book.Ask(live(2, time.Second), 1, start))
-	require.Equal(t, Answer{Granted: true, In: 500 * time.Millisecond}, book.Ask(live(2, time.Second), 1, start))
-	require.Equal(t, Answer{Granted: true, In: time.Second}, book.Ask(live(2, time.Second), 1, start))
-	require.Equal(t, 2, book.Waiting(start))
-	require.Equal(t, Answer{RetryIn: 1500 * time.Millisecond}, book.Ask(live(2, time.Hour), 1, start), "no further ahead than the next owner waits")
-	require.Equal(t, Answer{RetryIn: 2 * time.Second}, book.Ask(live(2, time.Second), 1, start), "one after the other")
-	require.Equal(t, Answer{Granted: true}, book.Ask(Ask{Replica: fleet.Incarnation{ID: "r2"}, PerSecond: 2}, 1, start), "another replica")
+func TestReservationsFollowRateWithinMaxDelay(t *testing.T) {
+	pacer := NewPacer(true, start)
+	require.Equal(t, Answer{Granted: true}, pacer.Request(newRequest(2, time.Second), 1, start))
+	require.Equal(t, Answer{Granted: true, Delay: 500 * time.Millisecond}, pacer.Request(newRequest(2, time.Second), 1, start))
+	require.Equal(t, Answer{Granted: true, Delay: time.Second}, pacer.Request(newRequest(2, time.Second), 1, start))
+	require.Equal(t, 2, pacer.PendingReservations(start))
+	require.Equal(t, Answer{RetryIn: 1500 * time.Millisecond}, pacer.Request(newRequest(2, time.Hour), 1, start), "no further ahead than the next owner waits")
+	require.Equal(t, Answer{RetryIn: 2 * time.Second}, pacer.Request(newRequest(2, time.Second), 1, start), "one after the other")
+	require.Equal(t, Answer{Granted: true}, pacer.Request(Request{Replica: fleet.Incarnation{ID: "r2"}, PerSecond: 2}, 1, start), "another replica")
 }
 
-func TestOfTheTurnsThatNobodyTakesTwoAreKept(t *testing.T) {
-	book := NewBook(true, start)
-	book.Ask(live(1, 0), 1, start)
+func TestUnusedReservationsAreSavedUpToLimit(t *testing.T) {
+	pacer := NewPacer(true, start)
+	pacer.Request(newRequest(1, 0), 1, start)
 	now := start.Add(time.Hour)
-	for range saved {
-		require.True(t, book.Ask(live(1, 0), 1, now).Granted)
+	for range savedReservations {
+		require.True(t, pacer.Request(newRequest(1, 0), 1, now).Granted)
 	}
-	require.Equal(t, Answer{RetryIn: time.Second}, book.Ask(live(1, 0), 1, now))
+	require.Equal(t, Answer{RetryIn: time.Second}, pacer.Request(newRequest(1, 0), 1, now))
 }
 
-func TestLessUrgentRequestsLeaveATurnForUrgentOnes(t *testing.T) {
-	book := NewBook(true, start)
-	urgent, bulk := live(1, 400*time.Millisecond), live(1, 5*time.Second)
-	urgent.Priority, bulk.Priority = 1, 3
-	require.True(t, book.Ask(bulk, 1, start).Granted, "nobody more urgent asked")
-	require.False(t, book.Ask(urgent, 1, start).Granted)
+func TestLowPriorityLeavesReservationForHighPriority(t *testing.T) {
+	pacer := NewPacer(true, start)
+	highPriority, lowPriority := newRequest(1, 400*time.Millisecond), newRequest(1, 5*time.Second)
+	highPriority.Priority, lowPriority.Priority = 1, 3
+	require.True(t, pacer.Request(lowPriority, 1, start).Granted, "nobody more urgent asked")
+	require.False(t, pacer.Request(highPriority, 1, start).Granted)
 	served, now := 0, start
 	for range 80 { // 8 s
 		now = now.Add(100 * time.Millisecond)
-		if book.Ask(bulk, 1, now).Granted {
+		if pacer.Request(lowPriority, 1, now).Granted {
 			served++
-			require.True(t, book.Ask(urgent, 1, now).Granted, "at once")
+			require.True(t, pacer.Request(highPriority, 1, now).Granted, "at once")
 		}
 	}
 	require.Positive(t, served)
 	require.GreaterOrEqual(t, 2*served, 7, "both take what there is")
-	require.True(t, book.Ask(bulk, 1, now.Add(urgencyTime+time.Second)).Granted, "urgent ones came long ago")
+	require.True(t, pacer.Request(lowPriority, 1, now.Add(priorityWindow+time.Second)).Granted, "urgent ones came long ago")
 }
 
-func TestWhatWasNotUsedIsGivenOutAgain(t *testing.T) {
-	book := NewBook(true, start)
-	require.True(t, book.Ask(live(1, 0), 1, start).Granted)
-	require.False(t, book.Ask(live(1, 0), 1, start).Granted)
-	book.Return(fleet.Incarnation{ID: "r1"})
-	require.True(t, book.Ask(live(1, 0), 1, start).Granted)
-	book.Charge(live(1, 0), 1, start)
-	require.Equal(t, 2*time.Second, book.Ask(live(1, 0), 1, start).RetryIn, "what went without a permit counts too")
-	book.Return(fleet.Incarnation{ID: "r9"})
+func TestReturnedPermitIsGrantedAgain(t *testing.T) {
+	pacer := NewPacer(true, start)
+	require.True(t, pacer.Request(newRequest(1, 0), 1, start).Granted)
+	require.False(t, pacer.Request(newRequest(1, 0), 1, start).Granted)
+	pacer.Return(fleet.Incarnation{ID: "r1"})
+	require.True(t, pacer.Request(newRequest(1, 0), 1, start).Granted)
+	pacer.Charge(newRequest(1, 0), 1, start)
+	require.Equal(t, 2*time.Second, pacer.Request(newRequest(1, 0), 1, start).RetryIn, "what went without a permit counts too")
+	pacer.Return(fleet.Incarnation{ID: "r9"})
 }
 
-func TestAnotherRateCountsFromNowOn(t *testing.T) {
-	book := NewBook(true, start)
-	book.Ask(live(0.1, 0), 1, start)
-	require.Equal(t, 10*time.Second, book.Ask(live(0.1, 0), 1, start).RetryIn)
-	require.Equal(t, Answer{Granted: true, In: 200 * time.Millisecond}, book.Ask(live(5, time.Second), 1, start), "it rises")
-	require.Equal(t, Answer{Granted: true, In: 400 * time.Millisecond}, book.Ask(live(5, time.Second), 1, start))
-	require.Equal(t, Answer{RetryIn: 3 * time.Second}, book.Ask(live(1, 0), 1, start), "it falls; three turns are out")
-	require.Equal(t, 6*time.Second, book.Ask(live(1, 0), 0.5, start).RetryIn, "half of the daemons ask others")
+func TestRateChangeAppliesToPendingReservations(t *testing.T) {
+	pacer := NewPacer(true, start)
+	pacer.Request(newRequest(0.1, 0), 1, start)
+	require.Equal(t, 10*time.Second, pacer.Request(newRequest(0.1, 0), 1, start).RetryIn)
+	require.Equal(t, Answer{Granted: true, Delay: 200 * time.Millisecond}, pacer.Request(newRequest(5, time.Second), 1, start), "it rises")
+	require.Equal(t, Answer{Granted: true, Delay: 400 * time.Millisecond}, pacer.Request(newRequest(5, time.Second), 1, start))
+	require.Equal(t, Answer{RetryIn: 3 * time.Second}, pacer.Request(newRequest(1, 0), 1, start), "it falls; three turns are out")
+	require.Equal(t, 6*time.Second, pacer.Request(newRequest(1, 0), 0.5, start).RetryIn, "half of the daemons ask others")
 }
 
-func TestAFurtherOwnerWaitsForTheTurnsThatAreOut(t *testing.T) {
-	before, after := NewBook(true, start), NewBook(false, start)
-	require.True(t, before.Ask(live(1, MostAhead), 1, start).Granted)
-	last := before.Ask(live(1, MostAhead), 1, start)
-	require.Equal(t, MostAhead, last.In)
-	require.Equal(t, MostAhead+time.Second, after.Ask(live(1, 0), 1, start).RetryIn, "the pause after the last turn")
-	require.True(t, after.Ask(live(1, 0), 1, start.Add(MostAhead+time.Second)).Granted)
+func TestNewLeaderWaitsForOutstandingReservations(t *testing.T) {
+	before, after := NewPacer(true, start), NewPacer(false, start)
+	require.True(t, before.Request(newRequest(1, MaxReservationDelay), 1, start).Granted)
+	last := before.Request(newRequest(1, MaxReservationDelay), 1, start)
+	require.Equal(t, MaxReservationDelay, last.Delay)
+	require.Equal(t, MaxReservationDelay+time.Second, after.Request(newRequest(1, 0), 1, start).RetryIn, "the pause after the last turn")
+	require.True(t, after.Request(newRequest(1, 0), 1, start.Add(MaxReservationDelay+time.Second)).Granted)
 }
 
-func TestLinesThatNobodyAsksForAreForgotten(t *testing.T) {
-	book := NewBook(true, start)
+func TestIdleSchedulesAreRemoved(t *testing.T) {
+	pacer := NewPacer(true, start)
 	for replica := range 100 {
-		ask := live(1, 0)
-		ask.Replica.ID = string(rune('a' + replica))
-		book.Ask(ask, 1, start.Add(time.Duration(replica)*lineKept))
+		request := newRequest(1, 0)
+		request.Replica.ID = string(rune('a' + replica))
+		pacer.Request(request, 1, start.Add(time.Duration(replica)*idleScheduleTTL))
 	}
-	require.LessOrEqual(t, len(book.lines), 3)
+	require.LessOrEqual(t, len(pacer.schedules), 3)
 }
 
-func TestADaemonAloneUsesHalfOfItsPart(t *testing.T) {
-	shares := NewShares(func() float64 { return 0.5 })
+func TestLocalSharesUseHalfOfEvenShare(t *testing.T) {
+	shares := NewLocalShares(func() float64 { return 0.5 })
 	now, granted := start, 0
 	for range 3600 { // a second each
-		if shares.Ask(live(1, 0), 9, now).Granted {
+		if shares.Request(newRequest(1, 0), 9, now).Granted {
 			granted++
 		}
 		now = now.Add(time.Second)
 	}
-	require.InDelta(t, 3600.0/9*ownPart, granted, 1)
-	first := shares.Ask(live(1, 0), 9, now)
+	require.InDelta(t, 3600.0/9*localShareFraction, granted, 1)
+	first := shares.Request(newRequest(1, 0), 9, now)
 	shares.Reset()
-	require.Equal(t, 9*time.Second, shares.Ask(live(1, 0), 9, now).RetryIn, "its phase is drawn anew; %v", first)
+	require.Equal(t, 9*time.Second, shares.Request(newRequest(1, 0), 9, now).RetryIn, "its phase is drawn anew; %v", first)
 }
 
-func BenchmarkAsk(b *testing.B) {
-	book := NewBook(true, start)
+func BenchmarkRequest(b *testing.B) {
+	pacer := NewPacer(true, start)
 	now := start
 	for b.Loop() {
 		now = now.Add(100 * time.Millisecond)
-		book.Ask(live(10, time.Second), 1, now)
+		pacer.Request(newRequest(10, time.Second), 1, now)
 	}
 }
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -4,23 +4,23 @@
 
 // bucket is a token bucket, by what is missing to a full one.
 type bucket struct {
-	missing float64
-	at      time.Time
+	deficit   float64
+	updatedAt time.Time
 }
 
 // refill fills the bucket at a rate up to a moment.
 func (b *bucket) refill(perSecond float64, now time.Time) {
-	if elapsed := now.Sub(b.at); elapsed > 0 {
-		b.missing = max(0, b.missing-perSecond*elapsed.Seconds())
-		b.at = now
+	if elapsed := now.Sub(b.updatedAt); elapsed > 0 {
+		b.deficit = max(0, b.deficit-perSecond*elapsed.Seconds())
+		b.updatedAt = now
 	}
 }
 
 const (
-	// slotTime is the length of a slot of a history.
-	slotTime = 100 * time.Millisecond
-	// spareSlots are kept beyond a window, so that none is left out that begins in it.
-	spareSlots = 2
+	// slotLength is the length of a slot of a history.
+	slotLength = 100 * time.Millisecond
+	// extraSlots are kept beyond a window, so that none is left out that begins in it.
+	extraSlots = 2
 )
 
 // history sums what was used over the last window, by slots of time.
@@ -29,11 +29,11 @@
 	sum   float64
 }
 
-func slotOf(at time.Time) int64 { return at.UnixNano() / int64(slotTime) }
+func slotOf(at time.Time) int64 { return at.UnixNano() / int64(slotLength) }
 
 // forget drops the slots that ended before the window.
-func (h *history) forget(window time.Duration, now time.Time) {
-	first := slotOf(now.Add(-window)) - spareSlots
+func (h *history) expire(window time.Duration, now time.Time) {
+	first := slotOf(now.Add(-window)) - extraSlots
 	for slot, used := range h.slots {
 		if slot < first {
 			h.sum -= used
@@ -56,13 +56,13 @@
 	return slot
 }
 
-// takeBack removes what was counted in a slot but not used, and tells whether it was still
+// remove removes what was counted in a slot but not used, and tells whether it was still
 // counted.
-func (h *history) takeBack(unused float64, slot int64) bool {
-	if used, kept := h.slots[slot]; !kept || used < unused {
+func (h *history) remove(amount float64, slot int64) bool {
+	if used, found := h.slots[slot]; !found || used < amount {
 		return false
 	}
-	h.slots[slot] -= unused
-	h.sum -= unused
+	h.slots[slot] -= amount
+	h.sum -= amount
 	return true
 }
--- a/quota/callin.go
+++ b/quota/callin.go
@@ -2,55 +2,55 @@
 
 import "time"
 
-// TakeBack takes in credit that a daemon returned because it was called in.
-func (l *Ledger) TakeBack(daemon string, credits []Credit, now time.Time) {
+// AcceptReturned takes in credit that a daemon returned because it was called in.
+func (l *Ledger) AcceptReturned(daemon string, credits []Credit, now time.Time) {
 	for _, credit := range credits {
 		use := l.tenants[credit.Tenant]
 		if use == nil {
 			continue
 		}
-		known := use.lent[daemon]
+		known := use.outstandingCredit[daemon]
 		if known == nil || credit.Left <= 0 {
 			continue
 		}
 		returned := min(known.amount, credit.Left)
 		use.take(known, returned)
-		lapses := now.Add(credit.For)
-		if use.pool.amount == 0 || lapses.Before(use.pool.until) {
-			use.pool.until = lapses
+		expires := now.Add(credit.TTL)
+		if use.recalledPool.amount == 0 || expires.Before(use.recalledPool.expiresAt) {
+			use.recalledPool.expiresAt = expires
 		}
-		use.pool.amount += returned
+		use.recalledPool.amount += returned
 	}
 }
 
-// AnswerUnsure answers a daemon's question while the holder's lease does not surely hold, so
+// AnswerUncertain answers a daemon's question while the holder's lease does not surely hold, so
 // that another holder may grant from the same limits: only from credit that was called in.
-func (l *Ledger) AnswerUnsure(daemon string, ask Ask, now time.Time) Answer {
-	l.heard[daemon] = now
-	use := l.tenants[ask.Tenant]
+func (l *Ledger) AnswerUncertain(daemon string, request Request, now time.Time) Answer {
+	l.lastContact[daemon] = now
+	use := l.tenants[request.Tenant]
 	if use == nil {
-		return Answer{ID: ask.ID, Unknown: true}
+		return Answer{ID: request.ID, Unknown: true}
 	}
-	use.pool.expire(now)
-	if use.pool.amount < ask.Cost {
-		return Answer{ID: ask.ID, RetryIn: unsureReturn, Unsettled: true}
+	use.recalledPool.expire(now)
+	if use.recalledPool.amount < request.Cost {
+		return Answer{ID: request.ID, RetryIn: uncertainRetryIn, Unsettled: true}
 	}
-	use.pool.amount -= ask.Cost
-	use.usedLent.add(ask.Cost, now)
-	return Answer{ID: ask.ID, Granted: true, Slot: noSlot}
+	use.recalledPool.amount -= request.Cost
+	use.creditUsed.add(request.Cost, now)
+	return Answer{ID: request.ID, Granted: true, Slot: noSlot}
 }
 
 const (
-	// unsureReturn is the advice to callers while the holder's lease does not surely hold: the
+	// uncertainRetryIn is the advice to callers while the holder's lease does not surely hold: the
 	// time in which it is renewed, or another holder is there.
-	unsureReturn = time.Second
+	uncertainRetryIn = time.Second
 	// noSlot is that of grants which cannot be given back.
 	noSlot = -1
 )
 
 // expire empties a pool that has lapsed.
-func (p *pool) expire(now time.Time) {
-	if !now.Before(p.until) {
-		*p = pool{}
+func (p *recalledPool) expire(now time.Time) {
+	if !now.Before(p.expiresAt) {
+		*p = recalledPool{}
 	}
 }
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Ask is a daemon's question whether a request may use a tenant's limit.
-type Ask struct {
+type Request struct {
 	ID     uint64 // of the question; unique for the daemon's process
 	Tenant string
 	Cost   float64
@@ -33,7 +33,7 @@
 type Credit struct {
 	Tenant string
 	Left   float64
-	For    time.Duration // until it lapses
+	TTL    time.Duration // until it lapses
 }
 
 // Refund gives back what was granted to a request that did not run.
@@ -47,27 +47,27 @@
 // use.
 type Ledger struct {
 	bounds  Bounds
-	tenants map[string]*tenantUse
-	// lendsFrom is when no credit of earlier holders counts any more.
-	lendsFrom time.Time
-	began     time.Time
-	heard     map[string]time.Time // when each daemon last spoke
+	tenants map[string]*tenantUsage
+	// inheritedUntil is when no credit of earlier holders counts any more.
+	inheritedUntil time.Time
+	startedAt      time.Time
+	lastContact    map[string]time.Time // when each daemon last spoke
 }
 
-// tenantUse is one tenant's part of a ledger.
-type tenantUse struct {
-	limit    Limit
-	parts    division
-	bucket   bucket
-	granted  history
-	lent     map[string]*lent // by daemon
-	lentNow  float64          // the sum of it
-	adopted  float64          // the part of it that earlier holders lent
-	pool     pool             // credit that was called in
-	settleAt time.Time        // when to look for credit that has lapsed
-	usedLent history          // credit lent ahead that daemons said they used, or may have
-	use      rate             // asked for by all daemons
-	returnAt time.Time        // when the next request that is refused should come back
+// tenantUsage is one tenant's part of a ledger.
+type tenantUsage struct {
+	limit             Limit
+	budget            windowBudget
+	bucket            bucket
+	granted           history
+	outstandingCredit map[string]*outstandingCredit // by daemon
+	creditTotal       float64                       // the sum of it
+	inherited         float64                       // the part of it that earlier holders lent
+	recalledPool      recalledPool                  // credit that was called in
+	nextSettleAt      time.Time                     // when to look for credit that has lapsed
+	creditUsed        history                       // credit lent ahead that daemons said they used, or may have
+	use               rate                          // asked for by all daemons
+	retryAt           time.Time                     // when the next request that is refused should come back
 }
 
 // NewLedger returns the ledger of a term that begins at a moment. first tells that no holder
@@ -78,11 +78,11 @@
 // been lent counts as outstanding until what the predecessor lent last has lapsed, and has left
 // every window; until then credit is lent from what the bucket gathers.
 func NewLedger(bounds Bounds, first bool, now time.Time) *Ledger {
-	made := &Ledger{bounds: bounds, tenants: map[string]*tenantUse{}, began: now, lendsFrom: now, heard: map[string]time.Time{}}
+	ledger := &Ledger{bounds: bounds, tenants: map[string]*tenantUsage{}, startedAt: now, inheritedUntil: now, lastContact: map[string]time.Time{}}
 	if !first {
-		made.lendsFrom = now.Add(bounds.lapse() + bounds.Window)
+		ledger.inheritedUntil = now.Add(bounds.creditTTL() + bounds.Window)
 	}
-	return made
+	return ledger
 }
 
 // SetLimits replaces the limits, by tenant. Tenants that are not named any more are forgotten.
@@ -90,15 +90,15 @@
 	for name, limit := range limits {
 		use := l.tenants[name]
 		if use == nil {
-			use = &tenantUse{lent: map[string]*lent{}, bucket: bucket{at: now}, use: rate{over: longTime}}
+			use = &tenantUsage{outstandingCredit: map[string]*outstandingCredit{}, bucket: bucket{updatedAt: now}, use: rate{timeConstant: tenantTimeConstant}}
 			l.tenants[name] = use
-			if !l.isFirst() {
-				parts := l.bounds.divide(limit)
-				use.bucket.missing = parts.reserve - parts.ahead
+			if !l.isFirstTerm() {
+				budget := l.bounds.budgetFor(limit)
+				use.bucket.deficit = budget.reserve - budget.credit
 			}
 		}
 		use.bucket.refill(use.limit.PerSecond, now)
-		use.limit, use.parts = limit, l.bounds.divide(limit)
+		use.limit, use.budget = limit, l.bounds.budgetFor(limit)
 	}
 	for name := range l.tenants {
 		if _, named := limits[name]; !named {
@@ -108,79 +108,79 @@
 }
 
 // Answer answers a daemon's question while the holder's lease surely holds.
-func (l *Ledger) Answer(daemon string, ask Ask, now time.Time) Answer {
-	l.heard[daemon] = now
-	use := l.tenants[ask.Tenant]
+func (l *Ledger) Answer(daemon string, request Request, now time.Time) Answer {
+	l.lastContact[daemon] = now
+	use := l.tenants[request.Tenant]
 	if use == nil {
-		return Answer{ID: ask.ID, Unknown: true}
+		return Answer{ID: request.ID, Unknown: true}
 	}
 	if use.limit.Unlimited() {
-		return Answer{ID: ask.ID, Granted: true}
+		return Answer{ID: request.ID, Granted: true}
 	}
-	use.use.add(ask.Cost, now)
-	if !now.Before(use.settleAt) {
-		l.settle(use, now)
+	use.use.add(request.Cost, now)
+	if !now.Before(use.nextSettleAt) {
+		l.settleExpired(use, now)
 	}
-	use.pool = pool{} // what is left of it was not used
+	use.recalledPool = recalledPool{} // what is left of it was not used
 	use.bucket.refill(use.limit.PerSecond, now)
-	level := l.level(use, now)
-	if level <= 0 || use.granted.sum+l.outstanding(use, now)+ask.Cost > use.parts.most {
-		return Answer{ID: ask.ID, RetryIn: use.refuse(-level, ask.Cost, now), Unsettled: l.unsettled(now)}
+	available := l.available(use, now)
+	if available <= 0 || use.granted.sum+l.outstanding(use, now)+request.Cost > use.budget.maxUse {
+		return Answer{ID: request.ID, RetryIn: use.nextRetry(-available, request.Cost, now), Unsettled: l.warmingUp(now)}
 	}
-	use.bucket.missing += ask.Cost
-	made := Answer{ID: ask.ID, Granted: true, Slot: use.granted.add(ask.Cost, now)}
-	made.Ahead, made.Renewed = l.lend(use, daemon, ask.Cost, now)
-	return made
+	use.bucket.deficit += request.Cost
+	answer := Answer{ID: request.ID, Granted: true, Slot: use.granted.add(request.Cost, now)}
+	answer.Ahead, answer.Renewed = l.lend(use, daemon, request.Cost, now)
+	return answer
 }
 
 // unsettled tells whether the term is further than the first and so young that what its
 // predecessor granted may still count.
-func (l *Ledger) unsettled(now time.Time) bool {
-	return !l.isFirst() && now.Sub(l.began) < l.bounds.Window
+func (l *Ledger) warmingUp(now time.Time) bool {
+	return !l.isFirstTerm() && now.Sub(l.startedAt) < l.bounds.Window
 }
 
-// isFirst tells whether no holder was there before.
-func (l *Ledger) isFirst() bool { return l.lendsFrom.Equal(l.began) }
+// isFirstTerm tells whether no holder was there before.
+func (l *Ledger) isFirstTerm() bool { return l.inheritedUntil.Equal(l.startedAt) }
 
-// mostReturn bounds the advice to callers.
-const mostReturn = 10 * time.Second
+// maxRetryIn bounds the advice to callers.
+const maxRetryIn = 10 * time.Second
 
 // refuse returns when a request should come back that found so much too little. Those that
 // are refused together get times one after the other, at the limit's rate.
-func (u *tenantUse) refuse(tooLittle, cost float64, now time.Time) time.Duration {
-	at := now.Add(time.Duration(max(0, tooLittle) / u.limit.PerSecond * float64(time.Second)))
-	if u.returnAt.After(at) {
-		at = u.returnAt
+func (u *tenantUsage) nextRetry(shortfall, cost float64, now time.Time) time.Duration {
+	at := now.Add(time.Duration(max(0, shortfall) / u.limit.PerSecond * float64(time.Second)))
+	if u.retryAt.After(at) {
+		at = u.retryAt
 	}
-	u.returnAt = at.Add(time.Duration(cost / u.limit.PerSecond * float64(time.Second)))
-	if most := now.Add(mostReturn); u.returnAt.After(most) {
-		u.returnAt = most
+	u.retryAt = at.Add(time.Duration(cost / u.limit.PerSecond * float64(time.Second)))
+	if latest := now.Add(maxRetryIn); u.retryAt.After(latest) {
+		u.retryAt = latest
 	}
-	return min(mostReturn, at.Sub(now))
+	return min(maxRetryIn, at.Sub(now))
 }
 
 // Heard takes in that a daemon spoke, and so said all that it had used until then.
-func (l *Ledger) Heard(daemon string, now time.Time) { l.heard[daemon] = now }
+func (l *Ledger) RecordContact(daemon string, now time.Time) { l.lastContact[daemon] = now }
 
 // Return takes back what was granted in this term to a request that did not run.
 func (l *Ledger) Return(refund Refund) {
 	use := l.tenants[refund.Tenant]
-	if use != nil && use.granted.takeBack(refund.Cost, refund.Slot) {
-		use.bucket.missing = max(0, use.bucket.missing-refund.Cost)
+	if use != nil && use.granted.remove(refund.Cost, refund.Slot) {
+		use.bucket.deficit = max(0, use.bucket.deficit-refund.Cost)
 	}
 }
 
 // outstanding returns the credit lent ahead that may be used, or was lately.
-func (l *Ledger) outstanding(use *tenantUse, now time.Time) float64 {
-	total := use.usedLent.sum + use.lentNow + use.pool.amount
-	if now.Before(l.lendsFrom) {
-		return total + max(0, use.parts.ahead-use.adopted) // of earlier holders
+func (l *Ledger) outstanding(use *tenantUsage, now time.Time) float64 {
+	total := use.creditUsed.sum + use.creditTotal + use.recalledPool.amount
+	if now.Before(l.inheritedUntil) {
+		return total + max(0, use.budget.credit-use.inherited) // of earlier holders
 	}
 	return total
 }
 
 // level returns what the bucket holds: what is neither used nor lent of the reserve. It is
 // below zero while more is lent than was gathered.
-func (l *Ledger) level(use *tenantUse, now time.Time) float64 {
-	return use.parts.reserve - l.outstanding(use, now) - use.bucket.missing
+func (l *Ledger) available(use *tenantUsage, now time.Time) float64 {
+	return use.budget.reserve - l.outstanding(use, now) - use.bucket.deficit
 }
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -15,9 +15,9 @@
 // daemons of what was admitted in any window.
 
 type event struct {
-	at   time.Time
-	turn int // events of one moment keep their order
-	do   func()
+	at       time.Time
+	sequence int // events of one moment keep their order
+	do       func()
 }
 
 type events []event
@@ -25,7 +25,7 @@
 func (e events) Len() int { return len(e) }
 func (e events) Less(a, b int) bool {
 	if e[a].at.Equal(e[b].at) {
-		return e[a].turn < e[b].turn
+		return e[a].sequence < e[b].sequence
 	}
 	return e[a].at.Before(e[b].at)
 }
@@ -39,29 +39,29 @@
 }
 
 type modelDaemon struct {
-	name    string
-	account *Account
-	holder  *modelHolder // that it is connected to; nil: none
-	cut     bool
-	frozen  time.Time // until when it stands still
+	name        string
+	account     *Account
+	leader      *modelLeader // that it is connected to; nil: none
+	partitioned bool
+	pausedUntil time.Time // until when it stands still
 }
 
-// modelHolder is a holder's term.
-type modelHolder struct {
-	ledger *Ledger
-	unsure bool // its lease does not surely hold: another may begin
-	over   bool
+// modelLeader is a holder's term.
+type modelLeader struct {
+	ledger    *Ledger
+	uncertain bool // its lease does not surely hold: another may begin
+	ended     bool
 }
 
 type model struct {
-	random  *rand.Rand
-	bounds  Bounds
-	limits  map[string]Limit
-	now     time.Time
-	turn    int
-	queue   events
-	daemons []*modelDaemon
-	holder  *modelHolder // nil without one
+	random   *rand.Rand
+	bounds   Bounds
+	limits   map[string]Limit
+	now      time.Time
+	sequence int
+	queue    events
+	daemons  []*modelDaemon
+	leader   *modelLeader // nil without one
 
 	ideal    *idealBucket // of the tenant one; nil if it is of no interest
 	admitted map[string][]admission
@@ -78,23 +78,23 @@
 
 func newModel(seed uint64, daemons int, limits map[string]Limit) *model {
 	m := &model{
-		random: rand.New(rand.NewPCG(seed, 7)), bounds: Bounds{Window: 8 * time.Second, Over: 0.1, Slack: 11_000}, limits: limits,
+		random: rand.New(rand.NewPCG(seed, 7)), bounds: Bounds{Window: 8 * time.Second, Overshoot: 0.1, Slack: 11_000}, limits: limits,
 		now: time.Unix(1_000, 0), admitted: map[string][]admission{}, asked: map[string]float64{}, granted: map[string]float64{},
 		refused: map[string]int{}, requests: map[string]int{},
 	}
 	for number := range daemons {
 		m.daemons = append(m.daemons, &modelDaemon{name: fmt.Sprintf("d%d", number), account: NewAccount(m.bounds)})
 	}
-	m.begin(true, 0)
+	m.startTerm(true, 0)
 	for _, daemon := range m.daemons {
-		m.after(time.Duration(m.random.Float64()*float64(modelBeat)), func() { m.beat(daemon) })
+		m.after(time.Duration(m.random.Float64()*float64(modelHeartbeat)), func() { m.heartbeat(daemon) })
 	}
 	return m
 }
 
 func (m *model) after(pause time.Duration, do func()) {
-	m.turn++
-	heap.Push(&m.queue, event{m.now.Add(pause), m.turn, do})
+	m.sequence++
+	heap.Push(&m.queue, event{m.now.Add(pause), m.sequence, do})
 }
 
 func (m *model) run(length time.Duration) {
@@ -111,9 +111,9 @@
 }
 
 // begin starts a holder's term. Daemons turn to it within a while.
-func (m *model) begin(first bool, within time.Duration) {
-	m.holder = &modelHolder{ledger: NewLedger(m.bounds, first, m.now)}
-	m.holder.ledger.SetLimits(m.limits, m.now)
+func (m *model) startTerm(first bool, within time.Duration) {
+	m.leader = &modelLeader{ledger: NewLedger(m.bounds, first, m.now)}
+	m.leader.ledger.SetLimits(m.limits, m.now)
 	for _, daemon := range m.daemons {
 		m.after(m.delay(daemon)+time.Duration(m.random.Float64()*float64(within)), func() { m.connect(daemon) })
 	}
@@ -121,155 +121,155 @@
 
 // connect lets a daemon introduce itself to the holder.
 func (m *model) connect(daemon *modelDaemon) {
-	if m.holder == nil || daemon.cut || daemon.holder == m.holder {
+	if m.leader == nil || daemon.partitioned || daemon.leader == m.leader {
 		return
 	}
-	daemon.account.Disconnected()
-	daemon.holder = m.holder
-	number, used := daemon.account.Report()
-	credits, holder, account, name := daemon.account.Credits(m.now), m.holder, daemon.account, daemon.name
+	daemon.account.HandleDisconnect()
+	daemon.leader = m.leader
+	number, used := daemon.account.ReportUsage()
+	credits, leader, account, name := daemon.account.Credits(m.now), m.leader, daemon.account, daemon.name
 	m.after(m.delay(daemon), func() {
-		if holder.over || daemon.holder != holder {
+		if leader.ended || daemon.leader != leader {
 			return
 		}
-		m.report(holder, name, used)
-		holder.ledger.Adopt(name, credits, m.now)
-		account.Confirmed(number)
+		m.report(leader, name, used)
+		leader.ledger.Adopt(name, credits, m.now)
+		account.ConfirmReport(number)
 	})
 }
 
-const modelBeat = 2 * time.Second
+const modelHeartbeat = 2 * time.Second
 
 // beat lets a daemon speak now and then.
-func (m *model) beat(daemon *modelDaemon) {
-	m.after(modelBeat, func() { m.beat(daemon) })
-	if daemon.holder == nil || daemon.cut || daemon.frozen.After(m.now) {
+func (m *model) heartbeat(daemon *modelDaemon) {
+	m.after(modelHeartbeat, func() { m.heartbeat(daemon) })
+	if daemon.leader == nil || daemon.partitioned || daemon.pausedUntil.After(m.now) {
 		return
 	}
-	name, account, holder := daemon.name, daemon.account, daemon.holder
-	number, used := account.Report()
+	name, account, leader := daemon.name, daemon.account, daemon.leader
+	number, used := account.ReportUsage()
 	m.after(m.delay(daemon), func() {
-		if holder.over || daemon.holder != holder {
+		if leader.ended || daemon.leader != leader {
 			return
 		}
-		account.Confirmed(number)
-		m.report(holder, name, used)
-		holder.ledger.Heard(name, m.now)
+		account.ConfirmReport(number)
+		m.report(leader, name, used)
+		leader.ledger.RecordContact(name, m.now)
 	})
 }
 
-func (m *model) report(holder *modelHolder, name string, used map[string]float64) {
+func (m *model) report(leader *modelLeader, name string, used map[string]float64) {
 	for tenant, amount := range used {
-		holder.ledger.Used(name, tenant, amount, m.now)
+		leader.ledger.RecordUsage(name, tenant, amount, m.now)
 	}
 }
 
 // end takes the holder away.
-func (m *model) end() {
-	if m.holder != nil {
-		m.holder.over = true
+func (m *model) loseLeader() {
+	if m.leader != nil {
+		m.leader.ended = true
 	}
-	m.holder = nil
+	m.leader = nil
 	for _, daemon := range m.daemons {
-		daemon.holder = nil
+		daemon.leader = nil
 	}
 }
 
 // delay is how long a message takes: its time on the way, and until its receiver goes on.
 func (m *model) delay(daemon *modelDaemon) time.Duration {
-	took := time.Duration(m.random.ExpFloat64() * float64(4*time.Millisecond))
-	if daemon.frozen.After(m.now) {
-		took += daemon.frozen.Sub(m.now)
+	latency := time.Duration(m.random.ExpFloat64() * float64(4*time.Millisecond))
+	if daemon.pausedUntil.After(m.now) {
+		latency += daemon.pausedUntil.Sub(m.now)
 	}
-	return took
+	return latency
 }
 
-const modelPatience = 150 * time.Millisecond
+const modelAnswerTimeout = 150 * time.Millisecond
 
 // request lets a tenant's request come to a daemon; failing tells that no replica runs it.
-func (m *model) request(daemon *modelDaemon, tenant string, cost float64, failing bool) {
-	if daemon.frozen.After(m.now) {
+func (m *model) sendRequest(daemon *modelDaemon, tenant string, cost float64, fails bool) {
+	if daemon.pausedUntil.After(m.now) {
 		return
 	}
 	if m.ideal != nil && tenant == "one" {
-		m.ideal.ask(cost, m.now)
+		m.ideal.request(cost, m.now)
 	}
 	m.asked[tenant] += cost
 	m.requests[tenant]++
-	if daemon.holder == nil || daemon.cut {
-		m.useAhead(daemon, tenant, cost)
+	if daemon.leader == nil || daemon.partitioned {
+		m.useCredit(daemon, tenant, cost)
 		return
 	}
-	ask := daemon.account.Ask(tenant, cost, m.now)
-	number, used := daemon.account.Report()
-	holder, account, name := daemon.holder, daemon.account, daemon.name
-	settled := false
+	request := daemon.account.Request(tenant, cost, m.now)
+	number, used := daemon.account.ReportUsage()
+	leader, account, name := daemon.leader, daemon.account, daemon.name
+	decided := false
 	m.after(m.delay(daemon), func() {
-		if holder.over || daemon.holder != holder {
+		if leader.ended || daemon.leader != leader {
 			return
 		}
-		m.report(holder, name, used)
-		account.Confirmed(number)
-		unsure := holder.unsure
-		answer := m.answer(holder, name, ask)
+		m.report(leader, name, used)
+		account.ConfirmReport(number)
+		uncertain := leader.uncertain
+		answer := m.answer(leader, name, request)
 		m.after(m.delay(daemon), func() {
-			if daemon.holder != holder || daemon.account != account {
+			if daemon.leader != leader || daemon.account != account {
 				return
 			}
-			if unused := account.Take(answer, m.now); unused != nil {
-				m.after(m.delay(daemon), func() { holder.ledger.Return(*unused) })
+			if unused := account.ApplyAnswer(answer, m.now); unused != nil {
+				m.after(m.delay(daemon), func() { leader.ledger.Return(*unused) })
 				return
 			}
-			if unsure {
-				m.returnCredit(daemon, holder)
+			if uncertain {
+				m.returnCredit(daemon, leader)
 			}
-			if !settled {
-				settled = true
-				m.decide(daemon, ask, answer, holder, failing)
+			if !decided {
+				decided = true
+				m.decide(daemon, request, answer, leader, fails)
 			}
 		})
 	})
-	m.after(modelPatience, func() {
-		if !settled {
-			settled = true
-			account.Abandon(ask.ID)
-			m.useAhead(daemon, tenant, cost)
+	m.after(modelAnswerTimeout, func() {
+		if !decided {
+			decided = true
+			account.Abandon(request.ID)
+			m.useCredit(daemon, tenant, cost)
 		}
 	})
 }
 
-func (m *model) answer(holder *modelHolder, name string, ask Ask) Answer {
-	if holder.unsure {
-		return holder.ledger.AnswerUnsure(name, ask, m.now)
+func (m *model) answer(leader *modelLeader, name string, request Request) Answer {
+	if leader.uncertain {
+		return leader.ledger.AnswerUncertain(name, request, m.now)
 	}
-	return holder.ledger.Answer(name, ask, m.now)
+	return leader.ledger.Answer(name, request, m.now)
 }
 
 // returnCredit lets a daemon return the credit that its holder calls in.
-func (m *model) returnCredit(daemon *modelDaemon, holder *modelHolder) {
-	name, returned := daemon.name, daemon.account.Return(m.now)
+func (m *model) returnCredit(daemon *modelDaemon, leader *modelLeader) {
+	name, returned := daemon.name, daemon.account.ReturnCredits(m.now)
 	m.after(m.delay(daemon), func() {
-		if !holder.over && daemon.holder == holder {
-			holder.ledger.TakeBack(name, returned, m.now)
+		if !leader.ended && daemon.leader == leader {
+			leader.ledger.AcceptReturned(name, returned, m.now)
 		}
 	})
 }
 
-func (m *model) decide(daemon *modelDaemon, ask Ask, answer Answer, holder *modelHolder, failing bool) {
+func (m *model) decide(daemon *modelDaemon, request Request, answer Answer, leader *modelLeader, fails bool) {
 	switch {
-	case answer.Granted && failing:
-		holder.ledger.Return(Refund{Tenant: ask.Tenant, Cost: ask.Cost, Slot: answer.Slot})
+	case answer.Granted && fails:
+		leader.ledger.Return(Refund{Tenant: request.Tenant, Cost: request.Cost, Slot: answer.Slot})
 	case answer.Granted:
-		m.admit(ask.Tenant, ask.Cost)
+		m.admit(request.Tenant, request.Cost)
 	case answer.Unsettled:
-		m.useAhead(daemon, ask.Tenant, ask.Cost)
+		m.useCredit(daemon, request.Tenant, request.Cost)
 	default:
-		m.refused[ask.Tenant]++
+		m.refused[request.Tenant]++
 	}
 }
 
-func (m *model) useAhead(daemon *modelDaemon, tenant string, cost float64) {
-	if daemon.account.UseAhead(tenant, cost, m.now) {
+func (m *model) useCredit(daemon *modelDaemon, tenant string, cost float64) {
+	if daemon.account.UseCredit(tenant, cost, m.now) {
 		m.admit(tenant, cost)
 		return
 	}
@@ -282,9 +282,9 @@
 }
 
 // worst returns the most that was admitted in any window, as a share of what may be.
-func (m *model) worst(tenant string) float64 {
-	most := m.bounds.divide(m.limits[tenant]).most
-	first, sum, worst := 0, 0.0, 0.0
+func (m *model) maxUtilization(tenant string) float64 {
+	maxUse := m.bounds.budgetFor(m.limits[tenant]).maxUse
+	first, sum, maxUtilization := 0, 0.0, 0.0
 	all := m.admitted[tenant]
 	for _, one := range all {
 		sum += one.cost
@@ -292,13 +292,13 @@
 			sum -= all[first].cost
 			first++
 		}
-		worst = max(worst, sum/most)
+		maxUtilization = max(maxUtilization, sum/maxUse)
 	}
-	return worst
+	return maxUtilization
 }
 
 // demand lets requests of a tenant come at a rate, on daemons that its callers use.
-func (m *model) demand(tenant string, perSecond func() float64, users []*modelDaemon, failing float64) {
+func (m *model) generateLoad(tenant string, perSecond func() float64, daemons []*modelDaemon, failureShare float64) {
 	const meanCost = 1600.0
 	var next func()
 	next = func() {
@@ -306,14 +306,14 @@
 		if m.random.Float64() < 0.7 {
 			cost = min(5000, 300+m.random.ExpFloat64()*meanCost)
 		}
-		m.request(users[m.random.IntN(len(users))], tenant, cost, m.random.Float64() < failing)
+		m.sendRequest(daemons[m.random.IntN(len(daemons))], tenant, cost, m.random.Float64() < failureShare)
 		const mean = 0.7*(300+meanCost) + 0.3*200
 		m.after(time.Duration(m.random.ExpFloat64()*mean/perSecond()*float64(time.Second)), next)
 	}
 	m.after(time.Duration(m.random.Float64()*float64(time.Second)), next)
 }
 
-func (m *model) someDaemons(most int) []*modelDaemon {
+func (m *model) randomDaemons(most int) []*modelDaemon {
 	users := make([]*modelDaemon, 0, most)
 	for range 1 + m.random.IntN(most) {
 		users = append(users, m.daemons[m.random.IntN(len(m.daemons))])
@@ -322,20 +322,20 @@
 }
 
 // trouble makes holders, daemons and paths fail at random moments.
-func (m *model) trouble(length time.Duration) {
+func (m *model) injectFaults(length time.Duration) {
 	moment := func() time.Duration { return time.Duration(m.random.Float64() * float64(length)) }
 	for range m.random.IntN(4) {
 		m.after(moment(), func() {
-			m.end()
+			m.loseLeader()
 			m.after(time.Duration(m.random.Float64()*4*float64(time.Second)), func() {
-				if m.holder == nil {
-					m.begin(false, 0)
+				if m.leader == nil {
+					m.startTerm(false, 0)
 				}
 			})
 		})
 	}
 	for range m.random.IntN(3) {
-		m.after(moment(), func() { m.becomeUnsure() })
+		m.after(moment(), func() { m.loseLease() })
 	}
 	for range m.random.IntN(60) {
 		daemon := m.daemons[m.random.IntN(len(m.daemons))]
@@ -343,46 +343,46 @@
 		switch m.random.IntN(3) {
 		case 0:
 			m.after(moment(), func() {
-				daemon.cut, daemon.holder = true, nil
-				m.after(length, func() { daemon.cut = false; m.connect(daemon) })
+				daemon.partitioned, daemon.leader = true, nil
+				m.after(length, func() { daemon.partitioned = false; m.connect(daemon) })
 			})
 		case 1:
-			m.after(moment(), func() { daemon.frozen = m.now.Add(length) })
+			m.after(moment(), func() { daemon.pausedUntil = m.now.Add(length) })
 		case 2: // killed and started again: another process, without credit
 			m.after(moment(), func() {
-				m.turn++
-				daemon.name = fmt.Sprintf("%s.%d", daemon.name, m.turn)
-				daemon.account, daemon.holder = NewAccount(m.bounds), nil
+				m.sequence++
+				daemon.name = fmt.Sprintf("%s.%d", daemon.name, m.sequence)
+				daemon.account, daemon.leader = NewAccount(m.bounds), nil
 				m.connect(daemon)
 			})
 		}
 	}
 }
 
-// becomeUnsure lets a holder's lease run out. It is renewed, or another holder begins while
+// loseLease lets a holder's lease run out. It is renewed, or another holder begins while
 // the first goes on with what it called in.
-func (m *model) becomeUnsure() {
-	holder := m.holder
-	if holder == nil || holder.unsure {
+func (m *model) loseLease() {
+	leader := m.leader
+	if leader == nil || leader.uncertain {
 		return
 	}
-	holder.unsure = true
+	leader.uncertain = true
 	length := time.Duration(m.random.Float64() * 5 * float64(time.Second))
 	another := m.random.Float64() < 0.5
 	m.after(length/2, func() {
-		if another && m.holder == holder {
-			m.begin(false, 2*time.Second)
+		if another && m.leader == leader {
+			m.startTerm(false, 2*time.Second)
 		}
 	})
 	m.after(length, func() {
 		if another {
-			holder.over = true
+			leader.ended = true
 		}
-		holder.unsure = false
+		leader.uncertain = false
 	})
 }
 
-func TestNoWindowIsEverOver(t *testing.T) {
+func TestNoWindowExceedsLimit(t *testing.T) {
 	const (
 		seeds   = 1000
 		daemons = 300
@@ -395,29 +395,29 @@
 		for tenant, limit := range m.limits {
 			hot := 0.5 + 5*m.random.Float64()
 			from := m.now.Add(time.Duration(m.random.Float64() * float64(length)))
-			m.demand(tenant, func() float64 {
+			m.generateLoad(tenant, func() float64 {
 				if m.now.After(from) {
 					return hot * limit.PerSecond
 				}
 				return limit.PerSecond / 2
-			}, m.someDaemons(40), 0.1*m.random.Float64())
+			}, m.randomDaemons(40), 0.1*m.random.Float64())
 		}
-		m.trouble(length)
+		m.injectFaults(length)
 		m.run(length)
 		for tenant := range m.limits {
-			require.LessOrEqual(t, m.worst(tenant), 1.0, "seed %d, %s", seed, tenant)
+			require.LessOrEqual(t, m.maxUtilization(tenant), 1.0, "seed %d, %s", seed, tenant)
 		}
 	}
 }
 
-func TestATenantThatAsksTwiceItsLimitGetsNearlyAllOfIt(t *testing.T) {
+func TestOverloadedTenantGetsNearlyItsLimit(t *testing.T) {
 	for _, limit := range []Limit{{PerSecond: 2700, Burst: 2700}, {PerSecond: 176_000, Burst: 176_000}} {
 		m := newModel(1, 300, map[string]Limit{"one": limit})
-		m.demand("one", func() float64 { return 2 * limit.PerSecond }, m.daemons, 0)
+		m.generateLoad("one", func() float64 { return 2 * limit.PerSecond }, m.daemons, 0)
 		const length = 60 * time.Second
 		m.run(length)
 		require.GreaterOrEqual(t, m.granted["one"], 0.95*limit.PerSecond*length.Seconds())
-		require.LessOrEqual(t, m.worst("one"), 1.0)
+		require.LessOrEqual(t, m.maxUtilization("one"), 1.0)
 	}
 }
 
@@ -430,7 +430,7 @@
 	refused int
 }
 
-func (b *idealBucket) ask(cost float64, now time.Time) {
+func (b *idealBucket) request(cost float64, now time.Time) {
 	b.level = min(b.limit.Burst, b.level+b.limit.PerSecond*now.Sub(b.at).Seconds())
 	b.at = now
 	if b.level < cost {
@@ -440,27 +440,27 @@
 	b.level -= cost
 }
 
-func TestATenantBelowItsLimitIsHardlyEverRefused(t *testing.T) {
+func TestTenantBelowLimitIsRarelyRefused(t *testing.T) {
 	for _, limit := range []Limit{{PerSecond: 20_000, Burst: 20_000}, {PerSecond: 176_000, Burst: 176_000}} {
 		m := newModel(2, 300, map[string]Limit{"one": limit, "other": limit})
 		m.ideal = &idealBucket{limit: limit, level: limit.Burst, at: m.now}
-		m.demand("one", func() float64 { return 0.9 * limit.PerSecond }, m.daemons, 0)
-		m.demand("other", func() float64 { return 6 * limit.PerSecond }, m.daemons, 0)
+		m.generateLoad("one", func() float64 { return 0.9 * limit.PerSecond }, m.daemons, 0)
+		m.generateLoad("other", func() float64 { return 6 * limit.PerSecond }, m.daemons, 0)
 		m.run(60 * time.Second)
-		beneath := m.refused["one"] - m.ideal.refused
-		require.LessOrEqual(t, float64(beneath)/float64(m.requests["one"]), 1.0/200, "%d refused, %d of them beyond the limit", m.refused["one"], m.ideal.refused)
+		unjustified := m.refused["one"] - m.ideal.refused
+		require.LessOrEqual(t, float64(unjustified)/float64(m.requests["one"]), 1.0/200, "%d refused, %d of them beyond the limit", m.refused["one"], m.ideal.refused)
 	}
 }
 
 // While the holder is lost, tenants that ask what is usual are served from credit.
-func TestUsualRequestsGoOnWhileTheHolderIsLost(t *testing.T) {
+func TestNormalLoadIsServedFromCreditWithoutLeader(t *testing.T) {
 	for _, limit := range []Limit{{PerSecond: 2700, Burst: 2700}, {PerSecond: 176_000, Burst: 176_000}} {
 		m := newModel(3, 87, map[string]Limit{"one": limit})
 		m.ideal = &idealBucket{limit: limit, level: limit.Burst, at: m.now}
-		m.demand("one", func() float64 { return 0.55 * limit.PerSecond }, m.daemons[:1+int(limit.PerSecond/4000)], 0)
+		m.generateLoad("one", func() float64 { return 0.55 * limit.PerSecond }, m.daemons[:1+int(limit.PerSecond/4000)], 0)
 		m.run(16 * time.Second)
 		require.LessOrEqual(t, m.refused["one"], m.ideal.refused)
-		m.end()
+		m.loseLeader()
 		asked, refused := m.requests["one"], m.refused["one"]
 		m.run(time.Second)
 		asked, refused = m.requests["one"]-asked, m.refused["one"]-refused
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestMatchPrefersLongestPrefix(t *testing.T) {
 	table, err := NewTable(testRevision(1))
 	require.NoError(t, err)
 	require.Equal(t, "press", table.Match("shop.example", "/press/1").Name)
@@ -28,7 +28,7 @@
 	require.Nil(t, table.Match("other.example", "/press/1"))
 }
 
-func TestARouteToAnUnknownServiceIsRefused(t *testing.T) {
+func TestNewTableRejectsUnknownService(t *testing.T) {
 	revision := testRevision(1)
 	revision.Routes[0].Splits[0].Service = "gone"
 	_, err := NewTable(revision)
@@ -36,7 +36,7 @@
 	require.ErrorContains(t, err, "remedy")
 }
 
-func TestASplitKeepsItsWeightsFromTheFirstRequestsOn(t *testing.T) {
+func TestPickFollowsWeightsFromFirstRequests(t *testing.T) {
 	table, err := NewTable(testRevision(1))
 	require.NoError(t, err)
 	route := table.Match("shop.example", "/press/")
@@ -51,15 +51,15 @@
 	}
 }
 
-func TestTheStoreNeverGoesBack(t *testing.T) {
+func TestStoreIgnoresOlderVersions(t *testing.T) {
 	var store Store
-	seen := []int64{}
-	store.Listen(func(table *Table) { seen = append(seen, table.Version) })
+	versions := []int64{}
+	store.Subscribe(func(table *Table) { versions = append(versions, table.Version) })
 	for _, version := range []int64{3, 7, 5, 7, 9} {
 		table, err := NewTable(testRevision(version))
 		require.NoError(t, err)
 		store.Put(table)
 	}
-	require.Equal(t, []int64{3, 7, 9}, seen)
+	require.Equal(t, []int64{3, 7, 9}, versions)
 	require.EqualValues(t, 9, store.Version())
 }
--- a/upstream/socket.go
+++ b/upstream/socket.go
@@ -9,28 +9,28 @@
 
 // setUserTimeout bounds how long written bytes may stay unacknowledged.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var sockoptErr error
 	err := raw.Control(func(descriptor uintptr) {
-		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		sockoptErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockoptErr
 }
 
 // quiet tells whether an idle connection is open and nothing has arrived on it.
-func quiet(conn net.Conn) bool {
+func isReusable(conn net.Conn) bool {
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	sound := false
+	reusable := false
 	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		_, _, received := unix.Recvfrom(int(descriptor), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		sound = received == unix.EAGAIN || received == unix.EWOULDBLOCK
+		var buffer [1]byte
+		_, _, recvErr := unix.Recvfrom(int(descriptor), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		reusable = recvErr == unix.EAGAIN || recvErr == unix.EWOULDBLOCK
 		return true
 	})
-	return err == nil && sound
+	return err == nil && reusable
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -25,20 +25,20 @@
 	dialTimeout = 400 * time.Millisecond
 	// unackedTimeout ends a connection whose peer acknowledges nothing.
 	unackedTimeout = 1500 * time.Millisecond
-	// probeInterval and probeCount bound how long a silent cut goes unnoticed.
-	probeInterval = time.Second
-	probeCount    = 2
-	readerBytes   = 4 << 10
-	writerBytes   = 4 << 10
-	// inlineBody is the size up to which a body is written before the answer is
+	// keepAliveInterval and keepAliveProbes bound how long a silent cut goes unnoticed.
+	keepAliveInterval = time.Second
+	keepAliveProbes   = 2
+	readBufferBytes   = 4 << 10
+	writeBufferBytes  = 4 << 10
+	// maxInlineBodyBytes is the size up to which a body is written before the answer is
 	// read; a longer one is written beside it, since the answer may come first.
-	inlineBody = 16 << 10
-	// maxSurplus is how many answers to earlier requests are skipped.
-	maxSurplus = 2
-	// idleDefault is how long a connection rests when the replica names no time.
-	idleDefault = 60 * time.Second
-	// idleMargin is kept from the time that the replica names.
-	idleMargin = 700 * time.Millisecond
+	maxInlineBodyBytes = 16 << 10
+	// maxStaleResponses is how many answers to earlier requests are skipped.
+	maxStaleResponses = 2
+	// defaultIdleTimeout is how long a connection rests when the replica names no time.
+	defaultIdleTimeout = 60 * time.Second
+	// idleTimeoutMargin is kept from the time that the replica names.
+	idleTimeoutMargin = 700 * time.Millisecond
 )
 
 // Error is a request that got no answer.
@@ -64,19 +64,19 @@
 	dialer net.Dialer
 	mutex  sync.Mutex
 	idle   map[string][]*connection
-	opened func()
+	onDial func()
 	now    func() time.Time
 }
 
 // NewPool returns an empty pool; opened is called for each new connection.
-func NewPool(opened func()) *Pool {
+func NewPool(onDial func()) *Pool {
 	return &Pool{
 		dialer: net.Dialer{
 			Timeout:         dialTimeout,
-			KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: probeCount},
+			KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
 			Control:         setUserTimeout,
 		},
-		idle: map[string][]*connection{}, opened: opened, now: time.Now,
+		idle: map[string][]*connection{}, onDial: onDial, now: time.Now,
 	}
 }
 
@@ -95,7 +95,7 @@
 	Body []byte
 	// Mine tells whether an answer belongs to this request; others that arrive in
 	// its place are skipped.
-	Mine func(http.Header) bool
+	Matches func(http.Header) bool
 	// Admit is asked once there is a connection, right before the request is written; an error of it
 	// keeps the request from being sent. nil: it is sent.
 	Admit func() error
@@ -103,36 +103,36 @@
 
 // Do sends a request and returns the head of its answer. The context bounds the
 // whole exchange, the reading of the body included. An error is an *Error.
-func (p *Pool) Do(ctx context.Context, request Request) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, request Request) (*Response, error) {
 	conn, err := p.get(ctx, request.Address)
 	if err != nil {
 		return nil, &Error{cause: err}
 	}
 	if request.Admit != nil {
 		if err := request.Admit(); err != nil {
-			p.put(request.Address, conn, idleDefault)
+			p.putIdle(request.Address, conn, defaultIdleTimeout)
 			return nil, &Error{cause: err}
 		}
 	}
 	exchange := &exchange{pool: p, conn: conn, address: request.Address}
-	exchange.stop = context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
+	exchange.cancelWatch = context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	if err := exchange.write(request); err != nil {
-		exchange.end(false)
-		return nil, causeOf(ctx, err)
+		exchange.release(false)
+		return nil, preferContextError(ctx, err)
 	}
-	answer, err := exchange.readHead(request)
+	response, err := exchange.readHead(request)
 	if err != nil {
-		exchange.end(false)
-		return nil, causeOf(ctx, &Error{Written: true, cause: err})
+		exchange.release(false)
+		return nil, preferContextError(ctx, &Error{Written: true, cause: err})
 	}
-	return answer, nil
+	return response, nil
 }
 
 // causeOf names the context's end as the cause where that is what it was.
-func causeOf(ctx context.Context, err error) error {
-	var failed *Error
-	if ctx.Err() != nil && errors.As(err, &failed) {
-		return &Error{Written: failed.Written, cause: ctx.Err()}
+func preferContextError(ctx context.Context, err error) error {
+	var upstreamErr *Error
+	if ctx.Err() != nil && errors.As(err, &upstreamErr) {
+		return &Error{Written: upstreamErr.Written, cause: ctx.Err()}
 	}
 	return err
 }
@@ -144,7 +144,7 @@
 		if conn == nil {
 			break
 		}
-		if p.now().Before(conn.expires) && quiet(conn.Conn) {
+		if p.now().Before(conn.expires) && isReusable(conn.Conn) {
 			return conn, nil
 		}
 		_ = conn.Close()
@@ -153,10 +153,10 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "connect")
 	}
-	if p.opened != nil {
-		p.opened()
+	if p.onDial != nil {
+		p.onDial()
 	}
-	return &connection{Conn: dialed, reader: bufio.NewReaderSize(dialed, readerBytes)}, nil
+	return &connection{Conn: dialed, reader: bufio.NewReaderSize(dialed, readBufferBytes)}, nil
 }
 
 func (p *Pool) takeIdle(address string) *connection {
@@ -172,15 +172,15 @@
 }
 
 // Rests tells whether a connection to an address rests here.
-func (p *Pool) Rests(address string) bool {
+func (p *Pool) HasIdle(address string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	list := p.idle[address]
 	return len(list) > 0 && p.now().Before(list[len(list)-1].expires)
 }
 
-func (p *Pool) put(address string, conn *connection, rest time.Duration) {
-	conn.expires = p.now().Add(rest)
+func (p *Pool) putIdle(address string, conn *connection, idleTimeout time.Duration) {
+	conn.expires = p.now().Add(idleTimeout)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.idle[address] = append(p.idle[address], conn)
@@ -188,24 +188,24 @@
 
 // Sweep closes idle connections that have expired, and those to addresses that
 // are no longer wanted.
-func (p *Pool) Sweep(wanted func(address string) bool) {
+func (p *Pool) Sweep(inUse func(address string) bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	now := p.now()
 	for address, list := range p.idle {
-		kept := list[:0]
+		remaining := list[:0]
 		for _, conn := range list {
-			if now.Before(conn.expires) && wanted(address) {
-				kept = append(kept, conn)
+			if now.Before(conn.expires) && inUse(address) {
+				remaining = append(remaining, conn)
 			} else {
 				_ = conn.Close()
 			}
 		}
-		clear(list[len(kept):])
-		if len(kept) == 0 {
+		clear(list[len(remaining):])
+		if len(remaining) == 0 {
 			delete(p.idle, address)
 		} else {
-			p.idle[address] = kept
+			p.idle[address] = remaining
 		}
 	}
 }
@@ -215,44 +215,44 @@
 
 // exchange is one request on its connection.
 type exchange struct {
-	pool    *Pool
-	conn    *connection
-	address string
-	stop    func() bool
-	writing chan error // of a body that is written beside the reading; or nil
-	once    sync.Once
+	pool        *Pool
+	conn        *connection
+	address     string
+	cancelWatch func() bool
+	bodyErr     chan error // of a body that is written beside the reading; or nil
+	once        sync.Once
 }
 
 // counter counts the bytes that a connection took.
-type counter struct {
+type countingConn struct {
 	net.Conn
-	bytes int
+	written int
 }
 
-func (c *counter) Write(data []byte) (int, error) {
+func (c *countingConn) Write(data []byte) (int, error) {
 	n, err := c.Conn.Write(data)
-	c.bytes += n
+	c.written += n
 	return n, err
 }
 
 func (e *exchange) write(request Request) error {
-	counted := &counter{Conn: e.conn.Conn}
-	writer := bufio.NewWriterSize(counted, writerBytes)
+	counting := &countingConn{Conn: e.conn.Conn}
+	writer := bufio.NewWriterSize(counting, writeBufferBytes)
 	writeHead(writer, request)
-	if len(request.Body) > inlineBody {
+	if len(request.Body) > maxInlineBodyBytes {
 		if err := writer.Flush(); err != nil {
-			return &Error{Written: counted.bytes > 0, cause: errors.Wrap(err, "write")}
+			return &Error{Written: counting.written > 0, cause: errors.Wrap(err, "write")}
 		}
-		e.writing = make(chan error, 1)
+		e.bodyErr = make(chan error, 1)
 		go func() {
 			_, err := e.conn.Write(request.Body)
-			e.writing <- err
+			e.bodyErr <- err
 		}()
 		return nil
 	}
 	_, _ = writer.Write(request.Body) // bufio keeps the error for Flush
 	if err := writer.Flush(); err != nil {
-		return &Error{Written: counted.bytes > 0, cause: errors.Wrap(err, "write")}
+		return &Error{Written: counting.written > 0, cause: errors.Wrap(err, "write")}
 	}
 	return nil
 }
@@ -282,14 +282,14 @@
 }
 
 // readHead reads answers until one belongs to the request.
-func (e *exchange) readHead(request Request) (*Answer, error) {
-	for range maxSurplus + 1 {
+func (e *exchange) readHead(request Request) (*Response, error) {
+	for range maxStaleResponses + 1 {
 		response, err := e.nextHead(request)
 		if err != nil {
 			return nil, err
 		}
-		if request.Mine == nil || request.Mine(response.Header) {
-			return &Answer{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
+		if request.Matches == nil || request.Matches(response.Header) {
+			return &Response{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
 				response: response, exchange: e}, nil
 		}
 		if response.Close || response.ContentLength < 0 && !chunked(response) {
@@ -319,23 +319,23 @@
 }
 
 // end gives the connection back, if it is sound, or closes it.
-func (e *exchange) end(sound bool) {
-	e.endAfter(sound, idleDefault)
+func (e *exchange) release(reusable bool) {
+	e.releaseFor(reusable, defaultIdleTimeout)
 }
 
-func (e *exchange) endAfter(sound bool, rest time.Duration) {
+func (e *exchange) releaseFor(reusable bool, idleTimeout time.Duration) {
 	e.once.Do(func() {
-		stopped := e.stop()
-		if e.writing != nil {
+		contextActive := e.cancelWatch()
+		if e.bodyErr != nil {
 			select {
-			case err := <-e.writing:
-				sound = sound && err == nil
+			case err := <-e.bodyErr:
+				reusable = reusable && err == nil
 			default:
-				sound = false // answered before the body was whole
+				reusable = false // answered before the body was whole
 			}
 		}
-		if sound && stopped && e.conn.reader.Buffered() == 0 && rest > 0 {
-			e.pool.put(e.address, e.conn, rest)
+		if reusable && contextActive && e.conn.reader.Buffered() == 0 && idleTimeout > 0 {
+			e.pool.putIdle(e.address, e.conn, idleTimeout)
 			return
 		}
 		_ = e.conn.Close()
@@ -344,7 +344,7 @@
 
 // Answer is an answer whose head was read. Its body must be read to its end, or
 // closed.
-type Answer struct {
+type Response struct {
 	Status   int
 	Header   http.Header
 	Length   int64 // of the body; -1 if the answer does not say
@@ -353,35 +353,35 @@
 }
 
 // Read reads the body. io.EOF says that it is whole.
-func (a *Answer) Read(data []byte) (int, error) {
+func (a *Response) Read(data []byte) (int, error) {
 	n, err := a.response.Body.Read(data)
 	if err == io.EOF {
-		a.exchange.endAfter(!a.response.Close, restOf(a.Header))
+		a.exchange.releaseFor(!a.response.Close, keepAliveTimeout(a.Header))
 	} else if err != nil {
-		a.exchange.end(false)
+		a.exchange.release(false)
 	}
 	return n, err
 }
 
 // Buffered returns how many bytes are there to read without waiting.
-func (a *Answer) Buffered() int { return a.exchange.conn.reader.Buffered() }
+func (a *Response) Buffered() int { return a.exchange.conn.reader.Buffered() }
 
 // Close drops the connection, unless the body was read to its end.
-func (a *Answer) Close() error {
-	a.exchange.end(false)
+func (a *Response) Close() error {
+	a.exchange.release(false)
 	return nil
 }
 
-// restOf returns how long a connection may rest by the answer's Keep-Alive.
-func restOf(header http.Header) time.Duration {
+// keepAliveTimeout returns how long a connection may rest by the answer's Keep-Alive.
+func keepAliveTimeout(header http.Header) time.Duration {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		seconds, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !found {
 			continue
 		}
 		if value, err := strconv.Atoi(seconds); err == nil {
-			return time.Duration(value)*time.Second - idleMargin
+			return time.Duration(value)*time.Second - idleTimeoutMargin
 		}
 	}
-	return idleDefault
+	return defaultIdleTimeout
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -17,7 +17,7 @@
 
 // server answers each request on each connection with the text that script
 // returns for it; an empty text closes the connection.
-func server(t *testing.T, script func(connection, request int, read *http.Request) string) string {
+func startServer(t *testing.T, script func(connection, request int, read *http.Request) string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -52,34 +52,34 @@
 
 func request(t *testing.T, address, method, id string, body string) Request {
 	t.Helper()
-	made, err := http.NewRequest(method, "http://shop.example/a/b?c=%20d", nil)
+	httpRequest, err := http.NewRequest(method, "http://shop.example/a/b?c=%20d", nil)
 	require.NoError(t, err)
-	made.Header.Set("Id", id)
-	return Request{Address: address, HTTP: made, Body: []byte(body), Mine: func(header http.Header) bool { return header.Get("Id") == id }}
+	httpRequest.Header.Set("Id", id)
+	return Request{Address: address, HTTP: httpRequest, Body: []byte(body), Matches: func(header http.Header) bool { return header.Get("Id") == id }}
 }
 
-func answer(id, body string) string {
+func reply(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func body(t *testing.T, pool *Pool, sent Request) (string, error) {
+func fetch(t *testing.T, pool *Pool, request Request) (string, error) {
 	t.Helper()
-	got, err := pool.Do(t.Context(), sent)
+	response, err := pool.Do(t.Context(), request)
 	if err != nil {
 		return "", err
 	}
-	text, err := io.ReadAll(got)
+	text, err := io.ReadAll(response)
 	return string(text), err
 }
 
-func TestRequestsArriveUnchangedAndShareAConnection(t *testing.T) {
+func TestRequestsArriveUnchangedAndReuseConnection(t *testing.T) {
 	opened := 0
 	pool := NewPool(func() { opened++ })
-	address := server(t, func(connection, count int, read *http.Request) string {
-		return answer(read.Header.Get("Id"), read.Method+" "+read.Host+read.RequestURI)
+	address := startServer(t, func(connection, count int, read *http.Request) string {
+		return reply(read.Header.Get("Id"), read.Method+" "+read.Host+read.RequestURI)
 	})
 	for _, id := range []string{"1", "2"} {
-		text, err := body(t, pool, request(t, address, http.MethodPost, id, "x"))
+		text, err := fetch(t, pool, request(t, address, http.MethodPost, id, "x"))
 		require.NoError(t, err)
 		require.Equal(t, "POST shop.example/a/b?c=%20d", text)
 	}
@@ -88,19 +88,19 @@
 
 // A request without a body on a kept connection that breaks is what net/http would
 // send again.
-func TestABrokenKeptConnectionIsNotTriedAgain(t *testing.T) {
+func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
 	arrivals := 0
 	pool := NewPool(nil)
-	address := server(t, func(connection, count int, read *http.Request) string {
+	address := startServer(t, func(connection, count int, read *http.Request) string {
 		arrivals++
 		if count == 1 {
 			return ""
 		}
-		return answer(read.Header.Get("Id"), "x")
+		return reply(read.Header.Get("Id"), "x")
 	})
-	_, err := body(t, pool, request(t, address, http.MethodGet, "1", ""))
+	_, err := fetch(t, pool, request(t, address, http.MethodGet, "1", ""))
 	require.NoError(t, err)
-	_, err = body(t, pool, request(t, address, http.MethodGet, "2", ""))
+	_, err = fetch(t, pool, request(t, address, http.MethodGet, "2", ""))
 	var failed *Error
 	require.True(t, errors.As(err, &failed))
 	require.True(t, failed.Written)
@@ -108,61 +108,61 @@
 }
 
 // A replica closes connections that rest; a request must not be lost to one.
-func TestAnIdleConnectionThatWasClosedIsNotUsed(t *testing.T) {
-	address := server(t, func(connection, count int, read *http.Request) string { return answer(read.Header.Get("Id"), "x") })
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
+	address := startServer(t, func(connection, count int, read *http.Request) string { return reply(read.Header.Get("Id"), "x") })
 	pool := NewPool(nil)
-	_, err := body(t, pool, request(t, address, http.MethodGet, "1", ""))
+	_, err := fetch(t, pool, request(t, address, http.MethodGet, "1", ""))
 	require.NoError(t, err)
 	// As when the replica's close has arrived: the connection can be read to its end.
 	require.Len(t, pool.idle[address], 1)
-	resting := pool.idle[address][0]
-	require.NoError(t, resting.Conn.(*net.TCPConn).CloseRead())
-	text, err := body(t, pool, request(t, address, http.MethodGet, "2", ""))
+	pooled := pool.idle[address][0]
+	require.NoError(t, pooled.Conn.(*net.TCPConn).CloseRead())
+	text, err := fetch(t, pool, request(t, address, http.MethodGet, "2", ""))
 	require.NoError(t, err)
 	require.Equal(t, "x", text)
-	require.NotSame(t, resting, pool.idle[address][0])
+	require.NotSame(t, pooled, pool.idle[address][0])
 }
 
-func TestADeadAddressIsKnownAsNotSent(t *testing.T) {
+func TestFailedDialReportsNotWritten(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	require.NoError(t, listener.Close())
-	_, err = body(t, NewPool(nil), request(t, listener.Addr().String(), http.MethodGet, "1", ""))
+	_, err = fetch(t, NewPool(nil), request(t, listener.Addr().String(), http.MethodGet, "1", ""))
 	var failed *Error
 	require.True(t, errors.As(err, &failed))
 	require.False(t, failed.Written)
 }
 
-func TestASurplusAnswerInThePlaceOfTheNextIsSkipped(t *testing.T) {
+func TestStaleResponseIsSkipped(t *testing.T) {
 	pool := NewPool(nil)
-	address := server(t, func(connection, count int, read *http.Request) string {
+	address := startServer(t, func(connection, count int, read *http.Request) string {
 		if count == 1 {
-			return answer("1", "late") + answer(read.Header.Get("Id"), "own")
+			return reply("1", "late") + reply(read.Header.Get("Id"), "own")
 		}
-		return answer(read.Header.Get("Id"), "own")
+		return reply(read.Header.Get("Id"), "own")
 	})
 	for _, id := range []string{"1", "2", "3"} {
-		text, err := body(t, pool, request(t, address, http.MethodGet, id, ""))
+		text, err := fetch(t, pool, request(t, address, http.MethodGet, id, ""))
 		require.NoError(t, err)
 		require.Equal(t, "own", text)
 	}
 }
 
-func TestBytesBehindAnAnswerEndTheConnection(t *testing.T) {
+func TestTrailingBytesCloseConnection(t *testing.T) {
 	opened := 0
 	pool := NewPool(func() { opened++ })
-	address := server(t, func(connection, count int, read *http.Request) string {
-		return answer(read.Header.Get("Id"), "own") + answer("9", "surplus")
+	address := startServer(t, func(connection, count int, read *http.Request) string {
+		return reply(read.Header.Get("Id"), "own") + reply("9", "surplus")
 	})
 	for _, id := range []string{"1", "2"} {
-		text, err := body(t, pool, request(t, address, http.MethodGet, id, ""))
+		text, err := fetch(t, pool, request(t, address, http.MethodGet, id, ""))
 		require.NoError(t, err)
 		require.Equal(t, "own", text)
 	}
 	require.Equal(t, 2, opened)
 }
 
-func TestAnEarlyAnswerToALongBodyEndsTheConnection(t *testing.T) {
+func TestEarlyResponseToLongBodyClosesConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -172,32 +172,32 @@
 			return
 		}
 		_, _ = http.ReadRequest(bufio.NewReaderSize(conn, 16))
-		_, _ = io.WriteString(conn, answer("1", "early"))
+		_, _ = io.WriteString(conn, reply("1", "early"))
 		time.Sleep(time.Second)
 		_ = conn.Close()
 	}()
 	pool := NewPool(nil)
-	text, err := body(t, pool, request(t, listener.Addr().String(), http.MethodPost, "1", strings.Repeat("x", 16<<20)))
+	text, err := fetch(t, pool, request(t, listener.Addr().String(), http.MethodPost, "1", strings.Repeat("x", 16<<20)))
 	require.NoError(t, err)
 	require.Equal(t, "early", text)
 	require.Empty(t, pool.idle[listener.Addr().String()])
 }
 
-func TestAnAnswerThatEndsEarlyIsNotWhole(t *testing.T) {
-	address := server(t, func(connection, count int, read *http.Request) string {
+func TestTruncatedResponseIsAnError(t *testing.T) {
+	address := startServer(t, func(connection, count int, read *http.Request) string {
 		return "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\nConnection: close\r\n\r\nshort"
 	})
 	pool := NewPool(nil)
-	got, err := pool.Do(t.Context(), request(t, address, http.MethodGet, "1", ""))
+	response, err := pool.Do(t.Context(), request(t, address, http.MethodGet, "1", ""))
 	require.NoError(t, err)
-	go func() { time.Sleep(20 * time.Millisecond); _ = got.Close() }()
-	_, err = io.ReadAll(got)
+	go func() { time.Sleep(20 * time.Millisecond); _ = response.Close() }()
+	_, err = io.ReadAll(response)
 	require.Error(t, err)
 }
 
-func TestTheEndOfTheContextEndsTheExchange(t *testing.T) {
+func TestContextCancellationEndsExchange(t *testing.T) {
 	release := make(chan struct{})
-	address := server(t, func(connection, count int, read *http.Request) string {
+	address := startServer(t, func(connection, count int, read *http.Request) string {
 		<-release
 		return ""
 	})
@@ -211,44 +211,44 @@
 	require.True(t, failed.Written)
 }
 
-func TestAConnectionRestsNoLongerThanTheReplicaSays(t *testing.T) {
+func TestIdleConnectionHonorsKeepAliveTimeout(t *testing.T) {
 	opened := 0
 	pool := NewPool(func() { opened++ })
 	now := time.Unix(1000, 0)
 	pool.now = func() time.Time { return now }
-	address := server(t, func(connection, count int, read *http.Request) string {
-		return strings.Replace(answer(read.Header.Get("Id"), "x"), "\r\n", "\r\nKeep-Alive: timeout=5, max=9\r\n", 1)
+	address := startServer(t, func(connection, count int, read *http.Request) string {
+		return strings.Replace(reply(read.Header.Get("Id"), "x"), "\r\n", "\r\nKeep-Alive: timeout=5, max=9\r\n", 1)
 	})
 	for _, wait := range []time.Duration{0, 4 * time.Second, 5 * time.Second} {
 		now = now.Add(wait)
-		_, err := body(t, pool, request(t, address, http.MethodGet, "1", ""))
+		_, err := fetch(t, pool, request(t, address, http.MethodGet, "1", ""))
 		require.NoError(t, err)
 	}
 	require.Equal(t, 2, opened)
 }
 
-func TestWhatIsNotAdmittedIsNotWrittenAndItsConnectionIsKept(t *testing.T) {
+func TestRejectedAdmissionWritesNothingAndKeepsConnection(t *testing.T) {
 	opened, read := 0, make(chan string, 10)
-	address := server(t, func(_, _ int, request *http.Request) string {
+	address := startServer(t, func(_, _ int, request *http.Request) string {
 		read <- request.Header.Get("Id")
 		return "HTTP/1.1 200 OK\r\nId: " + request.Header.Get("Id") + "\r\nContent-Length: 0\r\n\r\n"
 	})
 	pool := NewPool(func() { opened++ })
 	refusal := errors.New("the replica rests")
-	withheld := request(t, address, http.MethodPost, "withheld", "x")
-	withheld.Admit = func() error {
+	rejected := request(t, address, http.MethodPost, "withheld", "x")
+	rejected.Admit = func() error {
 		require.Equal(t, 1, opened, "asked once there is a connection")
 		return refusal
 	}
-	_, err := pool.Do(t.Context(), withheld)
+	_, err := pool.Do(t.Context(), rejected)
 	var failed *Error
 	require.ErrorAs(t, err, &failed)
 	require.False(t, failed.Written)
 	require.ErrorIs(t, err, refusal)
 
-	answer, err := pool.Do(t.Context(), request(t, address, http.MethodPost, "sent", "x"))
+	response, err := pool.Do(t.Context(), request(t, address, http.MethodPost, "sent", "x"))
 	require.NoError(t, err)
-	require.NoError(t, answer.Close())
+	require.NoError(t, response.Close())
 	require.Equal(t, "sent", <-read)
 	require.Empty(t, read)
 	require.Equal(t, 1, opened)
