--- a/failure/failure.go
+++ b/failure/failure.go
@@ -1,6 +1,5 @@
-// Package failure defines the typed errors of finchspoke. Every error that
-// reaches a caller or an operator has a kind, says whether the request ran, and
-// names a remedy.
+// Package failure defines the typed errors that reach callers and operators. Each has a kind and a
+// remedy, and says whether the request ran.
 package failure
 
 import (
@@ -10,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// Kind names a class of failure. Kinds are stable: scripts may match on them.
+// Kind identifies a type of failure. Kinds are stable: clients and scripts may match them.
 type Kind string
 
 // The kinds of failure.
@@ -21,12 +20,12 @@
 	TooLarge            Kind = "too_large"
 	HeadersTooLarge     Kind = "headers_too_large"
 	LimitExceeded       Kind = "limit_exceeded"
-	LimitUnknown        Kind = "limit_unknown"          // nobody tells whether the limit has room
-	ConfigOutdated      Kind = "configuration_outdated" // too old to judge the request by
+	LimitUnknown        Kind = "limit_unknown"          // the tenant's usage could not be checked
+	ConfigOutdated      Kind = "configuration_outdated" // the daemon's configuration is too old to authorize the request
 	DeadlineTooShort    Kind = "deadline_too_short"
 	DeadlineExceeded    Kind = "deadline_exceeded"
 	NoCapacity          Kind = "no_capacity"
-	Quarantined         Kind = "quarantined" // replicas ended while they had the request
+	Quarantined         Kind = "quarantined" // the request is suspected of crashing replicas
 	CallerDisconnected  Kind = "caller_left"
 	ResponseInterrupted Kind = "answer_broken"
 	OutcomeUnknown      Kind = "outcome_unknown"
@@ -44,12 +43,12 @@
 // Execution says what is known about whether a request ran.
 type Execution string
 
-// The states of knowledge about a request's execution.
+// The values of Execution.
 const (
-	// NotRun is only said when no dispatch was ever written to an engine, or
-	// the engine confirmed that it did not start.
+	// NotRun means that the request was never written to an engine, or that the engine confirmed that it
+	// did not start.
 	NotRun Execution = "not_run"
-	// Partial means that the answer began and did not end.
+	// Partial means that the response started and is incomplete.
 	Partial Execution = "partial"
 	// Unknown means that the request may or may not have run.
 	Unknown Execution = "unknown"
@@ -57,36 +56,36 @@
 	Completed Execution = "completed"
 )
 
-// Error is a failure with what a caller needs to act on it.
+// Error is a failure, with what a caller needs to handle it.
 type Error struct {
 	Kind       Kind
 	Message    string
 	Remedy     string
 	Execution  Execution
-	RetryAfter time.Duration // zero when there is no advice
+	RetryAfter time.Duration // zero if unknown
 	cause      error
 }
 
-// New makes an error of a kind that did not run anything.
+// New returns an error for a request that did not run.
 func New(kind Kind, remedy, format string, args ...any) *Error {
 	return &Error{Kind: kind, Message: fmt.Sprintf(format, args...), Remedy: remedy, Execution: NotRun}
 }
 
-// Wrap makes an error of a kind that keeps its cause for logs.
+// Wrap returns an error for a request that did not run. It keeps the cause for logs.
 func Wrap(cause error, kind Kind, remedy, format string, args ...any) *Error {
 	wrapped := New(kind, remedy, format, args...)
 	wrapped.cause = errors.WithStack(cause)
 	return wrapped
 }
 
-// WithExecution returns a copy that says what is known about execution.
+// WithExecution returns a copy with another Execution.
 func (e *Error) WithExecution(execution Execution) *Error {
 	changed := *e
 	changed.Execution = execution
 	return &changed
 }
 
-// WithRetryAfter returns a copy that advises when to come back.
+// WithRetryAfter returns a copy that advises the caller to retry after a delay.
 func (e *Error) WithRetryAfter(wait time.Duration) *Error {
 	changed := *e
 	changed.RetryAfter = wait
@@ -108,8 +107,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// As returns err as an *Error. An error of another type becomes Internal with
-// an unknown execution, since nothing is known about it.
+// As returns err as an *Error. Any other error becomes Internal with an Unknown execution.
 func As(err error) *Error {
 	var typed *Error
 	if errors.As(err, &typed) {
@@ -119,7 +117,7 @@
 		WithExecution(Unknown)
 }
 
-// Is tells whether err is a failure of the kind.
+// Is reports whether err is a failure of the given kind.
 func Is(err error, kind Kind) bool {
 	var typed *Error
 	return errors.As(err, &typed) && typed.Kind == kind
--- a/request/class.go
+++ b/request/class.go
@@ -1,5 +1,5 @@
-// Package request holds the types that describe one inference request to the
-// parts that queue, place and dispatch it.
+// Package request holds the types that describe an inference request to the packages that queue,
+// place and dispatch it.
 package request
 
 import "github.com/pkg/errors"
@@ -7,14 +7,14 @@
 // Class is the priority class of a request. Lower values are served first.
 type Class uint8
 
-// The priority classes.
+// The priority classes, from the highest to the lowest.
 const (
-	Interactive Class = iota // a person waits for the first token
+	Interactive Class = iota // a user waits for the first token
 	Standard                 // the default
-	Bulk                     // may wait for hours, must arrive whole
+	Bulk                     // may wait for hours; needs a complete response
 )
 
-// ClassCount is the number of classes; classes index arrays of this size.
+// ClassCount is the number of classes, for arrays indexed by class.
 const ClassCount = 3
 
 var classNames = [ClassCount]string{"interactive", "standard", "bulk"}
@@ -27,7 +27,7 @@
 	return "unknown"
 }
 
-// ParseClass reads a class name.
+// ParseClass returns the class with the given name.
 func ParseClass(name string) (Class, error) {
 	for index, known := range classNames {
 		if name == known {
