--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,7 +1,6 @@
-// Package routing holds the table that leads a request from its host and path to
-// a service: routes, services, the models a service can load, and the limits on
-// callers. A table comes whole, as one revision, and never goes back to an older
-// one within a process.
+// Package routing maps the host and path of a request to a service. It also holds the models that a
+// service can load and the limits of tenants. A table is replaced as a whole, by a newer version
+// only.
 package routing
 
 import (
@@ -15,7 +14,7 @@
 	"github.com/finchspoke/finchspoke/quota"
 )
 
-// Kind says what may be done with a request of a route.
+// Kind determines how often a route's requests may run.
 type Kind uint8
 
 // The kinds of routes.
@@ -24,8 +23,8 @@
 	RunOnce Kind = iota
 	// Repeatable requests may run more than once.
 	Repeatable
-	// Stream requests are answered by events and run at most once, unless the
-	// route is resumable: then another replica may go on after the last event.
+	// Stream requests are answered with events and run at most once, unless the route is resumable: then
+	// another replica may continue after the last event.
 	Stream
 )
 
@@ -40,87 +39,86 @@
 	return "run_once"
 }
 
-// Split is one service's share of a route.
+// Split is the weight of one service within a route.
 type Split struct {
 	Service string
 	Weight  int
 }
 
-// Route leads requests of a host and a path prefix to services.
+// Route sends requests that match a host and a path prefix to services.
 type Route struct {
 	Name       string
 	Host       string
-	PathPrefix string // begins and ends with a slash
+	PathPrefix string // starts and ends with a slash
 	Kind       Kind
 	Resumable  bool
-	// Attempts is the largest number of replicas that one request may run on.
+	// Attempts is the maximum number of replicas that one request may run on.
 	Attempts int
-	// Timeout is the longest time a request is held.
+	// Timeout bounds how long the daemon holds a request.
 	Timeout time.Duration
-	// Objective is the time to the first byte that callers expect.
+	// Objective is the time to first byte that callers expect.
 	Objective time.Duration
-	// MaxGap is the longest pause between events that callers expect; zero if the
-	// route does not say.
+	// MaxGap is the longest pause between events that callers expect; zero if the route sets none.
 	MaxGap   time.Duration
-	Priority int // 0 is the most urgent
-	// Public routes take requests without a key.
+	Priority int // 0 is the highest
+	// Public routes accept requests without an API key.
 	Public bool
 	Splits []Split
 }
 
-// Repeatable tells whether a request may run again after it may have run.
+// Repeatable reports whether a request that may have run already may run again.
 func (r *Route) Repeatable() bool { return r.Kind == Repeatable }
 
-// Model is a model that an engine service can load.
+// Model is a model that the replicas of a service can load.
 type Model struct {
 	Name            string
 	MemoryMB        float64
 	AdapterMemoryMB float64
-	Adapters        []string      // names of the adapters that the model has
-	StoreLoadTime   time.Duration // load from the weight store
-	MemoryLoadTime  time.Duration // from the replica's host memory
-	DiskLoadTime    time.Duration // from the replica's disk
+	Adapters        []string      // names of the adapters available for the model
+	StoreLoadTime   time.Duration // time to load from the weight store
+	MemoryLoadTime  time.Duration // time to load from the replica's host memory
+	DiskLoadTime    time.Duration // time to load from the replica's disk
 }
 
-// Engine describes the replicas of a service that load models.
+// Engine describes the replicas of a service that loads models.
 type Engine struct {
 	Models         map[string]*Model
-	MemoryMB       float64 // for weights and adapters together, of one replica
-	AdapterSlots   int     // of one replica
-	LoadsPerSecond float64 // from the weight store, over all replicas
-	// MaxStoreLoadTime is the time of the longest load of a model from the weight store.
+	MemoryMB       float64 // for weights and adapters together, per replica
+	AdapterSlots   int     // per replica
+	LoadsPerSecond float64 // loads from the weight store, over all replicas
+	// MaxStoreLoadTime is the longest time that any model takes to load from the weight store.
 	MaxStoreLoadTime time.Duration
 }
 
-// Declares tells whether the catalogue has a model, and the adapter of it if one is
-// named.
+// HasModel reports whether the catalogue contains a model and, if adapter is not empty, that adapter
+// of it.
 func (e *Engine) HasModel(model, adapter string) bool {
 	declared := e.Models[model]
 	return declared != nil && (adapter == "" || slices.Contains(declared.Adapters, adapter))
 }
 
-// Service is a set of replicas that answer alike.
+// Service is a set of interchangeable replicas.
 type Service struct {
 	Name           string
-	MaxConnections int     // of one replica, from all callers together
+	MaxConnections int     // per replica, over all callers
 	Engine         *Engine // nil for a service without models
 }
 
-// Tenant is a customer whose requests carry one of its keys.
+// Tenant is a customer, identified by the API keys of its requests.
 type Tenant struct {
 	Name string
 	Keys []callers.KeyHash
-	// Priority goes before that of the route; nil leaves the route's.
+	// Priority overrides the priority of the route unless it is nil.
 	Priority *int
 	Limit    quota.Limit
-	// CountsTokens tells that the limit is in tokens; otherwise it is in requests.
+	// CountsTokens means that Limit is in tokens; otherwise it is in requests.
 	CountsTokens bool
-	// PlainTokens is what a request counts that names no tokens.
+	// PlainTokens is the cost of a request that does not state its number of tokens.
 	PlainTokens int
 }
 
-// Cost returns what a request counts toward the tenant's limit; tokens is zero for a
-// request that names none.
+// Cost returns what a request counts toward the tenant's limit. tokens is zero if the request does
+// not state a number.
 func (t *Tenant) Cost(tokens int) int {
 	switch {
 	case !t.CountsTokens:
@@ -131,7 +129,7 @@
 	return t.PlainTokens
 }
 
-// Limits bound what a caller may send and how long it may rest.
+// Limits bound the size of callers' requests and how long their connections may be idle.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -139,17 +137,17 @@
 	IdleTimeout    time.Duration
 }
 
-// Revision is a whole table as imported.
+// Revision is a complete routing table as imported.
 type Revision struct {
 	Version  int64
 	Routes   []*Route
 	Services []*Service
-	// Tenants hold the callers' keys; without any, requests need none.
+	// Tenants hold the callers' keys; without tenants, requests need no key.
 	Tenants []*Tenant
 	Limits  Limits
 }
 
-// Table is a revision indexed for lookups. It is not changed once made.
+// Table is a revision indexed for lookups. It is immutable.
 type Table struct {
 	Version  int64
 	Limits   Limits
@@ -159,7 +157,7 @@
 	keys     callers.Keys[*Tenant]
 }
 
-// NewTable checks a revision and indexes it.
+// NewTable validates a revision and indexes it.
 func NewTable(revision Revision) (*Table, error) {
 	table := &Table{
 		Version: revision.Version, Limits: revision.Limits,
@@ -187,15 +185,15 @@
 
 func (t *Table) add(route *Route) error {
 	if !strings.HasPrefix(route.PathPrefix, "/") {
-		return failure.New(failure.InvalidSettings, "begin the path prefix with a slash", "route %s has the path prefix %q", route.Name, route.PathPrefix)
+		return failure.New(failure.InvalidSettings, "start the path prefix with a slash", "route %s has the path prefix %q", route.Name, route.PathPrefix)
 	}
 	if len(route.Splits) == 0 {
-		return failure.New(failure.InvalidSettings, "name a service, or a split of services", "route %s leads to no service", route.Name)
+		return failure.New(failure.InvalidSettings, "name a service, or a split of services", "route %s has no service", route.Name)
 	}
 	for _, split := range route.Splits {
 		if t.services[split.Service] == nil {
-			return failure.New(failure.InvalidSettings, "declare the service, or lead the route to another",
-				"route %s leads to service %q, which is not declared", route.Name, split.Service)
+			return failure.New(failure.InvalidSettings, "declare the service, or send the route to another one",
+				"route %s refers to service %q, which is not declared", route.Name, split.Service)
 		}
 	}
 	host := strings.ToLower(route.Host)
@@ -203,30 +201,29 @@
 	return nil
 }
 
-// RequiresKeys tells whether requests on routes that are not public need a key.
+// RequiresKeys reports whether requests on routes that are not public need a key.
 func (t *Table) RequiresKeys() bool { return len(t.tenants) > 0 }
 
-// Tenants lists the tenants in the order of the revision. It is not to be changed.
+// Tenants returns the tenants in the order of the revision. Callers must not modify the slice.
 func (t *Table) Tenants() []*Tenant { return t.tenants }
 
-// TenantByKey returns the tenant that holds a key, or nil.
+// TenantByKey returns the tenant that a key belongs to, or nil.
 func (t *Table) TenantByKey(key callers.KeyHash) *Tenant {
 	tenant, _ := t.keys.Owner(key)
 	return tenant
 }
 
-// Service returns a service by name, or nil.
+// Service returns the service with a name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Services calls visit for each service.
+// Services calls visit for each service, in no particular order.
 func (t *Table) Services(visit func(*Service)) {
 	for _, service := range t.services {
 		visit(service)
 	}
 }
 
-// Match returns the route of a host (a port is ignored) with the longest prefix
-// that begins the path, or nil.
+// Match returns the route of a host (ignoring the port) with the longest prefix of path, or nil.
 func (t *Table) Match(host, path string) *Route {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
@@ -239,11 +236,11 @@
 	return nil
 }
 
-// goldenRatio spreads consecutive sequence numbers evenly over [0, 1).
+// goldenRatio distributes consecutive sequence numbers evenly over [0, 1).
 const goldenRatio = 0.6180339887498949
 
-// Pick returns the service of the request with a sequence number. Consecutive
-// numbers meet each weight far more evenly than random draws do.
+// Pick returns the service for the request with a sequence number. Consecutive numbers follow the
+// weights more evenly than random choices.
 func (r *Route) Pick(sequence uint64, offset float64) string {
 	if len(r.Splits) == 1 {
 		return r.Splits[0].Service
--- a/routing/store.go
+++ b/routing/store.go
@@ -5,17 +5,17 @@
 	"sync/atomic"
 )
 
-// Store holds the table in force in a process. The version never falls.
+// Store holds the current table of a process. The version never decreases.
 type Store struct {
 	current   atomic.Pointer[Table]
 	mutex     sync.Mutex
 	listeners []func(*Table)
 }
 
-// Current returns the table in force; nil before the first.
+// Current returns the current table; nil before the first Put.
 func (s *Store) Current() *Table { return s.current.Load() }
 
-// Version returns the version in force; zero before the first.
+// Version returns the version of the current table; zero before the first Put.
 func (s *Store) Version() int64 {
 	if table := s.Current(); table != nil {
 		return table.Version
@@ -23,7 +23,7 @@
 	return 0
 }
 
-// Put takes a table into force if it is newer, and tells whether it was.
+// Put replaces the current table if the new one has a higher version, and reports whether it did.
 func (s *Store) Put(table *Table) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -37,7 +37,7 @@
 	return true
 }
 
-// Listen calls listener, under the store's lock, for each table from now on.
+// Subscribe calls listener for each later table, while the store's lock is held.
 func (s *Store) Subscribe(listener func(*Table)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
