--- a/upstream/socket.go
+++ b/upstream/socket.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// setUserTimeout bounds how long written bytes may stay unacknowledged.
+// setUserTimeout bounds how long sent data may stay unacknowledged.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var sockoptErr error
 	err := raw.Control(func(descriptor uintptr) {
@@ -19,7 +19,7 @@
 	return sockoptErr
 }
 
-// quiet tells whether an idle connection is open and nothing has arrived on it.
+// isReusable reports whether an idle connection is open and has received no data.
 func isReusable(conn net.Conn) bool {
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,10 +1,7 @@
-// Package upstream carries requests to replicas over HTTP/1.1 connections of which
-// it knows exactly what was written and what was read.
+// Package upstream sends requests to replicas over pooled HTTP/1.1 connections.
 //
-// net/http's Transport repeats some requests by itself and cannot tell whether a
-// request was written at all. Here nothing is sent twice, an error says whether
-// any byte left, and a connection on which anything unexpected arrived is never
-// used again.
+// Unlike net/http's Transport it never retries a request, its errors tell whether any byte was
+// written, and it does not reuse a connection that received unexpected data.
 package upstream
 
 import (
@@ -23,35 +20,36 @@
 
 const (
 	dialTimeout = 400 * time.Millisecond
-	// unackedTimeout ends a connection whose peer acknowledges nothing.
+	// unackedTimeout closes a connection whose peer acknowledges no data.
 	unackedTimeout = 1500 * time.Millisecond
-	// keepAliveInterval and keepAliveProbes bound how long a silent cut goes unnoticed.
+	// keepAliveInterval and keepAliveProbes bound the time to detect a connection that is cut without a
+	// FIN or RST.
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 2
 	readBufferBytes   = 4 << 10
 	writeBufferBytes  = 4 << 10
-	// maxInlineBodyBytes is the size up to which a body is written before the answer is
-	// read; a longer one is written beside it, since the answer may come first.
+	// maxInlineBodyBytes is the largest body that is written before the response is read. A longer one
+	// is written concurrently, since the replica may respond early.
 	maxInlineBodyBytes = 16 << 10
-	// maxStaleResponses is how many answers to earlier requests are skipped.
+	// maxStaleResponses is how many responses to earlier requests are skipped.
 	maxStaleResponses = 2
-	// defaultIdleTimeout is how long a connection rests when the replica names no time.
+	// defaultIdleTimeout applies to a connection whose replica sends no Keep-Alive timeout.
 	defaultIdleTimeout = 60 * time.Second
-	// idleTimeoutMargin is kept from the time that the replica names.
+	// idleTimeoutMargin is subtracted from the timeout that the replica sends.
 	idleTimeoutMargin = 700 * time.Millisecond
 )
 
-// Error is a request that got no answer.
+// Error means that a request got no response.
 type Error struct {
-	// Written tells whether any byte of the request may have reached the replica.
+	// Written reports whether any byte of the request may have reached the replica.
 	Written bool
 	cause   error
 }
 
-// Error returns the cause.
+// Error returns the cause and whether the request was sent.
 func (e *Error) Error() string {
 	if e.Written {
-		return "no answer: " + e.cause.Error()
+		return "no response: " + e.cause.Error()
 	}
 	return "not sent: " + e.cause.Error()
 }
@@ -59,7 +57,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Pool keeps idle connections by address. It is safe for concurrent use.
+// Pool holds idle connections by address. It is safe for concurrent use.
 type Pool struct {
 	dialer net.Dialer
 	mutex  sync.Mutex
@@ -68,7 +66,7 @@
 	now    func() time.Time
 }
 
-// NewPool returns an empty pool; opened is called for each new connection.
+// NewPool returns an empty pool, which calls onDial for each new connection.
 func NewPool(onDial func()) *Pool {
 	return &Pool{
 		dialer: net.Dialer{
@@ -80,29 +78,29 @@
 	}
 }
 
-// connection is one connection to a replica; it serves one request at a time.
+// connection serves one request at a time.
 type connection struct {
 	net.Conn
 	reader  *bufio.Reader
 	expires time.Time // when idle
 }
 
-// Request is a request as it is to be written.
+// Request is a request to a replica.
 type Request struct {
 	Address string
-	// HTTP holds method, URL, host, headers and length; its body is not used.
+	// HTTP holds method, URL, host, headers and length; its body is ignored.
 	HTTP *http.Request
 	Body []byte
-	// Mine tells whether an answer belongs to this request; others that arrive in
-	// its place are skipped.
+	// Matches reports whether a response belongs to this request; other responses that arrive before it
+	// are skipped. If nil, any response matches.
 	Matches func(http.Header) bool
-	// Admit is asked once there is a connection, right before the request is written; an error of it
-	// keeps the request from being sent. nil: it is sent.
+	// Admit is called once a connection is open, right before the request is written. If it returns an
+	// error, the request is not sent. It may be nil.
 	Admit func() error
 }
 
-// Do sends a request and returns the head of its answer. The context bounds the
-// whole exchange, the reading of the body included. An error is an *Error.
+// Do sends a request and returns the response with an unread body. ctx bounds the whole exchange,
+// reading the body included. An error is an *Error.
 func (p *Pool) Do(ctx context.Context, request Request) (*Response, error) {
 	conn, err := p.get(ctx, request.Address)
 	if err != nil {
@@ -128,7 +126,7 @@
 	return response, nil
 }
 
-// causeOf names the context's end as the cause where that is what it was.
+// preferContextError replaces the cause of an error by that of ctx if ctx has ended.
 func preferContextError(ctx context.Context, err error) error {
 	var upstreamErr *Error
 	if ctx.Err() != nil && errors.As(err, &upstreamErr) {
@@ -137,7 +135,7 @@
 	return err
 }
 
-// get takes an idle connection that is still sound, or opens one.
+// get returns an idle connection that is still usable, or opens one.
 func (p *Pool) get(ctx context.Context, address string) (*connection, error) {
 	for {
 		conn := p.takeIdle(address)
@@ -171,7 +169,7 @@
 	return conn
 }
 
-// Rests tells whether a connection to an address rests here.
+// HasIdle reports whether the pool has an unexpired idle connection to an address.
 func (p *Pool) HasIdle(address string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -186,8 +184,7 @@
 	p.idle[address] = append(p.idle[address], conn)
 }
 
-// Sweep closes idle connections that have expired, and those to addresses that
-// are no longer wanted.
+// Sweep closes idle connections that have expired, and those to addresses that are not in use.
 func (p *Pool) Sweep(inUse func(address string) bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -213,17 +210,17 @@
 // Close closes all idle connections.
 func (p *Pool) Close() { p.Sweep(func(string) bool { return false }) }
 
-// exchange is one request on its connection.
+// exchange is one request and its response on a connection.
 type exchange struct {
 	pool        *Pool
 	conn        *connection
 	address     string
 	cancelWatch func() bool
-	bodyErr     chan error // of a body that is written beside the reading; or nil
+	bodyErr     chan error // result of a body that is written concurrently; nil otherwise
 	once        sync.Once
 }
 
-// counter counts the bytes that a connection took.
+// countingConn counts the bytes written to a connection.
 type countingConn struct {
 	net.Conn
 	written int
@@ -250,15 +247,15 @@
 		}()
 		return nil
 	}
-	_, _ = writer.Write(request.Body) // bufio keeps the error for Flush
+	_, _ = writer.Write(request.Body) // Flush returns the error
 	if err := writer.Flush(); err != nil {
 		return &Error{Written: counting.written > 0, cause: errors.Wrap(err, "write")}
 	}
 	return nil
 }
 
-// writeHead writes the request line and the headers. Names and values come from a
-// request that net/http has parsed, so they hold no line breaks.
+// writeHead writes the request line and the headers. Names and values come from a request that
+// net/http has parsed, so they contain no line breaks.
 func writeHead(writer *bufio.Writer, request Request) {
 	parts := []string{request.HTTP.Method, " ", request.HTTP.URL.RequestURI(), " HTTP/1.1\r\nHost: ", request.HTTP.Host, "\r\n"}
 	if request.HTTP.RequestURI != "" {
@@ -281,7 +278,7 @@
 	_, _ = writer.WriteString("\r\n")
 }
 
-// readHead reads answers until one belongs to the request.
+// readHead reads response heads until one belongs to the request.
 func (e *exchange) readHead(request Request) (*Response, error) {
 	for range maxStaleResponses + 1 {
 		response, err := e.nextHead(request)
@@ -293,13 +290,13 @@
 				response: response, exchange: e}, nil
 		}
 		if response.Close || response.ContentLength < 0 && !chunked(response) {
-			return nil, errors.New("an answer to another request, with no end of its own")
+			return nil, errors.New("received a response to another request whose body has no delimiter")
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
-			return nil, errors.Wrap(err, "skip an answer to another request")
+			return nil, errors.Wrap(err, "skip a response to another request")
 		}
 	}
-	return nil, errors.New("answers to other requests only")
+	return nil, errors.New("received only responses to other requests")
 }
 
 func chunked(response *http.Response) bool {
@@ -310,7 +307,7 @@
 	for {
 		response, err := http.ReadResponse(e.conn.reader, request.HTTP)
 		if err != nil {
-			return nil, errors.Wrap(err, "read the answer's head")
+			return nil, errors.Wrap(err, "read the response head")
 		}
 		if response.StatusCode >= http.StatusOK {
 			return response, nil
@@ -318,7 +315,7 @@
 	}
 }
 
-// end gives the connection back, if it is sound, or closes it.
+// release returns the connection to the pool if it is reusable, or closes it.
 func (e *exchange) release(reusable bool) {
 	e.releaseFor(reusable, defaultIdleTimeout)
 }
@@ -331,7 +328,7 @@
 			case err := <-e.bodyErr:
 				reusable = reusable && err == nil
 			default:
-				reusable = false // answered before the body was whole
+				reusable = false // response before the end of the body
 			}
 		}
 		if reusable && contextActive && e.conn.reader.Buffered() == 0 && idleTimeout > 0 {
@@ -342,37 +339,36 @@
 	})
 }
 
-// Answer is an answer whose head was read. Its body must be read to its end, or
-// closed.
+// Response is a response whose head has been read. Its body must be read to its end, or closed.
 type Response struct {
 	Status   int
 	Header   http.Header
-	Length   int64 // of the body; -1 if the answer does not say
+	Length   int64 // of the body; -1 if unknown
 	response *http.Response
 	exchange *exchange
 }
 
-// Read reads the body. io.EOF says that it is whole.
-func (a *Response) Read(data []byte) (int, error) {
-	n, err := a.response.Body.Read(data)
+// Read reads the body. It returns io.EOF only at the end of a complete body.
+func (r *Response) Read(data []byte) (int, error) {
+	n, err := r.response.Body.Read(data)
 	if err == io.EOF {
-		a.exchange.releaseFor(!a.response.Close, keepAliveTimeout(a.Header))
+		r.exchange.releaseFor(!r.response.Close, keepAliveTimeout(r.Header))
 	} else if err != nil {
-		a.exchange.release(false)
+		r.exchange.release(false)
 	}
 	return n, err
 }
 
-// Buffered returns how many bytes are there to read without waiting.
-func (a *Response) Buffered() int { return a.exchange.conn.reader.Buffered() }
+// Buffered returns how many bytes can be read without blocking.
+func (r *Response) Buffered() int { return r.exchange.conn.reader.Buffered() }
 
-// Close drops the connection, unless the body was read to its end.
-func (a *Response) Close() error {
-	a.exchange.release(false)
+// Close closes the connection, unless the body was read to its end.
+func (r *Response) Close() error {
+	r.exchange.release(false)
 	return nil
 }
 
-// keepAliveTimeout returns how long a connection may rest by the answer's Keep-Alive.
+// keepAliveTimeout returns how long a connection may stay idle, by the response's Keep-Alive header.
 func keepAliveTimeout(header http.Header) time.Duration {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		seconds, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// server answers each request on each connection with the text that script
-// returns for it; an empty text closes the connection.
+// startServer sends the text that script returns for each request. An empty text closes the
+// connection.
 func startServer(t *testing.T, script func(connection, request int, read *http.Request) string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -86,8 +86,7 @@
 	require.Equal(t, 1, opened)
 }
 
-// A request without a body on a kept connection that breaks is what net/http would
-// send again.
+// net/http would retry a request without a body on a reused connection that breaks.
 func TestBrokenReusedConnectionIsNotRetried(t *testing.T) {
 	arrivals := 0
 	pool := NewPool(nil)
@@ -107,13 +106,13 @@
 	require.Equal(t, 2, arrivals)
 }
 
-// A replica closes connections that rest; a request must not be lost to one.
+// A replica may close an idle connection; the next request must not be lost on it.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	address := startServer(t, func(connection, count int, read *http.Request) string { return reply(read.Header.Get("Id"), "x") })
 	pool := NewPool(nil)
 	_, err := fetch(t, pool, request(t, address, http.MethodGet, "1", ""))
 	require.NoError(t, err)
-	// As when the replica's close has arrived: the connection can be read to its end.
+	// The connection is at EOF, as after a close by the replica.
 	require.Len(t, pool.idle[address], 1)
 	pooled := pool.idle[address][0]
 	require.NoError(t, pooled.Conn.(*net.TCPConn).CloseRead())
@@ -234,10 +233,10 @@
 		return "HTTP/1.1 200 OK\r\nId: " + request.Header.Get("Id") + "\r\nContent-Length: 0\r\n\r\n"
 	})
 	pool := NewPool(func() { opened++ })
-	refusal := errors.New("the replica rests")
-	rejected := request(t, address, http.MethodPost, "withheld", "x")
+	refusal := errors.New("the replica is backing off")
+	rejected := request(t, address, http.MethodPost, "rejected", "x")
 	rejected.Admit = func() error {
-		require.Equal(t, 1, opened, "asked once there is a connection")
+		require.Equal(t, 1, opened, "Admit is called once the connection is open")
 		return refusal
 	}
 	_, err := pool.Do(t.Context(), rejected)
