--- a/permit/book.go
+++ b/permit/book.go
@@ -1,9 +1,7 @@
-// Package permit shares out the messages that a replica with a limit takes, over all daemons together. It
-// reads no clock and sends nothing.
+// Package permit shares the rate limits of replicas among all daemons. It has no clock and no I/O.
 //
-// One daemon, the owner, keeps a Book with a line for each such replica, and hands out permits one after
-// the other as they are asked for: what is shared goes to whoever has a request. A daemon that no owner
-// answers falls back on Shares, its own small part of each limit.
+// The leader's Pacer reserves a time slot for each message to a rate-limited replica, in the order
+// of the requests. A daemon without a leader uses LocalShares, a fixed part of each limit.
 package permit
 
 import (
@@ -13,67 +11,67 @@
 )
 
 const (
-	// saved is how many turns a line keeps for later while nobody takes them. One is for whoever comes
-	// next, and one more is kept from all but the most urgent, which so find a turn at once where less
-	// urgent requests take all that there are. Within any time a replica gets at most the limit's rate
-	// and these two above it.
+	// savedReservations is how many unused reservations a schedule accumulates; they may exceed the rate
+	// as a burst. The last one is reserved for the highest priority, which finds it free when other
+	// requests use up the rate.
 	savedReservations = 2
-	// MaxReservationDelay is how far ahead of its turn a permit is given out at most. The next owner, which does
-	// not know what its predecessor gave out, begins that much later.
+	// MaxReservationDelay bounds how far ahead a reservation may be. A new leader, which does not know
+	// its predecessor's reservations, waits for as long before its first one.
 	MaxReservationDelay = time.Second
-	// Life is how long after its turn a permit may be used: a connection may take 0.4 s to open. What a
-	// daemon that stood still finds later is worth nothing. It counts from the question.
+	// Validity is how long after its reserved time a permit may be used, for instance while a connection
+	// opens. It counts from the request, so that a paused process cannot use a stale permit.
 	Validity = 500 * time.Millisecond
-	// maxRetryIn bounds the advice to callers.
+	// maxRetryIn bounds the RetryIn of answers.
 	maxRetryIn = 10 * time.Second
-	// priorityWindow is how long the most urgent request that asked is remembered.
+	// priorityWindow is how long a schedule remembers the highest priority requested.
 	priorityWindow = 10 * time.Second
-	// idleScheduleTTL is how long a line is kept that nobody asks for.
+	// idleScheduleTTL is how long a schedule without requests is kept.
 	idleScheduleTTL = time.Minute
-	// LowestPriority is the priority of messages that come after all requests.
+	// LowestPriority is the priority of messages that yield to all requests of callers.
 	LowestPriority = 1000
 )
 
-// Ask is a daemon's question whether a message may go to a replica.
+// Request asks for a permit for one message to a replica.
 type Request struct {
 	Replica   fleet.Incarnation
-	PerSecond float64 // that the replica takes; above zero
-	Priority  int     // of the request; 0 is the most urgent
-	// Patience is how long it may wait for its turn.
+	PerSecond float64 // the replica's limit; above zero
+	Priority  int     // 0 is the highest
+	// MaxWait bounds the delay until the reserved time.
 	MaxWait time.Duration
 }
 
-// Answer is the word on a question.
+// Answer is the outcome of a Request.
 type Answer struct {
 	Granted bool
-	Delay   time.Duration // until the turn, if it was granted
-	// RetryIn is when a turn should be free, after all that were told so before; only for what was not
-	// granted.
+	Delay   time.Duration // until the reserved time, if granted
+	// RetryIn is when a reservation should be free, after the retries of earlier refused requests. It is
+	// set only if the request was not granted.
 	RetryIn time.Duration
 }
 
-// Book is the owner's account of all replicas with a limit in one term. It is not safe for concurrent
-// use.
+// Pacer schedules the messages to all rate-limited replicas during one term of the leader. It is not
+// safe for concurrent use.
 type Pacer struct {
-	notBefore time.Time // before that no turn is given out
+	notBefore time.Time // no reservation is earlier
 	schedules map[fleet.Incarnation]*schedule
 }
 
-// line is the order of messages to one replica.
+// schedule holds the reservations of one replica.
 type schedule struct {
 	perSecond     float64
-	next          time.Time // turn that is given out next, unless it is so long past that it was not kept
+	next          time.Time // time of the next reservation, before unused ones are dropped
 	retryAt       retryTimes
-	topPriority   int // priority of the most urgent request that asked lately
+	topPriority   int // highest priority requested within priorityWindow
 	topPriorityAt time.Time
 	lastRequestAt time.Time
 }
 
-// retryTimes are when the next request that is refused should come back: an urgent one, and another.
+// retryTimes are the times for the next refused request to retry, by whether it has the highest
+// priority.
 type retryTimes struct{ urgent, other time.Time }
 
-// NewPacer returns the book of a term that begins at a moment. first tells that nobody gave out permits
-// before; else the turns that are out have to pass first.
+// NewPacer returns the pacer of a term that begins at now. first means that there was no earlier
+// leader; otherwise the pacer waits until its predecessor's reservations have passed.
 func NewPacer(first bool, now time.Time) *Pacer {
 	pacer := &Pacer{notBefore: now, schedules: map[fleet.Incarnation]*schedule{}}
 	if !first {
@@ -82,8 +80,8 @@
 	return pacer
 }
 
-// Ask answers a question. reached is the share of the daemons that ask this owner, above zero: the
-// others use up their own part of the limit, or ask another owner.
+// Request answers a request. share is the share of daemons that are connected to this leader, above
+// zero; the others use their local shares or another leader.
 func (p *Pacer) Request(request Request, share float64, now time.Time) Answer {
 	replica := p.schedule(request, share, now)
 	isUrgent := replica.recordPriority(request.Priority, now)
@@ -96,8 +94,8 @@
 	return Answer{Granted: true, Delay: wait}
 }
 
-// maxWaitFor returns how far ahead a turn is given out. Less urgent requests wait until one is free, or
-// they would take what urgent ones need before those come.
+// maxWaitFor returns how far ahead a request may reserve. Requests below the highest priority get
+// only free slots, so that the next ones stay open for it.
 func maxWaitFor(request Request, isUrgent bool) time.Duration {
 	if !isUrgent {
 		return 0
@@ -105,27 +103,28 @@
 	return min(request.MaxWait, MaxReservationDelay)
 }
 
-// Charge takes in that a message goes to a replica whether it has a turn or not.
+// Charge reserves a slot for a message that is sent regardless of the limit.
 func (p *Pacer) Charge(r Request, share float64, now time.Time) { p.schedule(r, share, now).take(now) }
 
-// Return takes back a permit that was not used.
+// Return cancels the reservation of an unused permit.
 func (p *Pacer) Return(replica fleet.Incarnation) {
 	if found := p.schedules[replica]; found != nil {
 		found.next = found.next.Add(-found.interval())
 	}
 }
 
-// Waiting returns how many turns are given out and have not come yet, of all replicas together.
+// PendingReservations returns the number of reservations that are still in the future, over all
+// replicas.
 func (p *Pacer) PendingReservations(now time.Time) (count int) {
 	for _, s := range p.schedules {
 		if ahead := s.next.Sub(now); ahead > 0 {
-			count += int((ahead - 1) / s.interval()) // the turn at this moment has come
+			count += int((ahead - 1) / s.interval()) // excluding a reservation for now
 		}
 	}
 	return count
 }
 
-// line returns the line of a replica at its present rate.
+// schedule returns the schedule of a replica, adjusted to its current rate.
 func (p *Pacer) schedule(request Request, share float64, now time.Time) *schedule {
 	rate := request.PerSecond * min(1, share)
 	known := p.schedules[request.Replica]
@@ -144,7 +143,7 @@
 	return known
 }
 
-// forget drops the lines that nobody asked for lately.
+// removeIdle deletes schedules without recent requests.
 func (p *Pacer) removeIdle(now time.Time) {
 	for replica, s := range p.schedules {
 		if now.Sub(s.lastRequestAt) > idleScheduleTTL && now.After(s.next) {
@@ -153,11 +152,10 @@
 	}
 }
 
-// pause is the time between two turns.
+// interval is the time between two reservations.
 func (s *schedule) interval() time.Duration { return time.Duration(float64(time.Second) / s.perSecond) }
 
-// change sets the rate. The turns that are given out stay as many; who is refused is told anew when to
-// come back.
+// setRate keeps the number of pending reservations and clears the retry times.
 func (s *schedule) setRate(rate float64, now time.Time) {
 	ahead := s.next.Sub(now)
 	if ahead > 0 {
@@ -166,7 +164,8 @@
 	s.perSecond, s.retryAt = rate, retryTimes{}
 }
 
-// recordPriority takes in how urgent a request is, and tells whether none that asked lately was more so.
+// recordPriority records the priority of a request and reports whether it is the highest one of
+// late.
 func (s *schedule) recordPriority(priority int, now time.Time) (isUrgent bool) {
 	if priority <= s.topPriority || now.Sub(s.topPriorityAt) > priorityWindow {
 		s.topPriority, s.topPriorityAt = priority, now
@@ -174,7 +173,7 @@
 	return priority <= s.topPriority
 }
 
-// turn returns the turn that a request would get.
+// reservation returns the slot that a request would get.
 func (s *schedule) reservation(isUrgent bool, now time.Time) time.Time {
 	reservation := s.earliest(now)
 	if !isUrgent {
@@ -183,7 +182,7 @@
 	return reservation
 }
 
-// first returns the next turn; of those that passed while nobody asked only so many are kept.
+// earliest returns the next slot. It drops unused slots beyond savedReservations.
 func (s *schedule) earliest(now time.Time) time.Time {
 	if oldest := now.Add(-(savedReservations - 1) * s.interval()); s.next.Before(oldest) {
 		return oldest
@@ -191,11 +190,11 @@
 	return s.next
 }
 
-// take gives the next turn out.
+// take reserves the next slot.
 func (s *schedule) take(now time.Time) { s.next = s.earliest(now).Add(s.interval()) }
 
-// refuse returns when a request should come back for which the next turn is too late. Those that are
-// refused together get times one after the other, at the limit's rate.
+// nextRetry returns when a refused request should retry. Requests that are refused together get
+// consecutive times at the replica's rate.
 func (s *schedule) nextRetry(wait time.Duration, isUrgent bool, now time.Time) time.Duration {
 	next := &s.retryAt.other
 	if isUrgent {
--- a/permit/model_test.go
+++ b/permit/model_test.go
@@ -15,54 +15,53 @@
 	"github.com/finchspoke/finchspoke/testwindow"
 )
 
-// The model plays daemons with requests for one replica, the owner that they ask, and messages that take
-// time, are lost, or wait for a process that stands still, against a plain oracle: when messages arrived
-// at the replica.
+// The model simulates daemons that send requests to one replica, their leader, and messages that are
+// delayed or lost. The tests compare the arrivals at the replica with its limit.
 
-// way is how daemons share a limit.
+// strategy is how daemons share a limit.
 type strategy int
 
 const (
-	coordinated   strategy = iota // the owner's permits, and shares where no owner answers
-	evenShares                    // each daemon its even share of the limit, from an empty start
-	uncoordinated                 // each daemon as if the limit were its own
+	coordinated   strategy = iota // permits of the leader; local shares without one
+	evenShares                    // an even share of the limit per daemon, without a burst
+	uncoordinated                 // the full limit per daemon
 )
 
-func (w strategy) String() string { return [...]string{"owned", "even", "alone"}[w] }
+func (w strategy) String() string { return [...]string{"leader", "even", "none"}[w] }
 
 const (
 	modelWindow        = 4 * time.Second
 	modelLatency       = 2 * time.Millisecond   // mean, one way
-	modelSlowConnect   = 400 * time.Millisecond // a connection that opens slowly
-	modelLeaderTimeout = 150 * time.Millisecond // with the owner
-	modelFallbackDelay = 6 * time.Second        // from which on daemons use their shares
+	modelSlowConnect   = 400 * time.Millisecond // delay of a slow connection
+	modelLeaderTimeout = 150 * time.Millisecond // for the leader's answer
+	modelFallbackDelay = 6 * time.Second        // without an answer until daemons use local shares
 )
 
-// modelLeader is an owner's term.
+// modelLeader is the leader during one term.
 type modelLeader struct {
 	pacer       *Pacer
-	pausedUntil time.Time // until when it stands still
+	pausedUntil time.Time // end of a process pause
 	ended       bool
 }
 
 type modelDaemon struct {
 	shares       *LocalShares
-	leader       *modelLeader // that it asks; nil: none
-	lastAnswerAt time.Time    // when an owner last answered
-	pausedUntil  time.Time    // until when it stands still
-	next         time.Time    // turn by its own count, for the other ways
+	leader       *modelLeader // nil while disconnected
+	lastAnswerAt time.Time
+	pausedUntil  time.Time // end of a process pause
+	next         time.Time // next slot, for strategies without a leader
 }
 
 type model struct {
 	strategy  strategy
 	perSecond float64
-	mutex     sync.Mutex // guards all of it
+	mutex     sync.Mutex // guards all fields
 	random    *rand.Rand
 	daemons   []*modelDaemon
 	leader    *modelLeader
-	lossRate  float64 // share of the answers that are lost
+	lossRate  float64 // share of lost answers
 	arrivals  []time.Time
-	asked     int // questions to owners
+	asked     int // requests that reached a leader
 }
 
 func newModel(strategy strategy, seed uint64, daemons int, perSecond float64) *model {
@@ -76,7 +75,7 @@
 	return m
 }
 
-// locked runs a step of the model that no other step may interrupt.
+// withLock runs a step of the model atomically.
 func (m *model) withLock(step func()) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -89,7 +88,7 @@
 	time.Sleep(latency)
 }
 
-// callers lets requests come to random daemons until a moment, in all so many a second.
+// runCallers sends requests to random daemons at a rate, until a given time.
 func (m *model) runCallers(perSecond float64, maxWait time.Duration, until time.Time) {
 	var group sync.WaitGroup
 	for time.Now().Before(until) {
@@ -105,7 +104,7 @@
 	group.Wait()
 }
 
-// request leads one request to the replica, or gives it up.
+// sendRequest sends one request to the replica, unless it gets no permit within maxWait.
 func (m *model) sendRequest(daemon *modelDaemon, maxWait time.Duration) {
 	for deadline := time.Now().Add(maxWait); ; {
 		requestedAt := time.Now()
@@ -122,7 +121,7 @@
 		m.openConnection()
 		m.waitUntilResumed(&daemon.pausedUntil)
 		if time.Now().After(expiresAt) {
-			continue // its turn has passed
+			continue // the permit has expired
 		}
 		m.sleepLatency()
 		m.withLock(func() { m.arrivals = append(m.arrivals, time.Now()) })
@@ -130,7 +129,7 @@
 	}
 }
 
-// connect opens a connection, which one in twenty times takes long.
+// openConnection simulates opening a connection; one in twenty is slow.
 func (m *model) openConnection() {
 	slow := false
 	m.withLock(func() { slow = m.random.IntN(20) == 0 })
@@ -139,7 +138,7 @@
 	}
 }
 
-// awake waits until a process goes on that stands still.
+// waitUntilResumed waits for the end of a process pause.
 func (m *model) waitUntilResumed(pausedUntil *time.Time) {
 	var until time.Time
 	m.withLock(func() { until = *pausedUntil })
@@ -169,7 +168,7 @@
 	return answer
 }
 
-// requestFromLeader asks the owner; answered is false if no answer came in time.
+// requestFromLeader asks the leader for a permit; answered is false on a timeout.
 func (m *model) requestFromLeader(daemon *modelDaemon, leader *modelLeader, asked Request, began time.Time) (answer Answer, answered bool) {
 	m.sleepLatency()
 	m.waitUntilResumed(&leader.pausedUntil)
@@ -189,7 +188,7 @@
 	if remaining := modelLeaderTimeout - time.Since(began); remaining > 0 && !answered {
 		time.Sleep(remaining)
 	}
-	if time.Since(began) > 2*modelLeaderTimeout { // the request has given it up
+	if time.Since(began) > 2*modelLeaderTimeout { // the request has timed out
 		answered = false
 	}
 	if answered {
@@ -201,7 +200,7 @@
 	return answer, answered
 }
 
-// reached returns the share of the daemons that ask an owner.
+// reachableShare returns the share of daemons that are connected to a leader.
 func (m *model) reachableShare(leader *modelLeader) float64 {
 	connected := 0
 	for _, daemon := range m.daemons {
@@ -212,7 +211,7 @@
 	return float64(connected) / float64(len(m.daemons))
 }
 
-// decideLocally is the answer of the ways without an owner.
+// decideLocally answers for the strategies without a leader.
 func (m *model) decideLocally(daemon *modelDaemon) Answer {
 	interval := time.Duration(float64(time.Second) / m.perSecond)
 	if m.strategy == evenShares {
@@ -226,7 +225,8 @@
 	return Answer{Granted: true}
 }
 
-// lose takes the owner away; another begins after a while, and daemons turn to it one after the other.
+// replaceLeader ends the current term. A new leader starts after vacancy, and daemons connect to it
+// one by one.
 func (m *model) replaceLeader(vacancy time.Duration) {
 	m.withLock(func() {
 		m.leader.ended = true
@@ -242,8 +242,8 @@
 	}
 }
 
-// bound is what the aim allows within a window: the rate, what is saved up, and for messages on their way
-// what comes at the rate in the life of a permit.
+// maxArrivals is the limit within a window: the rate, saved reservations, and messages in flight for
+// as long as a permit is valid.
 func maxArrivals(perSecond float64) int {
 	return int(perSecond*(modelWindow+Validity).Seconds()) + savedReservations
 }
@@ -260,7 +260,7 @@
 					m.lossRate = 0.02
 					m.runCallers(3*perSecond, 5*time.Second, time.Now().Add(length))
 					require.LessOrEqual(t, testwindow.Most(m.arrivals, modelWindow), maxArrivals(perSecond))
-					require.GreaterOrEqual(t, float64(len(m.arrivals)), 0.9*perSecond*length.Seconds(), "callers want more")
+					require.GreaterOrEqual(t, float64(len(m.arrivals)), 0.9*perSecond*length.Seconds(), "the demand exceeds the limit")
 				})
 			})
 		}
@@ -287,7 +287,7 @@
 	}
 }
 
-// troubles loses owners, for short and for long, freezes them, freezes daemons and cuts some off.
+// injectFaults ends terms for short and long times, pauses processes and partitions daemons.
 func (m *model) injectFaults(length time.Duration) {
 	for deadline := time.Now().Add(length); time.Now().Before(deadline); {
 		var kind int
@@ -311,7 +311,7 @@
 	}
 }
 
-// partitionSome cuts a part of the daemons off from the owner for a time.
+// partitionSome disconnects some daemons from the leader for a time.
 func (m *model) partitionSome(length time.Duration) {
 	var partitioned []*modelDaemon
 	m.withLock(func() {
@@ -330,8 +330,8 @@
 	})
 }
 
-// Of the ways that were weighed, each daemon for itself passes the limit as soon as there are several;
-// even shares keep it and serve few of the requests where these come to few of the daemons.
+// Without coordination, daemons exceed the limit; with even shares they waste most of it if the
+// requests reach few of them.
 func TestAlternativeStrategiesExceedOrWasteLimit(t *testing.T) {
 	const (
 		perSecond = 1
--- a/permit/shares.go
+++ b/permit/shares.go
@@ -6,26 +6,24 @@
 	"github.com/finchspoke/finchspoke/fleet"
 )
 
-// localShareFraction is which part of its even share of a limit a daemon uses by itself. Daemons that have lost
-// their owner do not know when the others send: with the whole share, 69 daemons with requests without
-// end pass what a limit of one a second allows within 4 s (1.5 times as much, and five) by
-// reckoning in one window of a thousand; with half of it in one of a million.
+// localShareFraction is the part of its even share of a limit that a daemon uses without a leader.
+// Daemons do not coordinate then, so that full shares could exceed the limit in short windows.
 const localShareFraction = 0.5
 
-// Shares is a daemon's own part of each limit, for the time in which no owner answers. It is not safe
-// for concurrent use.
+// LocalShares is a daemon's part of each limit while it has no leader. It is not safe for concurrent
+// use.
 type LocalShares struct {
 	random func() float64 // in [0, 1)
 	next   map[fleet.Incarnation]time.Time
 }
 
-// NewLocalShares returns shares of which none was used. random spreads the first turns of daemons that lost
-// their owner at the same moment.
+// NewLocalShares returns unused shares. random spreads the first slots of daemons that lose their
+// leader together.
 func NewLocalShares(random func() float64) *LocalShares {
 	return &LocalShares{random: random, next: map[fleet.Incarnation]time.Time{}}
 }
 
-// Ask answers a question where so many daemons share the limit.
+// Request answers a request locally; daemons is how many daemons share the limit.
 func (s *LocalShares) Request(request Request, daemons int, now time.Time) Answer {
 	interval := time.Duration(float64(time.Second) * float64(max(1, daemons)) / (localShareFraction * request.PerSecond))
 	next, known := s.next[request.Replica]
@@ -41,5 +39,5 @@
 	return Answer{Granted: true, Delay: wait}
 }
 
-// Reset forgets what was used: an owner answers again.
+// Reset clears all reservations once a leader answers again.
 func (s *LocalShares) Reset() { clear(s.next) }
