--- a/quota/account.go
+++ b/quota/account.go
@@ -6,31 +6,31 @@
 	"time"
 )
 
-// Account is a daemon's part: the questions that it has asked and the credit that it was lent
-// ahead. It is not safe for concurrent use.
+// Account is a daemon's side of the protocol: its pending requests and prepaid credit. It is not
+// safe for concurrent use.
 type Account struct {
 	bounds  Bounds
 	lastID  uint64
 	pending map[uint64]pending
 	credits map[string]*credit // by tenant
-	// reports holds what was reported of each credit's use and is not confirmed, by number.
+	// reports holds the credit used per tenant in unconfirmed reports, by report number.
 	reports    map[uint64]map[string]float64
 	lastReport uint64
 }
 
-// asked is a question without an answer.
+// pending is a request without an answer.
 type pending struct {
 	Request
 	sent time.Time
-	// abandoned tells that its request has ended, or used credit.
+	// abandoned means that the caller has stopped waiting, or used credit instead.
 	abandoned bool
 }
 
-// credit is what the daemon was lent ahead for a tenant.
+// credit is the daemon's prepaid credit for a tenant.
 type credit struct {
 	left       float64
 	expiresAt  time.Time
-	unreported float64 // not yet reported
+	unreported float64 // usage since the last report
 }
 
 // NewAccount returns an account without credit.
@@ -38,7 +38,7 @@
 	return &Account{bounds: bounds, pending: map[uint64]pending{}, credits: map[string]*credit{}, reports: map[uint64]map[string]float64{}}
 }
 
-// Ask makes a question.
+// Request returns a new request and keeps it as pending.
 func (a *Account) Request(tenant string, cost float64, now time.Time) Request {
 	a.lastID++
 	request := Request{ID: a.lastID, Tenant: tenant, Cost: cost}
@@ -46,8 +46,8 @@
 	return request
 }
 
-// Take takes in an answer. It returns what is to be given back: a grant for which no request
-// waits any more.
+// ApplyAnswer applies an answer. It returns a refund if the leader granted a request that was
+// abandoned.
 func (a *Account) ApplyAnswer(answer Answer, now time.Time) (unused *Refund) {
 	request, known := a.pending[answer.ID]
 	if !known {
@@ -55,7 +55,7 @@
 	}
 	delete(a.pending, answer.ID)
 	if answer.Renewed {
-		// It counts from the question, since the answer may have waited.
+		// The expiry counts from the request, since the answer may have been delayed.
 		a.renew(request.Tenant, answer.Ahead, request.sent.Add(a.bounds.creditTTL()), now)
 	}
 	if answer.Granted && request.abandoned {
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// renew adds to the credit for a tenant and sets until when it may be used. Credit that has
-// lapsed here does not come back: the holder may have lent it to others.
+// renew adds credit for a tenant and extends its expiry. Expired credit is dropped, since the leader
+// may have granted it to others.
 func (a *Account) renew(tenant string, amount float64, expiresAt, now time.Time) {
 	known := a.credits[tenant]
 	if known == nil {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Abandon notes that a question's request waits no longer.
+// Abandon marks a pending request whose caller has stopped waiting.
 func (a *Account) Abandon(id uint64) {
 	if request, known := a.pending[id]; known {
 		request.abandoned = true
@@ -89,7 +89,7 @@
 	}
 }
 
-// UseCredit uses credit that was lent ahead, if there is enough.
+// UseCredit spends prepaid credit and reports whether there was enough.
 func (a *Account) UseCredit(tenant string, cost float64, now time.Time) bool {
 	known := a.credits[tenant]
 	if known == nil || !now.Before(known.expiresAt) || known.left < cost {
@@ -100,7 +100,7 @@
 	return true
 }
 
-// RefundCredit gives back credit that a request took and that did not run.
+// RefundCredit restores credit that was spent on a request that did not run.
 func (a *Account) RefundCredit(tenant string, cost float64) {
 	if known := a.credits[tenant]; known != nil && known.unreported >= cost {
 		known.left += cost
@@ -108,7 +108,7 @@
 	}
 }
 
-// Ahead returns the credit that may be used for a tenant at a moment.
+// Ahead returns the usable credit for a tenant.
 func (a *Account) Ahead(tenant string, now time.Time) float64 {
 	if known := a.credits[tenant]; known != nil && now.Before(known.expiresAt) {
 		return known.left
@@ -116,7 +116,7 @@
 	return 0
 }
 
-// Credits lists the credit that may still be used, for a holder that does not know of it.
+// Credits lists the usable credit, to report it to a new leader.
 func (a *Account) Credits(now time.Time) []Credit {
 	var usable []Credit
 	for _, tenant := range slices.Sorted(maps.Keys(a.credits)) {
@@ -127,7 +127,7 @@
 	return usable
 }
 
-// Return empties the credit that may still be used, because the holder has called it in.
+// ReturnCredits removes and returns the usable credit after the leader has recalled it.
 func (a *Account) ReturnCredits(now time.Time) []Credit {
 	returned := a.Credits(now)
 	for _, one := range returned {
@@ -136,9 +136,8 @@
 	return returned
 }
 
-// Report lists what was used of the credit and is not reported yet. Until its number is
-// confirmed it is reported again on the next connection: the holder must not lend anew what
-// was used.
+// ReportUsage returns the credit spent since the last report. The next connection repeats the report
+// unless it is confirmed, so that the leader does not grant spent credit again.
 func (a *Account) ReportUsage() (number uint64, unreported map[string]float64) {
 	a.lastReport++
 	var report map[string]float64
@@ -158,11 +157,10 @@
 	return a.lastReport, report
 }
 
-// Confirmed takes in that the holder got a report.
+// ConfirmReport records that the leader received a report.
 func (a *Account) ConfirmReport(number uint64) { delete(a.reports, number) }
 
-// Disconnected forgets the questions that no holder will answer any more. What was reported
-// and not confirmed is to be reported again.
+// HandleDisconnect drops the pending requests and makes unconfirmed reports due again.
 func (a *Account) HandleDisconnect() {
 	clear(a.pending)
 	for number, unreported := range a.reports {
--- a/quota/bench_test.go
+++ b/quota/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// One question at the holder, with credit lent ahead to 300 daemons.
+// BenchmarkAnswer measures the leader's cost of a request while 300 daemons hold credit.
 func BenchmarkAnswer(b *testing.B) {
 	now := time.Unix(1_000, 0)
 	ledger := NewLedger(Bounds{Window: 8 * time.Second, Overshoot: 0.1, Slack: 11_000}, true, now)
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// bucket is a token bucket, by what is missing to a full one.
+// bucket is a token bucket that stores how many tokens it lacks.
 type bucket struct {
 	deficit   float64
 	updatedAt time.Time
 }
 
-// refill fills the bucket at a rate up to a moment.
+// refill adds the tokens since the last refill.
 func (b *bucket) refill(perSecond float64, now time.Time) {
 	if elapsed := now.Sub(b.updatedAt); elapsed > 0 {
 		b.deficit = max(0, b.deficit-perSecond*elapsed.Seconds())
@@ -17,13 +17,12 @@
 }
 
 const (
-	// slotLength is the length of a slot of a history.
 	slotLength = 100 * time.Millisecond
-	// extraSlots are kept beyond a window, so that none is left out that begins in it.
+	// extraSlots extend the window, so that it includes slots that are only partly in it.
 	extraSlots = 2
 )
 
-// history sums what was used over the last window, by slots of time.
+// history sums the usage within a sliding window, in slots of time.
 type history struct {
 	slots map[int64]float64
 	sum   float64
@@ -31,7 +30,7 @@
 
 func slotOf(at time.Time) int64 { return at.UnixNano() / int64(slotLength) }
 
-// forget drops the slots that ended before the window.
+// expire drops the slots before the window.
 func (h *history) expire(window time.Duration, now time.Time) {
 	first := slotOf(now.Add(-window)) - extraSlots
 	for slot, used := range h.slots {
@@ -45,7 +44,7 @@
 	}
 }
 
-// add counts what is used at a moment and returns its slot.
+// add records usage and returns its slot.
 func (h *history) add(used float64, now time.Time) int64 {
 	if h.slots == nil {
 		h.slots = map[int64]float64{}
@@ -56,8 +55,7 @@
 	return slot
 }
 
-// remove removes what was counted in a slot but not used, and tells whether it was still
-// counted.
+// remove subtracts usage from a slot and reports whether the slot still contained it.
 func (h *history) remove(amount float64, slot int64) bool {
 	if used, found := h.slots[slot]; !found || used < amount {
 		return false
--- a/quota/callin.go
+++ b/quota/callin.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// AcceptReturned takes in credit that a daemon returned because it was called in.
+// AcceptReturned moves recalled credit of a daemon to the pool.
 func (l *Ledger) AcceptReturned(daemon string, credits []Credit, now time.Time) {
 	for _, credit := range credits {
 		use := l.tenants[credit.Tenant]
@@ -23,8 +23,8 @@
 	}
 }
 
-// AnswerUncertain answers a daemon's question while the holder's lease does not surely hold, so
-// that another holder may grant from the same limits: only from credit that was called in.
+// AnswerUncertain answers a request while the leader's lease is uncertain. As another leader may
+// grant from the same limits, it grants only from recalled credit.
 func (l *Ledger) AnswerUncertain(daemon string, request Request, now time.Time) Answer {
 	l.lastContact[daemon] = now
 	use := l.tenants[request.Tenant]
@@ -41,14 +41,14 @@
 }
 
 const (
-	// uncertainRetryIn is the advice to callers while the holder's lease does not surely hold: the
-	// time in which it is renewed, or another holder is there.
+	// uncertainRetryIn is the delay for requests refused while the lease is uncertain: about the time to
+	// renew it or to elect another leader.
 	uncertainRetryIn = time.Second
-	// noSlot is that of grants which cannot be given back.
+	// noSlot marks grants that cannot be refunded.
 	noSlot = -1
 )
 
-// expire empties a pool that has lapsed.
+// expire empties the pool once its credit has expired.
 func (p *recalledPool) expire(now time.Time) {
 	if !now.Before(p.expiresAt) {
 		*p = recalledPool{}
--- a/quota/credit.go
+++ b/quota/credit.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// pool is credit that daemons gave back for others to use, until the first of it lapses.
+// recalledPool is credit that daemons returned, for requests of any daemon. It expires with the
+// first part of it.
 type recalledPool struct {
 	amount    float64
 	expiresAt time.Time
 }
 
-// lent is the credit that a daemon has for a tenant.
+// outstandingCredit is a daemon's credit for a tenant, as the leader counts it.
 type outstandingCredit struct {
 	amount    float64
-	inherited float64 // the part of it that an earlier holder lent
+	inherited float64 // part granted by earlier leaders
 	expiresAt time.Time
 	use       rate
-	since     time.Time // when use was first counted
+	since     time.Time // start of the measurement of use
 }
 
-// Used takes in that a daemon used credit that it was lent ahead.
+// RecordUsage records that a daemon spent prepaid credit.
 func (l *Ledger) RecordUsage(daemon, tenant string, amount float64, now time.Time) {
 	use := l.tenants[tenant]
 	if use == nil {
@@ -29,7 +30,7 @@
 	}
 }
 
-// take removes a part of a daemon's credit, what an earlier holder lent last.
+// take removes part of a daemon's credit; the inherited part goes last.
 func (u *tenantUsage) take(credit *outstandingCredit, amount float64) {
 	credit.amount -= amount
 	u.creditTotal -= amount
@@ -39,8 +40,7 @@
 	}
 }
 
-// Adopt takes in the credit that a daemon still has of an earlier holder, or of an earlier
-// connection.
+// Adopt records the credit that a daemon still holds from an earlier leader or connection.
 func (l *Ledger) Adopt(daemon string, credits []Credit, now time.Time) {
 	l.lastContact[daemon] = now
 	for _, credit := range credits {
@@ -49,7 +49,7 @@
 			continue
 		}
 		inherited := credit.Left
-		if known := use.outstandingCredit[daemon]; known != nil { // on an earlier connection
+		if known := use.outstandingCredit[daemon]; known != nil { // from an earlier connection
 			inherited = min(inherited, known.inherited)
 			use.take(known, known.amount)
 		}
@@ -59,12 +59,12 @@
 	}
 }
 
-// settleTime is how long after credit has lapsed it counts as outstanding: words of what was
-// used of it may be on their way.
+// settleDelay is how long expired credit stays outstanding, since reports of its usage may be in
+// transit.
 const settleDelay = 500 * time.Millisecond
 
-// settle ends the credit that has lapsed. A daemon that spoke since said what it used of it;
-// one that did not may have used it until the end.
+// settleExpired removes expired credit. Unless the daemon has reported its usage since, all of it
+// counts as spent.
 func (l *Ledger) settleExpired(use *tenantUsage, now time.Time) {
 	use.nextSettleAt = now.Add(slotLength)
 	use.granted.expire(l.bounds.Window, now)
@@ -83,27 +83,26 @@
 }
 
 const (
-	// creditHorizon is for how long a daemon's usual use is lent ahead: the time until another
-	// holder answers, after one was killed with its machine.
+	// creditHorizon is how long a daemon's prepaid credit lasts at its usual rate: the time to replace a
+	// leader whose machine has failed.
 	creditHorizon = 4 * time.Second
-	// renewAfterShare is the share of its time after which credit is lent anew.
+	// renewAfterShare is the share of its TTL after which credit is renewed.
 	renewAfterShare = 0.25
-	// growthFactor is how much more a daemon must need than it has to be lent more before.
+	// growthFactor is how far a daemon's demand must exceed its credit for an early renewal.
 	growthFactor = 1.5
-	// expireBelowShare is the share of its credit below which a daemon's need makes it lapse.
+	// expireBelowShare is the ratio of demand to credit below which credit is not renewed.
 	expireBelowShare = 0.4
 )
 
-// lend decides on the credit that a daemon has for a tenant from now on: whether it may be
-// used for longer, and how much is lent besides. What the daemon has is never reduced, since
-// it may be using it; it lapses.
-func (l *Ledger) lend(use *tenantUsage, daemon string, cost float64, now time.Time) (ahead float64, renewed bool) {
+// lend grants a daemon more credit for a tenant, or a later expiry. It never reduces credit, which
+// the daemon may be spending at the same time; unneeded credit expires.
+func (l *Ledger) lend(use *tenantUsage, daemon string, cost float64, now time.Time) (extra float64, renewed bool) {
 	credit := use.outstandingCredit[daemon]
 	switch {
 	case credit == nil:
 		credit = &outstandingCredit{use: rate{timeConstant: daemonTimeConstant}, since: now}
 	case !now.Before(credit.expiresAt):
-		return 0, false // it has lapsed and is not settled
+		return 0, false // expired but not settled
 	}
 	credit.use.add(cost, now)
 	desired := max(cost, credit.use.since(credit.since, minDaemonAge, now)*l.horizon(use, now).Seconds())
@@ -115,33 +114,31 @@
 		}
 	}
 	if desired > credit.amount {
-		ahead = max(0, min(desired-credit.amount, l.lendable(use, now)))
+		extra = max(0, min(desired-credit.amount, l.lendable(use, now)))
 	}
-	if credit.amount+ahead <= 0 {
+	if credit.amount+extra <= 0 {
 		return 0, false
 	}
-	credit.amount += ahead
-	use.creditTotal += ahead
+	credit.amount += extra
+	use.creditTotal += extra
 	credit.expiresAt = now.Add(ttl)
 	use.outstandingCredit[daemon] = credit
-	return ahead, true
+	return extra, true
 }
 
-// lendable returns how much more may be lent ahead for a tenant. Credit may be used at once,
-// so it must fit the window with all that was granted.
+// lendable returns how much more credit may be granted for a tenant. Credit may be spent at once, so
+// the window must have room for it.
 func (l *Ledger) lendable(use *tenantUsage, now time.Time) float64 {
 	outstanding := l.outstanding(use, now)
-	ahead := use.budget.creditAt(use.use.since(l.startedAt, minAge, now), use.limit.PerSecond)
+	maxCredit := use.budget.creditAt(use.use.since(l.startedAt, minAge, now), use.limit.PerSecond)
 	if now.Before(l.inheritedUntil) {
-		// What is never lent serves requests that come together. Without it, 500 to 800
-		// requests a second were refused by young terms (one play of a day with three hot
-		// tenants), 150 to 180 with it.
-		return min(ahead-(use.creditTotal-use.inherited)-use.creditUsed.sum, l.available(use, now)-burstReserveShare*use.limit.Burst)
+		// Keeping part of the burst in the bucket serves bursts at the start of a term.
+		return min(maxCredit-(use.creditTotal-use.inherited)-use.creditUsed.sum, l.available(use, now)-burstReserveShare*use.limit.Burst)
 	}
-	return min(ahead, use.budget.maxUse-use.granted.sum) - outstanding
+	return min(maxCredit, use.budget.maxUse-use.granted.sum) - outstanding
 }
 
-// cover returns for how long each daemon's use can be lent ahead.
+// horizon returns for how long each daemon's usage can be prepaid.
 func (l *Ledger) horizon(use *tenantUsage, now time.Time) time.Duration {
 	total := use.use.since(l.startedAt, minAge, now)
 	if total <= 0 {
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -2,81 +2,76 @@
 
 import "time"
 
-// Ask is a daemon's question whether a request may use a tenant's limit.
+// Request asks the leader whether a request is within a tenant's limit.
 type Request struct {
-	ID     uint64 // of the question; unique for the daemon's process
+	ID     uint64 // unique within the daemon's process
 	Tenant string
 	Cost   float64
 }
 
-// Answer is the holder's word on a question.
+// Answer is the leader's answer to a Request.
 type Answer struct {
 	ID      uint64
 	Granted bool
-	// Unknown tells that the holder knows no such tenant.
+	// Unknown means that the leader knows no such tenant.
 	Unknown bool
-	// RetryIn is when the tenant's limit should have room for the request; only for what was
-	// not granted.
+	// RetryIn is when the limit should have room for the request. It is set only if the request was not
+	// granted.
 	RetryIn time.Duration
-	// Slot names the part of the history that the grant is counted in.
+	// Slot is the slot of the history that contains the grant.
 	Slot int64
-	// Renewed tells that the credit lent ahead for the tenant may be used for longer, and
-	// Ahead what is lent besides.
+	// Renewed means that the daemon's credit for the tenant expires later and grows by Ahead.
 	Renewed bool
 	Ahead   float64
-	// Unsettled tells that the holder's term is so young that it refuses what may well be
-	// within the limit; credit lent ahead may be used.
+	// Unsettled means that the leader is too new to know the current usage, so that a refused request
+	// may be within the limit. The daemon may use prepaid credit instead.
 	Unsettled bool
 }
 
-// Credit is what a daemon was lent ahead for a tenant.
+// Credit is a daemon's prepaid allowance for a tenant.
 type Credit struct {
 	Tenant string
 	Left   float64
-	TTL    time.Duration // until it lapses
+	TTL    time.Duration // until it expires
 }
 
-// Refund gives back what was granted to a request that did not run.
+// Refund reverts the grant of a request that did not run.
 type Refund struct {
 	Tenant string
 	Cost   float64
 	Slot   int64
 }
 
-// Ledger is the holder's account of all tenants in one term. It is not safe for concurrent
-// use.
+// Ledger is the leader's record of the usage of all tenants in one term. It is not safe for
+// concurrent use.
 type Ledger struct {
 	bounds  Bounds
 	tenants map[string]*tenantUsage
-	// inheritedUntil is when no credit of earlier holders counts any more.
+	// inheritedUntil is when credit granted by earlier leaders no longer counts.
 	inheritedUntil time.Time
 	startedAt      time.Time
-	lastContact    map[string]time.Time // when each daemon last spoke
+	lastContact    map[string]time.Time // last message of each daemon
 }
 
-// tenantUsage is one tenant's part of a ledger.
+// tenantUsage is the usage of one tenant.
 type tenantUsage struct {
 	limit             Limit
 	budget            windowBudget
 	bucket            bucket
 	granted           history
 	outstandingCredit map[string]*outstandingCredit // by daemon
-	creditTotal       float64                       // the sum of it
-	inherited         float64                       // the part of it that earlier holders lent
-	recalledPool      recalledPool                  // credit that was called in
-	nextSettleAt      time.Time                     // when to look for credit that has lapsed
-	creditUsed        history                       // credit lent ahead that daemons said they used, or may have
-	use               rate                          // asked for by all daemons
-	retryAt           time.Time                     // when the next request that is refused should come back
+	creditTotal       float64                       // sum of outstandingCredit
+	inherited         float64                       // part of creditTotal granted by earlier leaders
+	recalledPool      recalledPool
+	nextSettleAt      time.Time
+	creditUsed        history   // prepaid credit that was spent, or may have been
+	use               rate      // demand at all daemons
+	retryAt           time.Time // retry time of the next refused request
 }
 
-// NewLedger returns the ledger of a term that begins at a moment. first tells that no holder
-// was there before.
-//
-// Buckets of a further term are empty at first: what its predecessor granted is not known,
-// and the empty bucket makes up for the most that it can have been. All credit that can have
-// been lent counts as outstanding until what the predecessor lent last has lapsed, and has left
-// every window; until then credit is lent from what the bucket gathers.
+// NewLedger returns the ledger of a term that begins at now; first means that there was no earlier
+// leader. Otherwise buckets start empty, and all credit that may exist counts as outstanding until
+// it has expired and left every window. This covers the most that the predecessor can have granted.
 func NewLedger(bounds Bounds, first bool, now time.Time) *Ledger {
 	ledger := &Ledger{bounds: bounds, tenants: map[string]*tenantUsage{}, startedAt: now, inheritedUntil: now, lastContact: map[string]time.Time{}}
 	if !first {
@@ -85,7 +80,7 @@
 	return ledger
 }
 
-// SetLimits replaces the limits, by tenant. Tenants that are not named any more are forgotten.
+// SetLimits replaces the limits of all tenants. It drops tenants that are not listed.
 func (l *Ledger) SetLimits(limits map[string]Limit, now time.Time) {
 	for name, limit := range limits {
 		use := l.tenants[name]
@@ -107,7 +102,7 @@
 	}
 }
 
-// Answer answers a daemon's question while the holder's lease surely holds.
+// Answer answers a request while the leader's lease is certain.
 func (l *Ledger) Answer(daemon string, request Request, now time.Time) Answer {
 	l.lastContact[daemon] = now
 	use := l.tenants[request.Tenant]
@@ -121,7 +116,7 @@
 	if !now.Before(use.nextSettleAt) {
 		l.settleExpired(use, now)
 	}
-	use.recalledPool = recalledPool{} // what is left of it was not used
+	use.recalledPool = recalledPool{} // nobody used the rest
 	use.bucket.refill(use.limit.PerSecond, now)
 	available := l.available(use, now)
 	if available <= 0 || use.granted.sum+l.outstanding(use, now)+request.Cost > use.budget.maxUse {
@@ -133,20 +128,19 @@
 	return answer
 }
 
-// unsettled tells whether the term is further than the first and so young that what its
-// predecessor granted may still count.
+// warmingUp reports whether grants of the predecessor may still be within the window.
 func (l *Ledger) warmingUp(now time.Time) bool {
 	return !l.isFirstTerm() && now.Sub(l.startedAt) < l.bounds.Window
 }
 
-// isFirstTerm tells whether no holder was there before.
+// isFirstTerm reports whether there was no earlier leader.
 func (l *Ledger) isFirstTerm() bool { return l.inheritedUntil.Equal(l.startedAt) }
 
-// maxRetryIn bounds the advice to callers.
+// maxRetryIn bounds the RetryIn of answers.
 const maxRetryIn = 10 * time.Second
 
-// refuse returns when a request should come back that found so much too little. Those that
-// are refused together get times one after the other, at the limit's rate.
+// nextRetry returns when a refused request should retry. Requests that are refused together get
+// consecutive times at the limit's rate.
 func (u *tenantUsage) nextRetry(shortfall, cost float64, now time.Time) time.Duration {
 	at := now.Add(time.Duration(max(0, shortfall) / u.limit.PerSecond * float64(time.Second)))
 	if u.retryAt.After(at) {
@@ -159,10 +153,10 @@
 	return min(maxRetryIn, at.Sub(now))
 }
 
-// Heard takes in that a daemon spoke, and so said all that it had used until then.
+// RecordContact records that a daemon has reported its usage up to now.
 func (l *Ledger) RecordContact(daemon string, now time.Time) { l.lastContact[daemon] = now }
 
-// Return takes back what was granted in this term to a request that did not run.
+// Return refunds a grant of this term.
 func (l *Ledger) Return(refund Refund) {
 	use := l.tenants[refund.Tenant]
 	if use != nil && use.granted.remove(refund.Cost, refund.Slot) {
@@ -170,17 +164,17 @@
 	}
 }
 
-// outstanding returns the credit lent ahead that may be used, or was lately.
+// outstanding returns the credit that may be spent, or was spent within the window.
 func (l *Ledger) outstanding(use *tenantUsage, now time.Time) float64 {
 	total := use.creditUsed.sum + use.creditTotal + use.recalledPool.amount
 	if now.Before(l.inheritedUntil) {
-		return total + max(0, use.budget.credit-use.inherited) // of earlier holders
+		return total + max(0, use.budget.credit-use.inherited) // of earlier leaders
 	}
 	return total
 }
 
-// level returns what the bucket holds: what is neither used nor lent of the reserve. It is
-// below zero while more is lent than was gathered.
+// available returns the part of the reserve that is neither used nor granted as credit. It is
+// negative if more credit was granted than the bucket has gathered.
 func (l *Ledger) available(use *tenantUsage, now time.Time) float64 {
 	return use.budget.reserve - l.outstanding(use, now) - use.bucket.deficit
 }
--- a/quota/limit.go
+++ b/quota/limit.go
@@ -1,69 +1,57 @@
-// Package quota keeps each tenant's requests, over all daemons together, within a limit. It
-// reads no clock and sends nothing.
+// Package quota keeps each tenant's usage across all daemons within a limit. It has no clock and no
+// I/O.
 //
-// One daemon, the holder, keeps a Ledger with a token bucket for each tenant; the others ask
-// it for each request through their Account. So that requests go on while the holder is lost,
-// it lends daemons credit ahead, which counts as used for as long as it may be used. Both
-// together stay within what the limit allows in any window, whoever is lost, cut off or
-// stands still.
-//
-// A window allows (rate x window + burst) x (1 + over) + slack. Beyond rate x window that is
-// the reserve, of which the bucket has what is not lent ahead. So a tenant far below its
-// limit has most of the reserve where its requests come, and one close to it has it in the
-// bucket, where requests that come together find it.
+// The leader keeps a Ledger with a token bucket per tenant; daemons ask it to admit each request. It
+// also grants prepaid credit that daemons may spend while there is no leader. Unexpired credit
+// counts as used, so that the limit holds across crashes, partitions and pauses.
 package quota
 
 import "time"
 
-// Limit is what a tenant may use, in its own unit (tokens or requests).
+// Limit is a tenant's limit, in tokens or requests.
 type Limit struct {
-	// PerSecond is the lasting rate; zero sets no limit.
+	// PerSecond is the sustained rate; zero means no limit.
 	PerSecond float64
-	// Burst may be used above the rate at once.
+	// Burst may be used at once, in addition to the rate.
 	Burst float64
 }
 
-// Unlimited tells that there is no limit.
+// Unlimited reports whether there is no limit.
 func (l Limit) Unlimited() bool { return l.PerSecond <= 0 }
 
-// Bounds is how closely limits are kept.
+// Bounds sets the precision of limits: a window allows (rate x window + burst) x (1 + Overshoot) +
+// Slack.
 type Bounds struct {
-	// Window is the length of time over which use is summed.
+	// Window is the length of the sliding window over which usage is summed.
 	Window time.Duration
-	// Over is the share by which the use in a window may exceed the limit.
+	// Overshoot is the share by which the usage in a window may exceed the limit.
 	Overshoot float64
-	// Slack may be used in a window besides, in the tenants' units.
+	// Slack is additional usage allowed in each window, in the tenant's unit.
 	Slack float64
 }
 
 const (
-	// burstReserveShare is the share of a tenant's burst that is never lent ahead.
+	// burstReserveShare is the share of a tenant's burst that is never granted as credit.
 	burstReserveShare = 0.5
-	// overdraftShare is the share of the slack that is kept for the last request that a bucket
-	// gives way to: it may take more than the bucket has left. Without that, requests with few
-	// tokens would empty the bucket of a tenant at its limit before those with many ever found
-	// it full enough. It is kept twice, for two holders that follow each other.
+	// overdraftShare is the share of Slack for a request that costs more than the bucket holds, so that
+	// small requests cannot starve large ones. It is reserved twice, for two consecutive leaders.
 	overdraftShare = 0.25
-	// creditShare is the share of the remaining reserve that is lent ahead at most. With half of
-	// it, a further holder can lend as much while what its predecessor lent still counts; with
-	// nine tenths it could lend nothing for two windows.
+	// creditShare is the share of the remaining reserve that may be granted as credit. The rest lets a
+	// new leader grant credit while that of its predecessor still counts.
 	creditShare = 0.5
-	// fullCreditUtilization is the share of its limit up to which a tenant has as much lent ahead as
-	// there is; with more it has less, and none from noCreditUtilization on. A tenant that asks nine
-	// tenths of 20,000 tokens a second then has 0.2 in 100 more of its requests refused than
-	// its limit demands; 1.6 where credit was lent up to the whole limit.
+	// A tenant that uses up to fullCreditUtilization of its limit gets full credit. Above that its
+	// credit decreases, to none at noCreditUtilization, and the bucket keeps the reserve instead.
 	fullCreditUtilization = 0.6
 	noCreditUtilization   = 0.8
 )
 
-// division is how the use that a window allows is divided.
+// windowBudget is the usage that a window allows, by purpose.
 type windowBudget struct {
-	maxUse  float64 // in any window
-	reserve float64 // beyond the lasting rate
-	credit  float64 // of the reserve, lent ahead to all daemons together at most
+	maxUse  float64
+	reserve float64 // maxUse beyond the sustained rate
+	credit  float64 // maximum credit of all daemons, part of reserve
 }
 
-// divide returns the division for a limit.
 func (b Bounds) budgetFor(limit Limit) windowBudget {
 	sustained := limit.PerSecond * b.Window.Seconds()
 	budget := windowBudget{maxUse: (sustained+limit.Burst)*(1+b.Overshoot) + b.Slack}
@@ -72,11 +60,11 @@
 	return budget
 }
 
-// creditAt returns how much may be lent ahead to a tenant that uses so much a second.
-func (d windowBudget) creditAt(used, limit float64) float64 {
-	return d.credit * min(1, max(0, (noCreditUtilization-used/limit)/(noCreditUtilization-fullCreditUtilization)))
+// creditAt returns the maximum credit of a tenant with the given usage per second.
+func (b windowBudget) creditAt(used, limit float64) float64 {
+	return b.credit * min(1, max(0, (noCreditUtilization-used/limit)/(noCreditUtilization-fullCreditUtilization)))
 }
 
-// lapse is how long credit that was lent ahead may be used, from when the daemon asked. It
-// must outlast the time until another holder answers.
+// creditTTL is how long prepaid credit is valid, counted from the daemon's request. It must exceed
+// the time to replace a leader.
 func (b Bounds) creditTTL() time.Duration { return b.Window }
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -10,14 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The model plays daemons, holders that follow each other, and messages that take time, are
-// lost or wait for a process that stands still, against the plain oracle: the sum over all
-// daemons of what was admitted in any window.
+// The model simulates daemons, consecutive leaders, and messages that are delayed or lost. The tests
+// compare the usage admitted by all daemons in any window with the limit.
 
 type event struct {
 	at       time.Time
-	sequence int // events of one moment keep their order
-	do       func()
+	sequence int // order of simultaneous events
+	action   func()
 }
 
 type events []event
@@ -41,15 +40,15 @@
 type modelDaemon struct {
 	name        string
 	account     *Account
-	leader      *modelLeader // that it is connected to; nil: none
+	leader      *modelLeader // nil while disconnected
 	partitioned bool
-	pausedUntil time.Time // until when it stands still
+	pausedUntil time.Time // end of a process pause
 }
 
-// modelLeader is a holder's term.
+// modelLeader is the leader during one term.
 type modelLeader struct {
 	ledger    *Ledger
-	uncertain bool // its lease does not surely hold: another may begin
+	uncertain bool // its lease may have expired, so that another leader may exist
 	ended     bool
 }
 
@@ -61,11 +60,11 @@
 	sequence int
 	queue    events
 	daemons  []*modelDaemon
-	leader   *modelLeader // nil without one
+	leader   *modelLeader // nil if there is none
 
-	ideal    *idealBucket // of the tenant one; nil if it is of no interest
+	ideal    *idealBucket // for tenant one; may be nil
 	admitted map[string][]admission
-	asked    map[string]float64 // cost asked for, by tenant
+	asked    map[string]float64 // cost, by tenant
 	granted  map[string]float64
 	refused  map[string]int
 	requests map[string]int
@@ -92,9 +91,9 @@
 	return m
 }
 
-func (m *model) after(pause time.Duration, do func()) {
+func (m *model) after(delay time.Duration, action func()) {
 	m.sequence++
-	heap.Push(&m.queue, event{m.now.Add(pause), m.sequence, do})
+	heap.Push(&m.queue, event{m.now.Add(delay), m.sequence, action})
 }
 
 func (m *model) run(length time.Duration) {
@@ -105,12 +104,12 @@
 			break
 		}
 		m.now = next.at
-		next.do()
+		next.action()
 	}
 	m.now = end
 }
 
-// begin starts a holder's term. Daemons turn to it within a while.
+// startTerm starts a leader's term. Daemons connect to it within the given time.
 func (m *model) startTerm(first bool, within time.Duration) {
 	m.leader = &modelLeader{ledger: NewLedger(m.bounds, first, m.now)}
 	m.leader.ledger.SetLimits(m.limits, m.now)
@@ -119,7 +118,7 @@
 	}
 }
 
-// connect lets a daemon introduce itself to the holder.
+// connect sends a daemon's first message to the leader.
 func (m *model) connect(daemon *modelDaemon) {
 	if m.leader == nil || daemon.partitioned || daemon.leader == m.leader {
 		return
@@ -140,7 +139,7 @@
 
 const modelHeartbeat = 2 * time.Second
 
-// beat lets a daemon speak now and then.
+// heartbeat makes a daemon report its usage at regular intervals.
 func (m *model) heartbeat(daemon *modelDaemon) {
 	m.after(modelHeartbeat, func() { m.heartbeat(daemon) })
 	if daemon.leader == nil || daemon.partitioned || daemon.pausedUntil.After(m.now) {
@@ -164,7 +163,7 @@
 	}
 }
 
-// end takes the holder away.
+// loseLeader removes the leader.
 func (m *model) loseLeader() {
 	if m.leader != nil {
 		m.leader.ended = true
@@ -175,7 +174,7 @@
 	}
 }
 
-// delay is how long a message takes: its time on the way, and until its receiver goes on.
+// delay returns the latency of a message, including a pause of its receiver.
 func (m *model) delay(daemon *modelDaemon) time.Duration {
 	latency := time.Duration(m.random.ExpFloat64() * float64(4*time.Millisecond))
 	if daemon.pausedUntil.After(m.now) {
@@ -186,7 +185,7 @@
 
 const modelAnswerTimeout = 150 * time.Millisecond
 
-// request lets a tenant's request come to a daemon; failing tells that no replica runs it.
+// sendRequest sends a tenant's request to a daemon; fails means that no replica runs it.
 func (m *model) sendRequest(daemon *modelDaemon, tenant string, cost float64, fails bool) {
 	if daemon.pausedUntil.After(m.now) {
 		return
@@ -245,7 +244,7 @@
 	return leader.ledger.Answer(name, request, m.now)
 }
 
-// returnCredit lets a daemon return the credit that its holder calls in.
+// returnCredit makes a daemon return credit that its leader recalls.
 func (m *model) returnCredit(daemon *modelDaemon, leader *modelLeader) {
 	name, returned := daemon.name, daemon.account.ReturnCredits(m.now)
 	m.after(m.delay(daemon), func() {
@@ -281,7 +280,7 @@
 	m.admitted[tenant] = append(m.admitted[tenant], admission{m.now, cost})
 }
 
-// worst returns the most that was admitted in any window, as a share of what may be.
+// maxUtilization returns the maximum usage in any window as a share of the allowed usage.
 func (m *model) maxUtilization(tenant string) float64 {
 	maxUse := m.bounds.budgetFor(m.limits[tenant]).maxUse
 	first, sum, maxUtilization := 0, 0.0, 0.0
@@ -297,7 +296,7 @@
 	return maxUtilization
 }
 
-// demand lets requests of a tenant come at a rate, on daemons that its callers use.
+// generateLoad sends requests of a tenant at a rate to random ones of the given daemons.
 func (m *model) generateLoad(tenant string, perSecond func() float64, daemons []*modelDaemon, failureShare float64) {
 	const meanCost = 1600.0
 	var next func()
@@ -313,15 +312,15 @@
 	m.after(time.Duration(m.random.Float64()*float64(time.Second)), next)
 }
 
-func (m *model) randomDaemons(most int) []*modelDaemon {
-	users := make([]*modelDaemon, 0, most)
-	for range 1 + m.random.IntN(most) {
-		users = append(users, m.daemons[m.random.IntN(len(m.daemons))])
+func (m *model) randomDaemons(maxCount int) []*modelDaemon {
+	selected := make([]*modelDaemon, 0, maxCount)
+	for range 1 + m.random.IntN(maxCount) {
+		selected = append(selected, m.daemons[m.random.IntN(len(m.daemons))])
 	}
-	return users
+	return selected
 }
 
-// trouble makes holders, daemons and paths fail at random moments.
+// injectFaults fails leaders, daemons and connections at random times.
 func (m *model) injectFaults(length time.Duration) {
 	moment := func() time.Duration { return time.Duration(m.random.Float64() * float64(length)) }
 	for range m.random.IntN(4) {
@@ -348,7 +347,7 @@
 			})
 		case 1:
 			m.after(moment(), func() { daemon.pausedUntil = m.now.Add(length) })
-		case 2: // killed and started again: another process, without credit
+		case 2: // a restart: a new process without credit
 			m.after(moment(), func() {
 				m.sequence++
 				daemon.name = fmt.Sprintf("%s.%d", daemon.name, m.sequence)
@@ -359,8 +358,8 @@
 	}
 }
 
-// loseLease lets a holder's lease run out. It is renewed, or another holder begins while
-// the first goes on with what it called in.
+// loseLease makes a leader's lease uncertain. The lease is renewed, or another leader starts while
+// this one still grants from recalled credit.
 func (m *model) loseLease() {
 	leader := m.leader
 	if leader == nil || leader.uncertain {
@@ -421,8 +420,7 @@
 	}
 }
 
-// idealBucket is what a limit says, kept at one place: requests it refuses are beyond the
-// limit.
+// idealBucket is a limit enforced in one place. Requests that it refuses exceed the limit.
 type idealBucket struct {
 	limit   Limit
 	level   float64
@@ -452,7 +450,7 @@
 	}
 }
 
-// While the holder is lost, tenants that ask what is usual are served from credit.
+// While there is no leader, prepaid credit must serve tenants with a normal load.
 func TestNormalLoadIsServedFromCreditWithoutLeader(t *testing.T) {
 	for _, limit := range []Limit{{PerSecond: 2700, Burst: 2700}, {PerSecond: 176_000, Burst: 176_000}} {
 		m := newModel(3, 87, map[string]Limit{"one": limit})
@@ -461,9 +459,9 @@
 		m.run(16 * time.Second)
 		require.LessOrEqual(t, m.refused["one"], m.ideal.refused)
 		m.loseLeader()
-		asked, refused := m.requests["one"], m.refused["one"]
+		total, refused := m.requests["one"], m.refused["one"]
 		m.run(time.Second)
-		asked, refused = m.requests["one"]-asked, m.refused["one"]-refused
-		require.Less(t, float64(refused)/float64(max(1, asked)), 0.3, "of %d requests", asked)
+		total, refused = m.requests["one"]-total, m.refused["one"]-refused
+		require.Less(t, float64(refused)/float64(max(1, total)), 0.3, "of %d requests", total)
 	}
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -19,7 +19,7 @@
 	return ledger
 }
 
-// grantAll asks until the limit is reached and returns what was granted.
+// grantAll sends requests until one is refused and returns the total granted.
 func grantAll(ledger *Ledger, daemon string, cost float64, now time.Time) (granted float64, refused Answer) {
 	for {
 		answer := ledger.Answer(daemon, Request{Tenant: "one", Cost: cost}, now)
@@ -55,7 +55,7 @@
 		full.Return(wrong)
 	}
 	granted, _ := grantAll(full, "a", 10, testStart)
-	require.Zero(t, granted, "what was not granted there gives nothing back")
+	require.Zero(t, granted, "a refund without a matching grant has no effect")
 }
 
 func TestConcurrentRefusalsGetStaggeredRetries(t *testing.T) {
@@ -64,7 +64,7 @@
 	last := first.RetryIn
 	for range 20 {
 		next := ledger.Answer("a", Request{Tenant: "one", Cost: 100}, testStart)
-		require.Equal(t, 100*time.Millisecond, next.RetryIn-last, "the time in which the limit has room for one")
+		require.Equal(t, 100*time.Millisecond, next.RetryIn-last, "the time for the limit to allow one more request")
 		last = next.RetryIn
 	}
 	for range 1000 {
@@ -94,7 +94,7 @@
 	require.Greater(t, granted, 50_000.0)
 }
 
-// Credit that a daemon did not speak of since it lapsed may have been used to the last.
+// Expired credit of a daemon that has not reported since may have been spent entirely.
 func TestExpiredCreditOfSilentDaemonCountsAsUsed(t *testing.T) {
 	for _, reports := range []bool{true, false} {
 		ledger := ledgerAt(true, testStart)
@@ -115,7 +115,7 @@
 func TestCreditExpiryCountsFromRequest(t *testing.T) {
 	account := NewAccount(testBounds)
 	request := account.Request("one", 100, testStart)
-	late := testStart.Add(7 * time.Second) // the process stood still
+	late := testStart.Add(7 * time.Second) // the process was paused
 	account.ApplyAnswer(Answer{ID: request.ID, Granted: true, Renewed: true, Ahead: 500}, late)
 	require.Equal(t, 500.0, account.Ahead("one", late))
 	expired := testStart.Add(testBounds.creditTTL())
@@ -124,7 +124,7 @@
 
 	request = account.Request("one", 100, expired)
 	account.ApplyAnswer(Answer{ID: request.ID, Granted: true, Renewed: true, Ahead: 20}, expired)
-	require.Equal(t, 20.0, account.Ahead("one", expired), "the rest may be lent to others by now")
+	require.Equal(t, 20.0, account.Ahead("one", expired), "expired credit may have been granted to others")
 }
 
 func TestGrantForAbandonedRequestIsRefunded(t *testing.T) {
@@ -132,7 +132,7 @@
 	request := account.Request("one", 100, testStart)
 	account.Abandon(request.ID)
 	require.Equal(t, &Refund{Tenant: "one", Cost: 100, Slot: 7}, account.ApplyAnswer(Answer{ID: request.ID, Granted: true, Slot: 7}, testStart))
-	require.Nil(t, account.ApplyAnswer(Answer{ID: request.ID, Granted: true, Slot: 7}, testStart), "once")
+	require.Nil(t, account.ApplyAnswer(Answer{ID: request.ID, Granted: true, Slot: 7}, testStart), "refunded only once")
 }
 
 func TestUsageIsReportedUntilConfirmed(t *testing.T) {
@@ -153,7 +153,7 @@
 	require.Equal(t, 200.0, account.Ahead("one", testStart))
 }
 
-// A holder that is not sure of its lease grants no more than what was called in.
+// A leader with an uncertain lease must grant no more than the recalled credit.
 func TestRecalledCreditIsGrantedOnceToAnyDaemon(t *testing.T) {
 	ledger := ledgerAt(true, testStart)
 	credit := ledger.Answer("a", Request{Tenant: "one", Cost: 100}, testStart).Ahead
@@ -162,7 +162,7 @@
 	require.False(t, ledger.AnswerUncertain("b", Request{Tenant: "one", Cost: credit}, testStart).Granted)
 	credits := []Credit{{Tenant: "one", Left: credit, TTL: time.Second}}
 	ledger.AcceptReturned("a", credits, testStart)
-	ledger.AcceptReturned("a", credits, testStart) // said twice
+	ledger.AcceptReturned("a", credits, testStart) // a duplicate
 	require.Equal(t, before, ledger.outstanding(use, testStart))
 	require.True(t, ledger.AnswerUncertain("b", Request{Tenant: "one", Cost: credit}, testStart).Granted)
 	refused := ledger.AnswerUncertain("b", Request{Tenant: "one", Cost: 1}, testStart)
@@ -170,11 +170,10 @@
 	require.Positive(t, refused.RetryIn)
 
 	ledger.AcceptReturned("a", credits, testStart)
-	require.False(t, ledger.AnswerUncertain("b", Request{Tenant: "one", Cost: 1}, testStart.Add(time.Second)).Granted, "it has lapsed")
+	require.False(t, ledger.AnswerUncertain("b", Request{Tenant: "one", Cost: 1}, testStart.Add(time.Second)).Granted, "the recalled credit has expired")
 }
 
-// A daemon that connects again does not have its credit of this term counted as an earlier
-// holder's.
+// Credit of the current term must not count as inherited after a daemon reconnects.
 func TestCreditOfCurrentTermIsNotInherited(t *testing.T) {
 	ledger := ledgerAt(false, testStart)
 	now := testStart.Add(4 * time.Second)
@@ -185,5 +184,5 @@
 	ledger.Adopt("a", []Credit{{Tenant: "one", Left: credit, TTL: time.Second}}, now)
 	require.Equal(t, before, ledger.outstanding(use, now))
 	ledger.Adopt("b", []Credit{{Tenant: "one", Left: 50, TTL: time.Second}}, now)
-	require.Equal(t, before, ledger.outstanding(use, now), "an earlier holder's is counted already")
+	require.Equal(t, before, ledger.outstanding(use, now), "inherited credit is already counted")
 }
--- a/quota/rate.go
+++ b/quota/rate.go
@@ -6,41 +6,39 @@
 )
 
 const (
-	// daemonTimeConstant is the time constant over which a daemon's use of a tenant is averaged: that of
-	// the window in which it counts, as users' sheets have it.
+	// daemonTimeConstant is the time constant for the usage of a tenant at one daemon.
 	daemonTimeConstant = 8 * time.Second
-	// tenantTimeConstant is the same for a tenant's use at all daemons, which decides on how much is
-	// lent ahead. Over 8 s the use of a tenant with 13 requests a second seems a tenth too low
-	// at times, and credit that is lent then lasts as long again.
+	// tenantTimeConstant is that for a tenant's usage at all daemons, which determines its credit. It is
+	// longer, since granted credit outlives a short dip in usage.
 	tenantTimeConstant = 24 * time.Second
-	// minAge is the least time over which an average is thought to have been taken, and
-	// minDaemonAge the same for a single daemon, where one request is no rate.
+	// minAge and minDaemonAge are the shortest times over which averages of a tenant and of one daemon
+	// are taken, so that a single request does not look like a high rate.
 	minAge       = 500 * time.Millisecond
 	minDaemonAge = 4 * time.Second
 )
 
-// rate is a moving average.
+// rate is an exponentially decaying average.
 type rate struct {
-	timeConstant time.Duration // time constant
+	timeConstant time.Duration
 	value        float64
-	at           time.Time
+	updatedAt    time.Time
 }
 
 func (r *rate) add(amount float64, now time.Time) {
 	r.value = r.perSecond(now) + amount/r.timeConstant.Seconds()
-	r.at = now
+	r.updatedAt = now
 }
 
-// perSecond returns the average at a moment.
+// perSecond returns the current average.
 func (r *rate) perSecond(now time.Time) float64 {
-	if r.at.IsZero() {
+	if r.updatedAt.IsZero() {
 		return 0
 	}
-	return r.value * math.Exp(-now.Sub(r.at).Seconds()/r.timeConstant.Seconds())
+	return r.value * math.Exp(-now.Sub(r.updatedAt).Seconds()/r.timeConstant.Seconds())
 }
 
-// since returns the average at a moment of what began a while ago: before that nothing was
-// counted, which the average alone would take for nothing used.
+// since returns the average of a measurement that began at startedAt, corrected for the missing time
+// before that.
 func (r *rate) since(startedAt time.Time, minAge time.Duration, now time.Time) float64 {
 	age := max(minAge, now.Sub(startedAt))
 	return r.perSecond(now) / (1 - math.Exp(-age.Seconds()/r.timeConstant.Seconds()))
