--- a/limiter/admit.go
+++ b/limiter/admit.go
@@ -12,35 +12,34 @@
 )
 
 const (
-	// answerTimeout is how long the holder is waited for. It answers within some ms; one that
-	// is slowed by a factor of ten within a few tens.
+	// answerTimeout bounds the wait for the leader's answer to one request.
 	answerTimeout = 150 * time.Millisecond
-	// leaderPollInterval is the time between looks at whether the holder answers.
+	// leaderPollInterval is how often a waiting request checks whether the leader answers.
 	leaderPollInterval = 10 * time.Millisecond
-	// minRetryAfter and unknownRetryAfter are advice to callers: the least after a refusal at the
-	// limit, and that where nobody tells whether there is room.
+	// minRetryAfter and unknownRetryAfter are the delays that callers are advised to wait: the minimum
+	// if the limit is reached, and that if no leader can check it.
 	minRetryAfter     = 200 * time.Millisecond
 	unknownRetryAfter = 500 * time.Millisecond
 )
 
-// Grant is the permission for one request.
+// Grant admits one request of a tenant.
 type Grant struct {
 	client     *Client
 	tenant     string
 	cost       float64
-	fromCredit bool // taken from credit lent ahead
+	fromCredit bool // admitted from prepaid credit
 	fence      int64
 	slot       int64
 }
 
-// unlimited is the permission for a request of a tenant without a limit.
+// unlimited admits a request of a tenant without a limit.
 type unlimited struct{}
 
 // Return implements core.Permit.
 func (unlimited) Return() {}
 
-// Admit implements core.Limits: it asks the holder, uses credit that was lent ahead where the
-// holder does not answer, and waits at most for a time where there is neither.
+// Admit implements core.TenantLimiter. It asks the leader, falls back on prepaid credit if the leader does
+// not answer, and otherwise waits up to maxWait for a leader.
 func (c *Client) Admit(ctx context.Context, tenant *routing.Tenant, tokens int, maxWait time.Duration) (core.Permit, *failure.Error) {
 	if tenant.Limit.Unlimited() {
 		return unlimited{}, nil
@@ -62,37 +61,36 @@
 			return nil, limitExceeded(tenant, answer)
 		}
 		if !c.awaitLeader(ctx, time.Until(deadline)) {
-			return nil, failure.New(failure.LimitUnknown, "come back after the time given", "no holder tells whether tenant %s is within its limit", tenant.Name).
+			return nil, failure.New(failure.LimitUnknown, "retry after the time given", "no leader answers whether tenant %s is within its limit", tenant.Name).
 				WithRetryAfter(unknownRetryAfter)
 		}
 	}
 }
 
-// limitExceeded is the failure of a request that is not within its tenant's limit, as far as the
-// holder knows.
+// limitExceeded returns the error for a request beyond its tenant's limit.
 func limitExceeded(tenant *routing.Tenant, answer leaderAnswer) *failure.Error {
-	return failure.New(failure.LimitExceeded, "come back after the time given, or ask your operator for a higher limit",
-		"tenant %s is at its limit of %.0f a second", tenant.Name, tenant.Limit.PerSecond).WithRetryAfter(max(minRetryAfter, answer.RetryIn))
+	return failure.New(failure.LimitExceeded, "retry after the time given, or ask your operator for a higher limit",
+		"tenant %s has reached its limit of %.0f per second", tenant.Name, tenant.Limit.PerSecond).WithRetryAfter(max(minRetryAfter, answer.RetryIn))
 }
 
-// told is the holder's answer to a question, with the fence of its term.
+// leaderAnswer is the leader's answer to a request, with the fence of its term.
 type leaderAnswer struct {
 	quota.Answer
 	fence int64
-	delay time.Duration // until the turn of a permit
-	asked time.Time     // when the question was made
+	delay time.Duration // until the reserved time of a permit
+	asked time.Time     // when the request was made
 }
 
-// leaderRequest is one that the holder is asked.
+// leaderRequest is a request to the leader for admission or for a permit.
 type leaderRequest struct {
-	// put makes it, under the mutex, and returns its id.
+	// enqueue adds the request to the outbox and returns its ID. The caller holds the mutex.
 	enqueue func(now time.Time) uint64
-	// returnGrant gives back what was granted to a request that waits no longer.
+	// returnGrant returns a grant that arrives after its request has stopped waiting.
 	returnGrant func(answer leaderAnswer)
 }
 
-// ask asks the holder whether a request is within its tenant's limit; up is false if there is none that
-// answers in time.
+// requestAdmission asks the leader whether a request is within its tenant's limit. answered is false if no
+// leader answers in time.
 func (c *Client) requestAdmission(ctx context.Context, tenant string, cost float64) (answer leaderAnswer, answered bool) {
 	return c.sendToLeader(ctx, leaderRequest{
 		enqueue: func(now time.Time) uint64 {
@@ -106,7 +104,7 @@
 	})
 }
 
-// sendToLeader asks the holder; up is false if there is none that answers in time.
+// sendToLeader sends a request to the leader. ok is false if no leader answers in time.
 func (c *Client) sendToLeader(ctx context.Context, asked leaderRequest) (answer leaderAnswer, ok bool) {
 	c.mutex.Lock()
 	if !c.leaderResponsive() {
@@ -127,7 +125,7 @@
 	defer timer.Stop()
 	select {
 	case answer = <-answered:
-		// A process that stood still finds an answer from before: it counts for another time.
+		// After a pause of this process the answer may be too old to be valid.
 		if c.Now().Sub(now) <= 2*answerTimeout {
 			answer.asked = now
 			return answer, true
@@ -144,7 +142,7 @@
 	return leaderAnswer{}, false
 }
 
-// abandon gives back what a question may be granted, or was, whose request waits no longer.
+// abandon stops waiting for an answer and returns a grant that has arrived meanwhile.
 func (c *Client) abandon(id uint64, asked leaderRequest, answered <-chan leaderAnswer) {
 	c.mutex.Lock()
 	delete(c.waiting, id)
@@ -159,20 +157,20 @@
 	}
 }
 
-// Answers tells whether the holder answers.
+// LeaderResponsive reports whether the leader is connected and answers in time.
 func (c *Client) LeaderResponsive() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.leaderResponsive()
 }
 
-// answers is Answers; the mutex is held. Under load there is always a question without an
-// answer yet.
+// leaderResponsive implements LeaderResponsive; the caller holds the mutex. It tolerates recent
+// requests without an answer, which are normal under load.
 func (c *Client) leaderResponsive() bool {
 	return c.isConnected && (c.unansweredSince.IsZero() || c.Now().Sub(c.unansweredSince) <= answerTimeout)
 }
 
-// Credit returns the credit lent ahead that may be used, of all tenants together.
+// Credit returns the usable prepaid credit, summed over all tenants.
 func (c *Client) Credit() (total float64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -188,7 +186,7 @@
 	return c.account.UseCredit(tenant, cost, c.Now())
 }
 
-// awaitHolder waits until the holder answers, at most for a time.
+// awaitLeader waits up to maxWait for a leader that answers.
 func (c *Client) awaitLeader(ctx context.Context, maxWait time.Duration) bool {
 	for deadline := time.Now().Add(maxWait); time.Now().Before(deadline) && sleep.For(ctx, min(leaderPollInterval, time.Until(deadline))); {
 		if c.LeaderResponsive() {
@@ -198,7 +196,7 @@
 	return false
 }
 
-// Return gives back what was granted to a request that did not run.
+// Return refunds the grant of a request that did not run.
 func (g *Grant) Return() {
 	c := g.client
 	c.mutex.Lock()
--- a/limiter/bench_test.go
+++ b/limiter/bench_test.go
@@ -15,8 +15,8 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// BenchmarkLeaderPermit is what the holder spends on a question for a permit, of which it gets one for
-// each request to a replica with a limit, where so many daemons ask for a hundred such replicas.
+// BenchmarkLeaderPermit measures the leader's cost of a permit request, with many daemons and a
+// hundred rate-limited replicas.
 func BenchmarkLeaderPermit(b *testing.B) {
 	for _, daemons := range []int{9, 985} {
 		b.Run(fmt.Sprintf("%d daemons", daemons), func(b *testing.B) {
@@ -27,21 +27,21 @@
 			}
 			leader.Begin()
 			now := time.Now()
-			question, answer := 0, 0
+			requestBytes, answerBytes := 0, 0
 			for number := 0; b.Loop(); number++ {
 				now = now.Add(10 * time.Millisecond)
-				asked := permitRequest{id: uint64(number), request: permit.Request{
+				queued := permitRequest{id: uint64(number), request: permit.Request{
 					Replica: fleet.Incarnation{ID: fmt.Sprintf("i-%010d", number%100), Born: 1_768_196_162_000}, PerSecond: 1, MaxWait: 400 * time.Millisecond,
 				}}
-				message := &rpc.QuotaQuestions{Questions: []*rpc.QuotaQuestion{asked.message()}}
+				message := &rpc.QuotaQuestions{Questions: []*rpc.QuotaQuestion{queued.message()}}
 				answers, err := leader.handle(fmt.Sprint(number%daemons), 1, message, now)
 				if err != nil {
 					b.Fatal(err)
 				}
-				question, answer = proto.Size(message), proto.Size(answers)
+				requestBytes, answerBytes = proto.Size(message), proto.Size(answers)
 			}
-			b.ReportMetric(float64(question), "question-bytes")
-			b.ReportMetric(float64(answer), "answer-bytes")
+			b.ReportMetric(float64(requestBytes), "question-bytes")
+			b.ReportMetric(float64(answerBytes), "answer-bytes")
 		})
 	}
 }
--- a/limiter/client.go
+++ b/limiter/client.go
@@ -20,69 +20,69 @@
 )
 
 const (
-	// beatPause is the time between messages of a daemon that asks nothing, so that the holder
-	// knows that credit which has lapsed was not used.
+	// heartbeatInterval is the time between messages of an idle client. They tell the leader that
+	// expired credit was not used.
 	heartbeatInterval = 2 * time.Second
-	// connectPause is the time between tries to reach a holder.
-	reconnectDelay = 100 * time.Millisecond
-	// connectPauseMost bounds the pause, which doubles with each try without an answer: 300
-	// daemons try at once where a holder is not sure of its term.
+	reconnectDelay    = 100 * time.Millisecond
+	// maxReconnectDelay bounds the delay, which doubles with each failed attempt so that many daemons do
+	// not overload a leader whose term is uncertain.
 	maxReconnectDelay = 400 * time.Millisecond
 	dialTimeout       = 500 * time.Millisecond
-	// silentTime ends a stream on which questions got no answer for so long.
+	// unresponsiveTimeout closes a stream on which requests stay unanswered.
 	unresponsiveTimeout = time.Second
-	// unusedStreamTimeout is how long a stream stands on which nothing has to be asked any more: replicas name
-	// limits for a while, and again. A thousand streams that stood for ever cost the holder 500 messages a
-	// second.
+	// unusedStreamTimeout keeps a stream open for a while after the last limit is gone, since replicas
+	// may set limits again soon.
 	unusedStreamTimeout = 10 * time.Second
 )
 
-// Client asks the holder for each request of a tenant. It is a suture service.
+// Client asks the leader to admit each request of a tenant with a limit, and for permits to send to
+// rate-limited replicas. It is a suture service.
 type Client struct {
 	Bounds quota.Bounds
-	// Holder returns the address of the holder; empty: none is known.
+	// Holder returns the address of the leader, or an empty string if it is unknown.
 	Holder func() string
-	// Needed tells whether a tenant has a limit; nil: one has. Where none has, a thousand daemons
-	// need no stream to the holder.
+	// HasLimits reports whether any tenant or replica has a limit; nil means that one has. Without
+	// limits the client keeps no stream to the leader.
 	HasLimits func() bool
-	// Now is the clock of credit; nil: time.Now.
+	// Now is the clock for the expiry of credit; nil means time.Now.
 	Now func() time.Time
-	// Daemons returns how many daemons share replicas' limits; nil, or zero: not known.
+	// Daemons returns how many daemons share the limits of replicas; nil or zero means unknown.
 	Daemons func() int
-	// Count counts the questions for permits by where the answer came from; nil: nobody counts.
+	// CountPermit counts answered permit requests by the source of the answer; it may be nil.
 	CountPermit func(source, outcome string)
 	Log         logrus.FieldLogger
 
 	processID string
 	mutex     sync.Mutex
 	account   *quota.Account
-	waiting   map[uint64]chan leaderAnswer // questions whose requests wait
+	waiting   map[uint64]chan leaderAnswer // by request ID
 	outbox    outbox
 	wake      chan struct{} // holds an element while there is something to send
-	// connected is closed when the holder is lost; another channel then takes its place.
+	// disconnected is closed and replaced when the connection to the leader is lost.
 	disconnected chan struct{}
 	isConnected  bool
 	fence        int64
-	// reports are the numbers of the account's reports that went with messages without a reply.
+	// sentReports are the numbers of the usage reports in messages that have no reply yet.
 	sentReports []uint64
-	// unansweredSince is when the first question was sent that has no answer; zero: none.
+	// unansweredSince is when the leader fell silent: the time of the first unanswered request, or of the
+	// last message if requests were still unanswered then; zero if none is.
 	unansweredSince time.Time
-	// pendingPermits are the questions for permits without an answer.
+	// pendingPermits are the IDs of unanswered permit requests.
 	pendingPermits map[uint64]bool
 	localShares    *permit.LocalShares
-	lastAnswerAt   time.Time // when a holder last answered, or none was needed
+	lastAnswerAt   time.Time // last time that a leader answered or none was needed
 }
 
-// outbox is what goes with the next message.
+// outbox collects the contents of the next message.
 type outbox struct {
 	requests      []quota.Request
 	refunds       []quota.Refund
 	returned      []quota.Credit
 	permits       []permitRequest
-	unusedPermits []fleet.Incarnation // replicas for which permits were not used
+	unusedPermits []fleet.Incarnation // replicas for which permits were returned unused
 }
 
-// Prepare makes the client ready for use.
+// Prepare initializes the client; it must be called before any other method.
 func (c *Client) Prepare() {
 	if c.Now == nil {
 		c.Now = time.Now
@@ -129,27 +129,27 @@
 	return ctx.Err()
 }
 
-// hasLimits tells whether there is anything to be asked.
 func (c *Client) hasLimits() bool { return c.HasLimits == nil || c.HasLimits() }
 
-// recordNoLimits notes that no holder is asked now, so that none is missed.
+// recordNoLimits marks that no leader is needed at present, so that its absence does not count
+// toward fallbackDelay.
 func (c *Client) recordNoLimits() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.lastAnswerAt = c.Now()
 }
 
-// dependencyLeader names the holder in log lines.
+// dependencyLeader is the leader's name in log lines.
 const dependencyLeader = "holder of tenants' limits"
 
 var (
-	errLeaderChanged = errors.New("another daemon holds the term")
-	errUnresponsive  = errors.New("the holder answers no questions")
-	errNoLimits      = errors.New("no tenant and no replica has a limit any more")
+	errLeaderChanged = errors.New("another daemon is the leader")
+	errUnresponsive  = errors.New("the leader does not answer requests")
+	errNoLimits      = errors.New("no tenant or replica has a limit any longer")
 )
 
-// borrow keeps a stream to a holder until it breaks, falls silent or is that of another one,
-// and tells whether the holder answered.
+// runStream keeps a stream to the leader until it breaks, becomes unresponsive or another daemon is
+// the leader. It reports whether the leader answered.
 func (c *Client) runStream(ctx context.Context, address string) (answered bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -162,7 +162,7 @@
 	stream, err := rpc.NewDRPCQuotasClient(conn).Borrow(ctx)
 	if err != nil {
 		_ = conn.Close()
-		return false, errors.Wrap(err, "ask the holder of tenants' limits")
+		return false, errors.Wrap(err, "open a quota stream to the leader")
 	}
 	firstMessage := c.firstMessage()
 	receiveErr := make(chan error, 1)
@@ -173,13 +173,12 @@
 	err = c.sendLoop(ctx, stream, firstMessage, address, receiveErr)
 	cancel()
 	_ = conn.Close()
-	for range receiveErr { // until no answer can come any more
+	for range receiveErr { // wait for receiveLoop to end
 	}
 	return c.handleDisconnect(), err
 }
 
-// talk sends what is to be said until the stream breaks or the holder is not to be asked any
-// more.
+// sendLoop sends messages until the stream breaks or should be closed.
 func (c *Client) sendLoop(ctx context.Context, stream rpc.DRPCQuotas_BorrowClient, firstMessage *rpc.QuotaQuestions, address string, receiveErr <-chan error) error {
 	if err := stream.Send(firstMessage); err != nil {
 		return err
@@ -214,7 +213,7 @@
 	}
 }
 
-// unfit tells why the holder at an address is not to be asked any more; nil: it is.
+// checkStream returns why the stream to an address should be closed, or nil.
 func (c *Client) checkStream(address string) error {
 	if c.Holder() != address {
 		return errLeaderChanged
@@ -227,7 +226,7 @@
 	return nil
 }
 
-// hello makes the first message of a stream.
+// firstMessage returns the first message of a stream, which lists the client's credit.
 func (c *Client) firstMessage() *rpc.QuotaQuestions {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -240,7 +239,7 @@
 	return message
 }
 
-// message makes a further message.
+// message returns a later message with the contents of the outbox.
 func (c *Client) message() *rpc.QuotaQuestions {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -262,7 +261,7 @@
 	return message
 }
 
-// creditMessages writes credit as it is told to the holder.
+// creditMessages converts credit to its wire format.
 func creditMessages(credits []quota.Credit) []*rpc.QuotaCredit {
 	messages := make([]*rpc.QuotaCredit, 0, len(credits))
 	for _, credit := range credits {
@@ -271,7 +270,7 @@
 	return messages
 }
 
-// used lists what was used of credit lent ahead, for the next message; the mutex is held.
+// usage returns the credit used since the last report. The caller holds the mutex.
 func (c *Client) usage() []*rpc.QuotaCost {
 	var costs []*rpc.QuotaCost
 	number, usage := c.account.ReportUsage()
@@ -282,7 +281,7 @@
 	return costs
 }
 
-// listen takes in answers until the stream breaks.
+// receiveLoop handles answers until the stream breaks.
 func (c *Client) receiveLoop(stream rpc.DRPCQuotas_BorrowClient) error {
 	for {
 		message, err := stream.Recv()
@@ -293,7 +292,7 @@
 	}
 }
 
-// take takes in a message of the holder.
+// handleAnswers applies a message of the leader.
 func (c *Client) handleAnswers(message *rpc.QuotaAnswers, now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -308,14 +307,14 @@
 		c.account.ConfirmReport(c.sentReports[0])
 		c.sentReports = c.sentReports[1:]
 	}
-	for _, one := range message.GetAnswers() {
+	for _, result := range message.GetAnswers() {
 		answer := quota.Answer{
-			ID: one.GetId(), Granted: one.GetGranted(), Unknown: one.GetUnknown(), RetryIn: time.Duration(one.GetRetryMs()) * time.Millisecond,
-			Slot: one.GetSlot(), Renewed: one.GetRenewed(), Ahead: one.GetAhead(), Unsettled: one.GetUnsettled(),
+			ID: result.GetId(), Granted: result.GetGranted(), Unknown: result.GetUnknown(), RetryIn: time.Duration(result.GetRetryMs()) * time.Millisecond,
+			Slot: result.GetSlot(), Renewed: result.GetRenewed(), Ahead: result.GetAhead(), Unsettled: result.GetUnsettled(),
 		}
 		c.applyAnswer(answer, now)
 		if waiting := c.waiting[answer.ID]; waiting != nil {
-			waiting <- leaderAnswer{Answer: answer, fence: c.fence, delay: time.Duration(one.GetInMs()) * time.Millisecond}
+			waiting <- leaderAnswer{Answer: answer, fence: c.fence, delay: time.Duration(result.GetInMs()) * time.Millisecond}
 			delete(c.waiting, answer.ID)
 		}
 	}
@@ -332,8 +331,8 @@
 	}
 }
 
-// settle takes in an answer, and gives back what it grants to a request that waits no longer, unless that
-// is a turn, which passes; the mutex is held.
+// applyAnswer applies an answer and refunds a grant whose request has stopped waiting. Permits are
+// not refunded, since their reserved time passes soon. The caller holds the mutex.
 func (c *Client) applyAnswer(answer quota.Answer, now time.Time) {
 	isPermit := c.pendingPermits[answer.ID]
 	delete(c.pendingPermits, answer.ID)
@@ -342,8 +341,8 @@
 	}
 }
 
-// down notes that the holder is lost: what waits for it uses credit, or waits for the next. It
-// tells whether the holder had answered.
+// handleDisconnect ends the wait of all requests and reports whether the leader had answered on this
+// connection.
 func (c *Client) handleDisconnect() (answered bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -22,7 +22,7 @@
 
 var testBounds = quota.Bounds{Window: 8 * time.Second, Overshoot: 0.1, Slack: 1000}
 
-// term is what a test says of the holder's term.
+// term is the leader's term, as set by a test.
 type term struct {
 	mutex  sync.Mutex
 	fence  int64
@@ -41,7 +41,7 @@
 	t.fence, t.status = fence, status
 }
 
-// startLeader serves tenants' limits; address is where.
+// startLeader serves the limits of tenants at the returned address.
 func startLeader(t *testing.T, tenants ...*routing.Tenant) (leaderTerm *term, address string) {
 	t.Helper()
 	table, err := routing.NewTable(routing.Revision{Version: 1, Tenants: tenants})
@@ -76,7 +76,7 @@
 	return client.Admit(t.Context(), tenant, 0, 0)
 }
 
-// awaitAdmit asks until a request is admitted.
+// awaitAdmit retries until a request is admitted.
 func awaitAdmit(t *testing.T, client *Client, tenant *routing.Tenant) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -109,7 +109,7 @@
 	require.Equal(t, failure.LimitExceeded, refused.Kind)
 	require.Equal(t, failure.NotRun, refused.Execution)
 	require.GreaterOrEqual(t, refused.RetryAfter, minRetryAfter)
-	require.LessOrEqual(t, admitted*100, 1000+500, "what the slack allows, and one request more for each of them")
+	require.LessOrEqual(t, admitted*100, 1000+500, "the slack, and one more request per daemon")
 }
 
 func TestReturnedGrantsAreRefunded(t *testing.T) {
@@ -131,7 +131,7 @@
 	permit.Return()
 }
 
-// Whoever loses the holder goes on with what was lent ahead, and no further.
+// Without a leader, a daemon admits requests up to its prepaid credit and no more.
 func TestCreditIsSpentThenRefusedWithoutLeader(t *testing.T) {
 	tenant := testTenant(1000)
 	leaderTerm, address := startLeader(t, tenant)
@@ -162,7 +162,7 @@
 	awaitAdmit(t, client, tenant)
 }
 
-// A request that comes while the holder is being found waits for it a little.
+// A request during an election waits for the new leader instead of failing.
 func TestRequestWaitsForNextLeader(t *testing.T) {
 	tenant := testTenant(1000)
 	leaderTerm, address := startLeader(t, tenant)
@@ -173,7 +173,7 @@
 	require.Nil(t, failed)
 }
 
-// Open connections may fall silent for good while new ones work.
+// An open connection may stop delivering data while new connections work.
 func TestUnresponsiveStreamIsReplaced(t *testing.T) {
 	tenant := testTenant(100_000)
 	_, address := startLeader(t, tenant)
@@ -185,14 +185,14 @@
 	proxy.SilenceOpen()
 	began := time.Now()
 	require.Eventually(t, func() bool {
-		_, failed := admit(t, client, tenant) // for the stream to have something to answer
+		_, failed := admit(t, client, tenant) // a stream without requests needs no answers
 		return failed == nil && client.LeaderResponsive()
 	}, 5*time.Second, 20*time.Millisecond)
 	require.Less(t, time.Since(began), 4*time.Second)
 }
 
-// said returns what a server says to a message of a process; the first message of a stream has
-// the fence zero.
+// mustHandle returns the server's answer to a message of a process. The first message of a stream
+// has fence zero.
 func mustHandle(t *testing.T, server *Server, fence int64, message *rpc.QuotaQuestions) *rpc.QuotaAnswers {
 	t.Helper()
 	answers, err := server.handle("p", fence, message, time.Now())
@@ -214,20 +214,19 @@
 	return &rpc.QuotaQuestions{Questions: []*rpc.QuotaQuestion{{Id: 1, Tenant: "brewery", Cost: cost}}}
 }
 
-// Another holder may be there while the lease does not surely hold: only what was lent and
-// called in may be granted.
+// While the lease is uncertain another leader may exist, so only recalled credit may be granted.
 func TestUncertainLeaderRecallsCreditAndGrantsNoMore(t *testing.T) {
 	leaderTerm := &term{fence: 1, status: election.Sure}
 	server := newServer(t, leaderTerm, testTenant(1000))
-	lent := mustHandle(t, server, 0, admissionRequest(100)).GetAnswers()[0].GetAhead()
-	require.Positive(t, lent)
+	credit := mustHandle(t, server, 0, admissionRequest(100)).GetAnswers()[0].GetAhead()
+	require.Positive(t, credit)
 
 	leaderTerm.set(1, election.Blind)
 	answers := mustHandle(t, server, 1, admissionRequest(1))
 	require.True(t, answers.GetCallIn())
 	require.False(t, answers.GetAnswers()[0].GetGranted())
-	returned := admissionRequest(lent)
-	returned.Returned = []*rpc.QuotaCredit{{Tenant: "brewery", Left: lent, ForMs: 1000}}
+	returned := admissionRequest(credit)
+	returned.Returned = []*rpc.QuotaCredit{{Tenant: "brewery", Left: credit, ForMs: 1000}}
 	require.True(t, mustHandle(t, server, 1, returned).GetAnswers()[0].GetGranted())
 	require.False(t, mustHandle(t, server, 1, admissionRequest(1)).GetAnswers()[0].GetGranted())
 
@@ -243,6 +242,6 @@
 	require.True(t, mustHandle(t, server, 0, admissionRequest(100)).GetAnswers()[0].GetGranted())
 	leaderTerm.set(2, election.Sure)
 	_, err := server.handle("p", 1, admissionRequest(100), time.Now())
-	require.ErrorIs(t, err, errNotLeader, "the stream is of the term before")
+	require.ErrorIs(t, err, errNotLeader, "the stream belongs to an earlier term")
 	require.False(t, mustHandle(t, server, 0, admissionRequest(100)).GetAnswers()[0].GetGranted())
 }
--- a/limiter/owner.go
+++ b/limiter/owner.go
@@ -8,12 +8,12 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// uncertainRetryIn is the advice to requests for a permit while another holder may have begun: the time in
-// which the lease is renewed, or that one is known.
+// uncertainRetryIn is the delay for refused permits while another leader may exist: about the time
+// to renew the lease or to find the new leader.
 const uncertainRetryIn = 300 * time.Millisecond
 
-// Begin opens the book of a term as it begins: the turns that the last holder gave out pass from then on,
-// and not from the first question.
+// BeginTerm creates the ledger and the pacer as soon as a term begins, so that the wait for the
+// predecessor's reservations counts from then, not from the first request.
 func (s *Server) Begin() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -22,7 +22,7 @@
 	}
 }
 
-// TakeTurn takes a turn for a message of the holder itself, if one is free now.
+// TakeTurn reserves a free slot for a message of the leader itself.
 func (s *Server) TakeTurn(request permit.Request) (taken bool, retryIn time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -35,8 +35,8 @@
 	return answer.Granted, answer.RetryIn
 }
 
-// Waiting returns how many turns are given out and have not come yet; zero if this daemon is not the
-// holder.
+// PendingReservations returns the number of reservations in the future; zero if this daemon is not
+// the leader.
 func (s *Server) PendingReservations() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -46,11 +46,9 @@
 	return s.pacer.PendingReservations(s.now())
 }
 
-// reserve asks for a turn; the mutex is held.
-//
-// What is given out is the part of the limit of those daemons that reach this one: the others use their
-// own shares, or ask another holder. So a holder that can't reach the key-value service goes on, and two
-// that believe in their terms at the same time together give out no more than the limit.
+// reserve asks the pacer for a reservation; the caller holds the mutex. It grants only the share of
+// the daemons that reach this leader, so that two leaders with overlapping terms together stay
+// within the limit.
 func (s *Server) reserve(request permit.Request, status election.Standing, now time.Time) permit.Answer {
 	reached := 1.0
 	if s.Reached != nil {
@@ -62,8 +60,8 @@
 	return s.pacer.Request(s.withKnownRate(request), reached, now)
 }
 
-// withKnownRate is the question of a line, at the rate that this daemon knows of: two daemons may have heard
-// different words.
+// withKnownRate sets the request's rate to the limit that this daemon knows, since daemons may have
+// received different limits.
 func (s *Server) withKnownRate(request permit.Request) permit.Request {
 	if s.LimitOf != nil {
 		if perSecond := s.LimitOf(request.Replica.ID); perSecond > 0 {
@@ -73,16 +71,16 @@
 	return request
 }
 
-// answerPermit answers a question for a permit; the mutex is held.
-func (s *Server) answerPermit(id uint64, asked *rpc.PermitQuestion, status election.Standing, now time.Time) *rpc.QuotaAnswer {
+// answerPermit answers a permit request; the caller holds the mutex.
+func (s *Server) answerPermit(id uint64, question *rpc.PermitQuestion, status election.Standing, now time.Time) *rpc.QuotaAnswer {
 	request := permit.Request{
-		Replica: asked.GetReplica().Incarnation(), PerSecond: asked.GetPerSecond(),
-		Priority: int(asked.GetPriority()), MaxWait: time.Duration(asked.GetPatienceMs()) * time.Millisecond,
+		Replica: question.GetReplica().Incarnation(), PerSecond: question.GetPerSecond(),
+		Priority: int(question.GetPriority()), MaxWait: time.Duration(question.GetPatienceMs()) * time.Millisecond,
 	}
-	if !(request.PerSecond > 0) { // NaN is not above zero either
+	if !(request.PerSecond > 0) { // also refuses NaN
 		return &rpc.QuotaAnswer{Id: id, RetryMs: uncertainRetryIn.Milliseconds()}
 	}
-	if asked.GetCharge() {
+	if question.GetCharge() {
 		s.pacer.Charge(s.withKnownRate(request), 1, now)
 		return &rpc.QuotaAnswer{Id: id}
 	}
--- a/limiter/permits.go
+++ b/limiter/permits.go
@@ -12,18 +12,16 @@
 )
 
 const (
-	// fallbackDelay is how long no holder has answered before a daemon uses its own share of replicas'
-	// limits: the holder notes within 5 s that a daemon is cut off, and gives its part to nobody then.
-	// Another holder mostly answers before.
+	// fallbackDelay is how long a daemon waits for a leader before it uses its local share of replicas'
+	// limits. By then the leader has noticed the disconnect and grants that share to nobody.
 	fallbackDelay = 6 * time.Second
-	// leaderWaitTimeout is how long a request waits for a holder that does not answer, at most: a stream to
-	// it may just be opening.
+	// leaderWaitTimeout bounds how long a request waits for a leader that does not answer, such as while
+	// the stream to it opens.
 	leaderWaitTimeout = 300 * time.Millisecond
-	// maxReturnDelay is how long after its turn a permit is given back: as long as a message is on its way.
-	// A turn that passed unused is lost. Given out again later, it came beside the turns of that time: two
-	// of them were two messages too many in 4 s.
+	// maxReturnDelay is how long after its reserved time a permit may be returned: about the time that a
+	// message travels. Slots returned later would add to the current ones.
 	maxReturnDelay = 20 * time.Millisecond
-	// unansweredRetryIn is the advice to requests that find none.
+	// unansweredRetryIn is the delay for requests refused without a leader.
 	unansweredRetryIn = 500 * time.Millisecond
 )
 
@@ -34,7 +32,7 @@
 	sourceUnanswered = "unanswered"
 )
 
-// permitRequest is a question for a permit, or the word that a message goes without one.
+// permitRequest asks for a permit, or reports a message that is sent without one.
 type permitRequest struct {
 	id      uint64
 	request permit.Request
@@ -48,17 +46,17 @@
 	}}
 }
 
-// Permit is the permission for one message to a replica with a limit. It implements core.ReplicaPermit.
+// Permit allows one message to a rate-limited replica. It implements core.ReplicaPermit.
 type Permit struct {
 	client     *Client
 	replica    fleet.Incarnation
-	reservedAt time.Time // by when the answer was read, which is no earlier than the owner's
-	expiresAt  time.Time // when it is good for nothing any more; by when the question was made
+	reservedAt time.Time // counted from the answer, so not before the leader's reservation
+	expiresAt  time.Time // counted from the request
 	source     string
 	fence      int64
 
 	mutex    sync.Mutex
-	consumed bool // used, or given back
+	consumed bool // used or returned
 }
 
 // In implements core.ReplicaPermit.
@@ -67,10 +65,9 @@
 // Source implements core.ReplicaPermit.
 func (p *Permit) Source() string { return p.source }
 
-// Use implements fleet.Permit. A permit that a process finds after it stood still is good for nothing:
-// the replica had the turn, and has others now. Its life counts from the question, since the answer may
-// have waited: what is written then comes within the life of the owner's turn. Counted from the answer,
-// messages came up to 0.3 s later, and one more than the limit allows in 4 s.
+// Use implements fleet.Permit. A permit expires so that a paused process does not send late, in
+// addition to the messages of later slots. Its validity counts from the request, since the answer
+// may have been delayed.
 func (p *Permit) Use() bool {
 	if p.client.Now().After(p.expiresAt) {
 		return false
@@ -96,12 +93,12 @@
 	defer c.mutex.Unlock()
 	if c.isConnected && p.fence == c.fence {
 		c.outbox.unusedPermits = append(c.outbox.unusedPermits, p.replica)
-		c.signal() // others wait for the turn
+		c.signal() // other requests may use the slot
 	}
 }
 
-// AskPermit implements core.ReplicaPermits: it asks the holder, and uses this daemon's own share of the
-// limit where none has answered for long.
+// AskPermit implements core.ReplicaPermitter. It asks the leader and falls back on this daemon's local
+// share if no leader has answered for fallbackDelay.
 func (c *Client) AskPermit(ctx context.Context, request permit.Request) (core.ReplicaPermit, core.NoTurn) {
 	for deadline := time.Now().Add(min(request.MaxWait, leaderWaitTimeout)); ; {
 		answer, answered := c.sendToLeader(ctx, c.permitRequest(request))
@@ -118,7 +115,7 @@
 	}
 }
 
-// permitRequest is the question for a permit.
+// permitRequest returns the request to the leader for a permit.
 func (c *Client) permitRequest(request permit.Request) leaderRequest {
 	return leaderRequest{
 		enqueue: func(now time.Time) uint64 {
@@ -127,11 +124,11 @@
 			c.outbox.permits = append(c.outbox.permits, queued)
 			return queued.id
 		},
-		returnGrant: func(leaderAnswer) {}, // its turn has passed meanwhile, or soon will have
+		returnGrant: func(leaderAnswer) {}, // the reserved time has passed or soon will
 	}
 }
 
-// granted makes the permit of an answer, or tells when to ask again.
+// newPermit converts an answer to a permit, or to the reason for its refusal.
 func (c *Client) newPermit(request permit.Request, source string, answer permit.Answer, received leaderAnswer) (core.ReplicaPermit, core.NoTurn) {
 	if !answer.Granted {
 		c.countPermit(source, "refused")
@@ -144,8 +141,8 @@
 	}, core.NoTurn{}
 }
 
-// requestLocally takes a turn of this daemon's own share; alone tells whether it may. A holder that knows
-// nothing of permits, since it runs an earlier version, is as good as none.
+// requestLocally requests a permit from this daemon's local share; allowed tells whether it may use
+// that. A leader of a version without permits counts as none.
 func (c *Client) requestLocally(request permit.Request, leaderAnswered bool) (answer permit.Answer, allowed bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -160,7 +157,8 @@
 	return c.localShares.Request(request, daemons, now), true
 }
 
-// Charge tells the holder that a message goes to a replica with a limit whether it has a turn or not.
+// Charge tells the leader about a message that is sent to a rate-limited replica regardless of the
+// limit.
 func (c *Client) Charge(replica fleet.Incarnation, perSecond float64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/limiter/permits_test.go
+++ b/limiter/permits_test.go
@@ -20,13 +20,14 @@
 	"github.com/finchspoke/finchspoke/transport"
 )
 
-// owner is a daemon that hands out permits; the test says what it knows.
+// permitLeader is a leader that grants permits; the test controls its term and the share of
+// reachable daemons.
 type permitLeader struct {
 	*Server
 	*term
-	address string
-	reached atomic.Int64 // percent
-	first   bool
+	address          string
+	reachablePercent atomic.Int64
+	first            bool
 }
 
 func startPermitLeader(t *testing.T, first bool) *permitLeader {
@@ -35,10 +36,10 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	leader := &permitLeader{term: &term{fence: 1, status: election.Sure}, address: listener.Addr().String(), first: first}
-	leader.reached.Store(100)
+	leader.reachablePercent.Store(100)
 	leader.Server = &Server{
 		Bounds: testBounds, Table: &routing.Store{}, Term: leader.get, IsFirstTerm: func() bool { return first },
-		Reached: func() float64 { return float64(leader.reached.Load()) / 100 }, Log: log,
+		Reached: func() float64 { return float64(leader.reachablePercent.Load()) / 100 }, Log: log,
 	}
 	server := transport.NewServer(listener)
 	require.NoError(t, rpc.DRPCRegisterQuotas(server.Mux(), leader.Server))
@@ -52,7 +53,7 @@
 	return permit.Request{Replica: fleet.Incarnation{ID: "r1", Born: 1000}, PerSecond: perSecond, MaxWait: maxWait}
 }
 
-// connected returns a client that the holder answers.
+// startConnectedClient returns a client that has received an answer from the leader.
 func startConnectedClient(t *testing.T, address string) *Client {
 	t.Helper()
 	client := startClient(t, address)
@@ -70,7 +71,7 @@
 		require.NotNil(t, granted)
 		require.Equal(t, sourceLeader, granted.Source())
 		reservations = append(reservations, granted.(*Permit).reservedAt)
-		require.LessOrEqual(t, granted.(*Permit).expiresAt.Sub(granted.(*Permit).reservedAt), permit.Validity, "its life counts from the question")
+		require.LessOrEqual(t, granted.(*Permit).expiresAt.Sub(granted.(*Permit).reservedAt), permit.Validity, "the validity counts from the request")
 	}
 	require.InDelta(t, 0.75, reservations[3].Sub(reservations[0]).Seconds(), 0.1)
 	require.GreaterOrEqual(t, leader.PendingReservations(), 2)
@@ -80,7 +81,7 @@
 	_, later := second.AskPermit(t.Context(), newPermitRequest(4, 0))
 	require.Greater(t, later.RetryIn, denial.RetryIn)
 	taken, _ := leader.TakeTurn(request)
-	require.False(t, taken, "the holder's own messages wait for a free turn")
+	require.False(t, taken, "the leader's own messages need a free slot")
 }
 
 func TestPermitIsUsableOnceUntilItExpires(t *testing.T) {
@@ -99,32 +100,32 @@
 	unused.Return()
 	unused.Return()
 	require.False(t, unused.Use())
-	used := requestPermit() // it was given back
+	used := requestPermit() // unused was returned
 	require.True(t, used.Use())
 	require.False(t, used.Use())
 	used.Return()
 	none, _ := client.AskPermit(t.Context(), newPermitRequest(0.05, 0))
-	require.Nil(t, none, "what was used is not given back")
+	require.Nil(t, none, "a used permit is not returned")
 	used.(*Permit).consumed = false
 	used.(*Permit).expiresAt = time.Now().Add(-time.Millisecond)
-	require.False(t, used.Use(), "its process stood still")
+	require.False(t, used.Use(), "the permit has expired")
 }
 
 func TestLeaderGrantsShareOfReachableDaemons(t *testing.T) {
 	leader := startPermitLeader(t, true)
 	client := startConnectedClient(t, leader.address)
-	leader.reached.Store(50)
+	leader.reachablePercent.Store(50)
 	_, _ = client.AskPermit(t.Context(), newPermitRequest(1, 0))
 	_, denial := client.AskPermit(t.Context(), newPermitRequest(1, 0))
 	require.InDelta(t, 2, denial.RetryIn.Seconds(), 0.1)
 	leader.set(1, election.Blind)
 	_, denial = client.AskPermit(t.Context(), newPermitRequest(1, 0))
-	require.Greater(t, denial.RetryIn, 2*time.Second, "it goes on without the key-value service")
+	require.Greater(t, denial.RetryIn, 2*time.Second, "the leader continues without the key-value service")
 	leader.set(1, election.Unsure)
 	refused, denial := client.AskPermit(t.Context(), newPermitRequest(1, time.Second))
-	require.Nil(t, refused, "another may have begun")
+	require.Nil(t, refused, "another leader may exist")
 	require.Equal(t, uncertainRetryIn, denial.RetryIn)
-	leader.reached.Store(0)
+	leader.reachablePercent.Store(0)
 	taken, _ := leader.TakeTurn(newPermitRequest(1, 0))
 	require.False(t, taken)
 }
@@ -153,7 +154,7 @@
 	}, 5*time.Second, time.Millisecond)
 }
 
-// At first a daemon without a holder waits for the next; then it uses its own share.
+// A daemon without a leader first waits for a new one, then uses its local share.
 func TestDaemonFallsBackToLocalShareWithoutLeader(t *testing.T) {
 	leader := startPermitLeader(t, true)
 	client := startConnectedClient(t, leader.address)
@@ -173,7 +174,7 @@
 	client.lastAnswerAt = client.lastAnswerAt.Add(-fallbackDelay)
 	client.mutex.Unlock()
 	refused, _ = client.AskPermit(t.Context(), request)
-	require.Nil(t, refused, "nobody knows how many share the limit")
+	require.Nil(t, refused, "the number of daemons is unknown")
 	daemons.Store(3)
 	granted, _ := client.AskPermit(t.Context(), request)
 	require.NotNil(t, granted)
@@ -182,7 +183,7 @@
 	require.False(t, granted.Use())
 }
 
-// The daemons of an earlier version answer that they know no such tenant.
+// A leader of an earlier version answers permit requests with an unknown tenant.
 func TestLeaderWithoutPermitSupportCausesFallback(t *testing.T) {
 	leader := startPermitLeader(t, true)
 	client := startConnectedClient(t, leader.address)
@@ -191,20 +192,20 @@
 	require.True(t, allowed)
 	require.True(t, local.Granted)
 	_, allowed = client.requestLocally(newPermitRequest(1000, time.Second), false)
-	require.False(t, allowed, "it was there just now")
+	require.False(t, allowed, "the leader answered recently")
 }
 
 func TestInvalidPermitRequestsAreRefused(t *testing.T) {
 	leader := startPermitLeader(t, true)
 	leader.Begin()
-	for _, asked := range []*rpc.PermitQuestion{{}, {PerSecond: -1}, {PatienceMs: -5}} {
-		require.False(t, leader.answerPermit(7, asked, election.Sure, time.Now()).GetGranted())
+	for _, invalid := range []*rpc.PermitQuestion{{}, {PerSecond: -1}, {PatienceMs: -5}} {
+		require.False(t, leader.answerPermit(7, invalid, election.Sure, time.Now()).GetGranted())
 	}
 	leader.ledger.RecordContact("d1", time.Now())
 	leader.pacer.Return(fleet.Incarnation{})
 }
 
-// A turn that passed unused is lost: given out again, it would come beside the turns of that time.
+// A slot that has passed unused must not be granted again: it would add to the current ones.
 func TestPassedReservationIsNotReturned(t *testing.T) {
 	leader := startPermitLeader(t, true)
 	client := startConnectedClient(t, leader.address)
@@ -215,7 +216,7 @@
 	request := client.permitRequest(newPermitRequest(1, 0))
 	id := request.enqueue(time.Now())
 	client.account.Abandon(id)
-	client.applyAnswer(quota.Answer{ID: id, Granted: true}, time.Now()) // the answer came late
+	client.applyAnswer(quota.Answer{ID: id, Granted: true}, time.Now()) // a late answer
 	client.mutex.Unlock()
 	granted.Return()
 	client.mutex.Lock()
@@ -225,7 +226,7 @@
 	client.outbox = outbox{}
 }
 
-// A thousand daemons keep no streams to the holder for limits that were lifted.
+// Daemons must not keep streams to the leader after the last limit is gone.
 func TestUnusedStreamIsClosed(t *testing.T) {
 	leader := startPermitLeader(t, true)
 	var limited, elapsed atomic.Int64
@@ -240,7 +241,7 @@
 	require.Eventually(t, client.LeaderResponsive, 5*time.Second, time.Millisecond)
 	limited.Store(0)
 	time.Sleep(3 * reconnectDelay)
-	require.True(t, client.LeaderResponsive(), "a limit may be named again")
+	require.True(t, client.LeaderResponsive(), "a limit may be set again soon")
 	elapsed.Store(int64(unusedStreamTimeout))
 	require.Eventually(t, func() bool { return !client.LeaderResponsive() }, 5*time.Second, time.Millisecond)
 	limited.Store(1)
--- a/limiter/server.go
+++ b/limiter/server.go
@@ -1,7 +1,5 @@
-// Package limiter keeps tenants within their limits, and requests to replicas within those that the
-// replicas name, over all daemons: the holder of load orders answers for each request whether it is
-// within its tenant's limit, or whether the replica has a turn for it, and daemons ask it. What is
-// decided is in packages quota and permit.
+// Package limiter enforces the limits of tenants and replicas across all daemons. Daemons ask the
+// leader, which decides with packages quota and permit.
 package limiter
 
 import (
@@ -19,32 +17,32 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// Server answers daemons while this one holds the term. It implements
+// Server answers the requests of daemons while this daemon is the leader. It implements
 // rpc.DRPCQuotasServer.
 type Server struct {
 	Bounds quota.Bounds
 	Table  *routing.Store
-	// Term returns the fence of this daemon's term, and how sure it is.
+	// Term returns the fence of this daemon's term, zero if it has none, and how certain the term is.
 	Term func() (fence int64, status election.Standing)
-	// First tells that no daemon can have held the term before.
+	// IsFirstTerm reports whether there can have been no leader before.
 	IsFirstTerm func() bool
-	// Now is the clock of credit and limits; nil: time.Now.
+	// Now is the clock for credit and limits; nil means time.Now.
 	Now func() time.Time
-	// Reached returns the share of all daemons that reach this one, as the holder of load orders; nil: all.
+	// Reached returns the share of all daemons that are connected to this leader; nil means all.
 	Reached func() float64
-	// LimitOf returns the limit of a replica, as far as this daemon knows; zero: none. nil: it knows none.
+	// LimitOf returns the rate limit of a replica, or zero if this daemon knows of none; it may be nil.
 	LimitOf func(replica string) float64
 	Log     logrus.FieldLogger
 
 	mutex   sync.Mutex
 	ledger  *quota.Ledger
 	pacer   *permit.Pacer
-	fence   int64 // of the term that the ledger belongs to
-	version int64 // of the table that its limits are from
+	fence   int64 // term of the ledger
+	version int64 // table version of the ledger's limits
 }
 
-// errNotLeader ends the streams of daemons that must ask another one.
-var errNotLeader = errors.New("this daemon does not hold the term; ask the holder of load orders")
+// errNotLeader closes the streams of daemons that must connect to another leader.
+var errNotLeader = errors.New("this daemon is not the leader; connect to the current leader")
 
 // Borrow implements rpc.DRPCQuotasServer.
 func (s *Server) Borrow(stream rpc.DRPCQuotas_BorrowStream) error {
@@ -75,13 +73,12 @@
 	return s.Now()
 }
 
-// take takes in a message of a process and answers its questions; fence is that of the term
-// in which the stream began, zero for its first message.
+// handle applies a message of a process and answers its requests. fence is that of the term in which
+// the stream began, zero for its first message.
 func (s *Server) handle(process string, fence int64, message *rpc.QuotaQuestions, now time.Time) (*rpc.QuotaAnswers, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	// The lease is looked at under the mutex, so that nothing is granted after a pause in
-	// which it ran out.
+	// Checked under the mutex, so that nothing is granted if the lease expired while waiting for it.
 	term, status := s.Term()
 	uncertain := status == election.Blind || status == election.Unsure
 	if term == 0 || fence != 0 && fence != term || uncertain && term != s.fence {
@@ -111,8 +108,8 @@
 	}
 	answers := &rpc.QuotaAnswers{Fence: term, CallIn: uncertain}
 	for _, question := range message.GetQuestions() {
-		if asked := question.GetPermit(); asked != nil {
-			answers.Answers = append(answers.Answers, s.answerPermit(question.GetId(), asked, status, now))
+		if permitQuestion := question.GetPermit(); permitQuestion != nil {
+			answers.Answers = append(answers.Answers, s.answerPermit(question.GetId(), permitQuestion, status, now))
 			continue
 		}
 		answer := answer(process, quota.Request{ID: question.GetId(), Tenant: question.GetTenant(), Cost: question.GetCost()}, now)
@@ -132,7 +129,8 @@
 	return credits
 }
 
-// refresh makes the ledger that of the present term and table; the mutex is held.
+// refresh creates the ledger of a new term and applies the current limits. The caller holds the
+// mutex.
 func (s *Server) refresh(term int64, now time.Time) {
 	if s.ledger == nil || term != s.fence {
 		first := s.ledger == nil && s.IsFirstTerm()
--- a/limiter/suspended_test.go
+++ b/limiter/suspended_test.go
@@ -11,8 +11,8 @@
 	"github.com/finchspoke/finchspoke/boottime"
 )
 
-// A machine that was suspended must not use credit that its holder counts as lapsed: the
-// monotonic clock stood still meanwhile.
+// The monotonic clock stops while a machine is suspended. Credit that the leader counts as expired
+// must not be used after the resume.
 func TestCreditExpiresWhileMachineIsSuspended(t *testing.T) {
 	tenant := testTenant(1000)
 	leaderTerm, address := startLeader(t, tenant)
@@ -24,8 +24,8 @@
 	client.Prepare()
 	go func() { _ = client.Serve(t.Context()) }()
 	awaitAdmit(t, client, tenant)
-	require.Positive(t, client.Credit(), "lent ahead with the answer")
-	leaderTerm.set(0, 0) // the holder is lost
+	require.Positive(t, client.Credit(), "granted with the answer")
+	leaderTerm.set(0, 0) // the leader is lost
 	suspended.Store(int64(2 * testBounds.Window))
 	require.Zero(t, client.Credit())
 	require.False(t, client.useCredit(tenant.Name, 1))
