--- a/quota/limit.go
+++ b/quota/limit.go
@@ -1,9 +1,7 @@
-// Package quota keeps each tenant's usage across all daemons within a limit. It has no clock and no
-// I/O.
-//
-// The leader keeps a Ledger with a token bucket per tenant; daemons ask it to admit each request. It
-// also grants prepaid credit that daemons may spend while there is no leader. Unexpired credit
-// counts as used, so that the limit holds across crashes, partitions and pauses.
+// Package quota keeps each tenant's usage across all daemons within a limit, without a clock or I/O.
+// The leader's Ledger admits requests by a token bucket per tenant. It also grants daemons credit, a
+// prepaid allowance to spend while there is no leader. Unexpired credit counts as used, so that the
+// limit holds across crashes, partitions and pauses.
 package quota
 
 import "time"
