--- a/limiter/admit.go
+++ b/limiter/admit.go
@@ -38,7 +38,7 @@
 // Return implements core.Permit.
 func (unlimited) Return() {}
 
-// Admit implements core.TenantLimiter. It asks the leader, falls back on prepaid credit if the leader does
+// Admit implements core.Limits. It asks the leader, falls back on prepaid credit if the leader does
 // not answer, and otherwise waits up to maxWait for a leader.
 func (c *Client) Admit(ctx context.Context, tenant *routing.Tenant, tokens int, maxWait time.Duration) (core.Permit, *failure.Error) {
 	if tenant.Limit.Unlimited() {
--- a/limiter/client.go
+++ b/limiter/client.go
@@ -39,7 +39,7 @@
 // rate-limited replicas. It is a suture service.
 type Client struct {
 	Bounds quota.Bounds
-	// Holder returns the address of the leader, or an empty string if it is unknown.
+	// Returns the address of the leader, or an empty string if it is unknown.
 	Holder func() string
 	// HasLimits reports whether any tenant or replica has a limit; nil means that one has. Without
 	// limits the client keeps no stream to the leader.
--- a/limiter/permits.go
+++ b/limiter/permits.go
@@ -59,7 +59,7 @@
 	consumed bool // used or returned
 }
 
-// In implements core.ReplicaPermit.
+// Delay implements core.ReplicaPermit.
 func (p *Permit) In() time.Duration { return max(0, p.reservedAt.Sub(p.client.Now())) }
 
 // Source implements core.ReplicaPermit.
