--- a/core/gate_test.go
+++ b/core/gate_test.go
@@ -21,7 +21,7 @@
 	asked  int
 }
 
-func (g *switchGate) Owner(callers.KeyHash) (*routing.Tenant, *failure.Error) {
+func (g *switchGate) ResolveTenant(callers.KeyHash) (*routing.Tenant, *failure.Error) {
 	g.asked++
 	if g.closed {
 		return nil, failure.New(failure.Unauthenticated, "check the key", "the API key is not known")
--- a/core/lifecycle.go
+++ b/core/lifecycle.go
@@ -65,7 +65,7 @@
 
 // After takes in the result of a dispatch. budget is asked for permission to
 // retry, only if a retry is otherwise allowed and the replicas would notice it.
-func (l *Lifecycle) After(now time.Time, result Result, budget func() bool) Verdict {
+func (l *Lifecycle) RecordResult(now time.Time, result Result, budget func() bool) Verdict {
 	if result != NotWritten {
 		l.dispatches++
 	}
--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -27,11 +27,11 @@
 	return failure.New(failure.Quarantined, "send another", "replicas ended").WithRetryAfter(time.Hour)
 }
 
-func (q *countedQuarantine) Broke(context.Context, fleet.Incarnation, string, quarantine.Fingerprint) {
+func (q *countedQuarantine) ConnectionBroken(context.Context, fleet.Incarnation, string, quarantine.Fingerprint) {
 	q.broken++
 }
 
-func (q *countedQuarantine) Left(fleet.Incarnation, string, quarantine.Fingerprint) { q.left++ }
+func (q *countedQuarantine) Abandoned(fleet.Incarnation, string, quarantine.Fingerprint) { q.left++ }
 
 func (q *countedQuarantine) Served(quarantine.Fingerprint) { q.served++ }
 
--- a/core/replicalimit_test.go
+++ b/core/replicalimit_test.go
@@ -23,14 +23,14 @@
 	returned int
 }
 
-func (p *scriptPermits) AskPermit(_ context.Context, ask permit.Request) (ReplicaPermit, NoTurn) {
+func (p *scriptPermits) RequestPermit(_ context.Context, ask permit.Request) (ReplicaPermit, PermitDenial) {
 	p.asked = append(p.asked, ask)
 	in := p.in[0]
 	p.in = p.in[1:]
 	if in < 0 {
-		return nil, NoTurn{RetryIn: -in, Source: "holder"}
+		return nil, PermitDenial{RetryIn: -in, Source: "holder"}
 	}
-	return &countedPermit{modelPermit: modelPermit{turn: time.Now().Add(in)}, permits: p}, NoTurn{}
+	return &countedPermit{modelPermit: modelPermit{turn: time.Now().Add(in)}, permits: p}, PermitDenial{}
 }
 
 // countedPermit counts what is given back.
@@ -49,14 +49,14 @@
 func (s *setup) limitReplicas(permits *scriptPermits, ids ...string) {
 	s.core.Permits = permits
 	for _, id := range ids {
-		s.core.Fleet.HearLimit(fleet.Notice{Replica: id, Limit: fleet.LimitNamed, PerSecond: 2}, time.Now())
+		s.core.Fleet.ApplyLimitHint(fleet.Hint{Replica: id, Limit: fleet.LimitGiven, PerSecond: 2}, time.Now())
 	}
 }
 
 // usingPermits answers as the replica does to whoever has a permit.
 func usingPermits(ctx context.Context, dispatch Dispatch) (*Reply, error) {
 	if dispatch.Permit == nil || !dispatch.Permit.Use() {
-		return nil, &SendError{Cause: fleet.ErrLimited}
+		return nil, &SendError{Cause: fleet.ErrRateLimited}
 	}
 	return reply(200, "data: 1\n\n", false)(ctx, dispatch)
 }
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -45,7 +45,7 @@
 		if dispatched.rejection != nil {
 			return dispatched.rejection, life.Execution()
 		}
-		next := life.After(time.Now(), dispatched.result, s.budget.Spend)
+		next := life.RecordResult(time.Now(), dispatched.result, s.budget.Withdraw)
 		if next.Done {
 			return nil, life.Execution()
 		}
--- a/limiter/bench_test.go
+++ b/limiter/bench_test.go
@@ -22,10 +22,10 @@
 		b.Run(fmt.Sprintf("%d daemons", daemons), func(b *testing.B) {
 			log, _ := test.NewNullLogger()
 			leader := &Server{
-				Bounds: testBounds, Table: &routing.Store{}, Term: func() (int64, election.Standing) { return 1, election.Sure },
+				Bounds: testBounds, Table: &routing.Store{}, Term: func() (int64, election.TermStatus) { return 1, election.TermValid },
 				IsFirstTerm: func() bool { return true }, Reached: func() float64 { return 1 }, LimitOf: func(string) float64 { return 1 }, Log: log,
 			}
-			leader.Begin()
+			leader.BeginTerm()
 			now := time.Now()
 			requestBytes, answerBytes := 0, 0
 			for number := 0; b.Loop(); number++ {
--- a/limiter/client.go
+++ b/limiter/client.go
@@ -40,7 +40,7 @@
 type Client struct {
 	Bounds quota.Bounds
 	// Returns the address of the leader, or an empty string if it is unknown.
-	Holder func() string
+	Leader func() string
 	// HasLimits reports whether any tenant or replica has a limit; nil means that one has. Without
 	// limits the client keeps no stream to the leader.
 	HasLimits func() bool
@@ -115,7 +115,7 @@
 		if !hasLimits {
 			c.recordNoLimits()
 		}
-		if address := c.Holder(); address != "" && hasLimits {
+		if address := c.Leader(); address != "" && hasLimits {
 			answered, err := c.runStream(ctx, address)
 			if answered {
 				delay = reconnectDelay
@@ -215,7 +215,7 @@
 
 // checkStream returns why the stream to an address should be closed, or nil.
 func (c *Client) checkStream(address string) error {
-	if c.Holder() != address {
+	if c.Leader() != address {
 		return errLeaderChanged
 	}
 	c.mutex.Lock()
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -26,16 +26,16 @@
 type term struct {
 	mutex  sync.Mutex
 	fence  int64
-	status election.Standing
+	status election.TermStatus
 }
 
-func (t *term) get() (int64, election.Standing) {
+func (t *term) get() (int64, election.TermStatus) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.fence, t.status
 }
 
-func (t *term) set(fence int64, status election.Standing) {
+func (t *term) set(fence int64, status election.TermStatus) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.fence, t.status = fence, status
@@ -48,7 +48,7 @@
 	require.NoError(t, err)
 	routes := &routing.Store{}
 	routes.Put(table)
-	leaderTerm = &term{fence: 1, status: election.Sure}
+	leaderTerm = &term{fence: 1, status: election.TermValid}
 	log, _ := test.NewNullLogger()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -63,7 +63,7 @@
 func startClient(t *testing.T, address string) *Client {
 	t.Helper()
 	log, _ := test.NewNullLogger()
-	client := &Client{Bounds: testBounds, Holder: func() string { return address }, Log: log}
+	client := &Client{Bounds: testBounds, Leader: func() string { return address }, Log: log}
 	client.Prepare()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -137,7 +137,7 @@
 	leaderTerm, address := startLeader(t, tenant)
 	client := startClient(t, address)
 	awaitAdmit(t, client, tenant)
-	leaderTerm.set(0, election.None)
+	leaderTerm.set(0, election.NoTerm)
 	admitted := 0
 	require.Eventually(t, func() bool {
 		_, failed := admit(t, client, tenant)
@@ -154,11 +154,11 @@
 func TestUncertainLeaderGrantsNothing(t *testing.T) {
 	tenant := testTenant(1000)
 	leaderTerm, address := startLeader(t, tenant)
-	leaderTerm.set(1, election.Blind)
+	leaderTerm.set(1, election.TermStoreUnreachable)
 	client := startClient(t, address)
 	_, failed := client.Admit(t.Context(), tenant, 0, 300*time.Millisecond)
 	require.Equal(t, failure.LimitUnknown, failed.Kind)
-	leaderTerm.set(1, election.Sure)
+	leaderTerm.set(1, election.TermValid)
 	awaitAdmit(t, client, tenant)
 }
 
@@ -166,9 +166,9 @@
 func TestRequestWaitsForNextLeader(t *testing.T) {
 	tenant := testTenant(1000)
 	leaderTerm, address := startLeader(t, tenant)
-	leaderTerm.set(0, election.None)
+	leaderTerm.set(0, election.NoTerm)
 	client := startClient(t, address)
-	time.AfterFunc(100*time.Millisecond, func() { leaderTerm.set(2, election.Sure) })
+	time.AfterFunc(100*time.Millisecond, func() { leaderTerm.set(2, election.TermValid) })
 	_, failed := client.Admit(t.Context(), tenant, 0, 5*time.Second)
 	require.Nil(t, failed)
 }
@@ -216,12 +216,12 @@
 
 // While the lease is uncertain another leader may exist, so only recalled credit may be granted.
 func TestUncertainLeaderRecallsCreditAndGrantsNoMore(t *testing.T) {
-	leaderTerm := &term{fence: 1, status: election.Sure}
+	leaderTerm := &term{fence: 1, status: election.TermValid}
 	server := newServer(t, leaderTerm, testTenant(1000))
 	credit := mustHandle(t, server, 0, admissionRequest(100)).GetAnswers()[0].GetAhead()
 	require.Positive(t, credit)
 
-	leaderTerm.set(1, election.Blind)
+	leaderTerm.set(1, election.TermStoreUnreachable)
 	answers := mustHandle(t, server, 1, admissionRequest(1))
 	require.True(t, answers.GetCallIn())
 	require.False(t, answers.GetAnswers()[0].GetGranted())
@@ -230,17 +230,17 @@
 	require.True(t, mustHandle(t, server, 1, returned).GetAnswers()[0].GetGranted())
 	require.False(t, mustHandle(t, server, 1, admissionRequest(1)).GetAnswers()[0].GetGranted())
 
-	leaderTerm.set(1, election.Sure)
+	leaderTerm.set(1, election.TermValid)
 	answers = mustHandle(t, server, 1, admissionRequest(1))
 	require.False(t, answers.GetCallIn())
 	require.True(t, answers.GetAnswers()[0].GetGranted())
 }
 
 func TestOnlyFirstTermStartsWithFullBucket(t *testing.T) {
-	leaderTerm := &term{fence: 1, status: election.Sure}
+	leaderTerm := &term{fence: 1, status: election.TermValid}
 	server := newServer(t, leaderTerm, testTenant(1000))
 	require.True(t, mustHandle(t, server, 0, admissionRequest(100)).GetAnswers()[0].GetGranted())
-	leaderTerm.set(2, election.Sure)
+	leaderTerm.set(2, election.TermValid)
 	_, err := server.handle("p", 1, admissionRequest(100), time.Now())
 	require.ErrorIs(t, err, errNotLeader, "the stream belongs to an earlier term")
 	require.False(t, mustHandle(t, server, 0, admissionRequest(100)).GetAnswers()[0].GetGranted())
--- a/limiter/owner.go
+++ b/limiter/owner.go
@@ -14,16 +14,16 @@
 
 // BeginTerm creates the ledger and the pacer as soon as a term begins, so that the wait for the
 // predecessor's reservations counts from then, not from the first request.
-func (s *Server) Begin() {
+func (s *Server) BeginTerm() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if term, status := s.Term(); term != 0 && status == election.Sure {
+	if term, status := s.Term(); term != 0 && status == election.TermValid {
 		s.refresh(term, s.now())
 	}
 }
 
-// TakeTurn reserves a free slot for a message of the leader itself.
-func (s *Server) TakeTurn(request permit.Request) (taken bool, retryIn time.Duration) {
+// TryReserve reserves a free slot for a message of the leader itself.
+func (s *Server) TryReserve(request permit.Request) (taken bool, retryIn time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	term, status := s.Term()
@@ -49,12 +49,12 @@
 // reserve asks the pacer for a reservation; the caller holds the mutex. It grants only the share of
 // the daemons that reach this leader, so that two leaders with overlapping terms together stay
 // within the limit.
-func (s *Server) reserve(request permit.Request, status election.Standing, now time.Time) permit.Answer {
+func (s *Server) reserve(request permit.Request, status election.TermStatus, now time.Time) permit.Answer {
 	reached := 1.0
 	if s.Reached != nil {
 		reached = s.Reached()
 	}
-	if status == election.Unsure || reached <= 0 {
+	if status == election.TermUncertain || reached <= 0 {
 		return permit.Answer{RetryIn: uncertainRetryIn}
 	}
 	return s.pacer.Request(s.withKnownRate(request), reached, now)
@@ -72,7 +72,7 @@
 }
 
 // answerPermit answers a permit request; the caller holds the mutex.
-func (s *Server) answerPermit(id uint64, question *rpc.PermitQuestion, status election.Standing, now time.Time) *rpc.QuotaAnswer {
+func (s *Server) answerPermit(id uint64, question *rpc.PermitQuestion, status election.TermStatus, now time.Time) *rpc.QuotaAnswer {
 	request := permit.Request{
 		Replica: question.GetReplica().Incarnation(), PerSecond: question.GetPerSecond(),
 		Priority: int(question.GetPriority()), MaxWait: time.Duration(question.GetPatienceMs()) * time.Millisecond,
--- a/limiter/permits.go
+++ b/limiter/permits.go
@@ -60,7 +60,7 @@
 }
 
 // Delay implements core.ReplicaPermit.
-func (p *Permit) In() time.Duration { return max(0, p.reservedAt.Sub(p.client.Now())) }
+func (p *Permit) Delay() time.Duration { return max(0, p.reservedAt.Sub(p.client.Now())) }
 
 // Source implements core.ReplicaPermit.
 func (p *Permit) Source() string { return p.source }
@@ -97,9 +97,9 @@
 	}
 }
 
-// AskPermit implements core.ReplicaPermitter. It asks the leader and falls back on this daemon's local
+// RequestPermit implements core.ReplicaPermitter. It asks the leader and falls back on this daemon's local
 // share if no leader has answered for fallbackDelay.
-func (c *Client) AskPermit(ctx context.Context, request permit.Request) (core.ReplicaPermit, core.NoTurn) {
+func (c *Client) RequestPermit(ctx context.Context, request permit.Request) (core.ReplicaPermit, core.PermitDenial) {
 	for deadline := time.Now().Add(min(request.MaxWait, leaderWaitTimeout)); ; {
 		answer, answered := c.sendToLeader(ctx, c.permitRequest(request))
 		if answered && !answer.Unknown {
@@ -110,7 +110,7 @@
 		}
 		if !c.awaitLeader(ctx, time.Until(deadline)) {
 			c.countPermit(sourceUnanswered, "refused")
-			return nil, core.NoTurn{RetryIn: unansweredRetryIn, Source: sourceUnanswered}
+			return nil, core.PermitDenial{RetryIn: unansweredRetryIn, Source: sourceUnanswered}
 		}
 	}
 }
@@ -129,16 +129,16 @@
 }
 
 // newPermit converts an answer to a permit, or to the reason for its refusal.
-func (c *Client) newPermit(request permit.Request, source string, answer permit.Answer, received leaderAnswer) (core.ReplicaPermit, core.NoTurn) {
+func (c *Client) newPermit(request permit.Request, source string, answer permit.Answer, received leaderAnswer) (core.ReplicaPermit, core.PermitDenial) {
 	if !answer.Granted {
 		c.countPermit(source, "refused")
-		return nil, core.NoTurn{RetryIn: answer.RetryIn, Source: source}
+		return nil, core.PermitDenial{RetryIn: answer.RetryIn, Source: source}
 	}
 	c.countPermit(source, "granted")
 	return &Permit{
 		client: c, replica: request.Replica, source: source, fence: received.fence,
 		reservedAt: c.Now().Add(answer.Delay), expiresAt: received.asked.Add(answer.Delay + permit.Validity),
-	}, core.NoTurn{}
+	}, core.PermitDenial{}
 }
 
 // requestLocally requests a permit from this daemon's local share; allowed tells whether it may use
--- a/limiter/permits_test.go
+++ b/limiter/permits_test.go
@@ -35,7 +35,7 @@
 	log, _ := test.NewNullLogger()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	leader := &permitLeader{term: &term{fence: 1, status: election.Sure}, address: listener.Addr().String(), first: first}
+	leader := &permitLeader{term: &term{fence: 1, status: election.TermValid}, address: listener.Addr().String(), first: first}
 	leader.reachablePercent.Store(100)
 	leader.Server = &Server{
 		Bounds: testBounds, Table: &routing.Store{}, Term: leader.get, IsFirstTerm: func() bool { return first },
@@ -67,7 +67,7 @@
 	request := newPermitRequest(4, time.Second)
 	var reservations []time.Time
 	for _, client := range []*Client{first, second, first, second} {
-		granted, _ := client.AskPermit(t.Context(), request)
+		granted, _ := client.RequestPermit(t.Context(), request)
 		require.NotNil(t, granted)
 		require.Equal(t, sourceLeader, granted.Source())
 		reservations = append(reservations, granted.(*Permit).reservedAt)
@@ -75,12 +75,12 @@
 	}
 	require.InDelta(t, 0.75, reservations[3].Sub(reservations[0]).Seconds(), 0.1)
 	require.GreaterOrEqual(t, leader.PendingReservations(), 2)
-	refused, denial := first.AskPermit(t.Context(), newPermitRequest(4, 0))
+	refused, denial := first.RequestPermit(t.Context(), newPermitRequest(4, 0))
 	require.Nil(t, refused)
 	require.InDelta(t, 1, denial.RetryIn.Seconds(), 0.15)
-	_, later := second.AskPermit(t.Context(), newPermitRequest(4, 0))
+	_, later := second.RequestPermit(t.Context(), newPermitRequest(4, 0))
 	require.Greater(t, later.RetryIn, denial.RetryIn)
-	taken, _ := leader.TakeTurn(request)
+	taken, _ := leader.TryReserve(request)
 	require.False(t, taken, "the leader's own messages need a free slot")
 }
 
@@ -90,13 +90,13 @@
 	requestPermit := func() core.ReplicaPermit {
 		var granted core.ReplicaPermit
 		require.Eventually(t, func() bool {
-			granted, _ = client.AskPermit(t.Context(), newPermitRequest(0.05, 0))
+			granted, _ = client.RequestPermit(t.Context(), newPermitRequest(0.05, 0))
 			return granted != nil
 		}, 5*time.Second, time.Millisecond)
 		return granted
 	}
 	unused := requestPermit()
-	require.Zero(t, unused.In())
+	require.Zero(t, unused.Delay())
 	unused.Return()
 	unused.Return()
 	require.False(t, unused.Use())
@@ -104,7 +104,7 @@
 	require.True(t, used.Use())
 	require.False(t, used.Use())
 	used.Return()
-	none, _ := client.AskPermit(t.Context(), newPermitRequest(0.05, 0))
+	none, _ := client.RequestPermit(t.Context(), newPermitRequest(0.05, 0))
 	require.Nil(t, none, "a used permit is not returned")
 	used.(*Permit).consumed = false
 	used.(*Permit).expiresAt = time.Now().Add(-time.Millisecond)
@@ -115,28 +115,28 @@
 	leader := startPermitLeader(t, true)
 	client := startConnectedClient(t, leader.address)
 	leader.reachablePercent.Store(50)
-	_, _ = client.AskPermit(t.Context(), newPermitRequest(1, 0))
-	_, denial := client.AskPermit(t.Context(), newPermitRequest(1, 0))
+	_, _ = client.RequestPermit(t.Context(), newPermitRequest(1, 0))
+	_, denial := client.RequestPermit(t.Context(), newPermitRequest(1, 0))
 	require.InDelta(t, 2, denial.RetryIn.Seconds(), 0.1)
-	leader.set(1, election.Blind)
-	_, denial = client.AskPermit(t.Context(), newPermitRequest(1, 0))
+	leader.set(1, election.TermStoreUnreachable)
+	_, denial = client.RequestPermit(t.Context(), newPermitRequest(1, 0))
 	require.Greater(t, denial.RetryIn, 2*time.Second, "the leader continues without the key-value service")
-	leader.set(1, election.Unsure)
-	refused, denial := client.AskPermit(t.Context(), newPermitRequest(1, time.Second))
+	leader.set(1, election.TermUncertain)
+	refused, denial := client.RequestPermit(t.Context(), newPermitRequest(1, time.Second))
 	require.Nil(t, refused, "another leader may exist")
 	require.Equal(t, uncertainRetryIn, denial.RetryIn)
 	leader.reachablePercent.Store(0)
-	taken, _ := leader.TakeTurn(newPermitRequest(1, 0))
+	taken, _ := leader.TryReserve(newPermitRequest(1, 0))
 	require.False(t, taken)
 }
 
 func TestNewLeaderDelaysFromStartOfTerm(t *testing.T) {
 	leader := startPermitLeader(t, false)
-	leader.Begin()
+	leader.BeginTerm()
 	begun := time.Now()
 	client := startConnectedClient(t, leader.address)
 	time.Sleep(200 * time.Millisecond)
-	_, denial := client.AskPermit(t.Context(), newPermitRequest(2, 0))
+	_, denial := client.RequestPermit(t.Context(), newPermitRequest(2, 0))
 	require.InDelta(t, (permit.MaxReservationDelay + 500*time.Millisecond).Seconds(), (time.Since(begun) + denial.RetryIn).Seconds(), 0.05)
 }
 
@@ -161,22 +161,22 @@
 	var daemons atomic.Int64
 	client.Daemons = func() int { return int(daemons.Load()) }
 	request := newPermitRequest(1000, 10*time.Millisecond)
-	leader.set(0, election.None)
+	leader.set(0, election.NoTerm)
 	require.Eventually(t, func() bool {
-		none, _ := client.AskPermit(t.Context(), request)
+		none, _ := client.RequestPermit(t.Context(), request)
 		return none == nil
 	}, 5*time.Second, time.Millisecond)
-	refused, none := client.AskPermit(t.Context(), request)
+	refused, none := client.RequestPermit(t.Context(), request)
 	require.Nil(t, refused)
-	require.Equal(t, core.NoTurn{RetryIn: unansweredRetryIn, Source: sourceUnanswered}, none)
+	require.Equal(t, core.PermitDenial{RetryIn: unansweredRetryIn, Source: sourceUnanswered}, none)
 
 	client.mutex.Lock()
 	client.lastAnswerAt = client.lastAnswerAt.Add(-fallbackDelay)
 	client.mutex.Unlock()
-	refused, _ = client.AskPermit(t.Context(), request)
+	refused, _ = client.RequestPermit(t.Context(), request)
 	require.Nil(t, refused, "the number of daemons is unknown")
 	daemons.Store(3)
-	granted, _ := client.AskPermit(t.Context(), request)
+	granted, _ := client.RequestPermit(t.Context(), request)
 	require.NotNil(t, granted)
 	require.Equal(t, sourceLocalShare, granted.Source())
 	granted.Return()
@@ -197,9 +197,9 @@
 
 func TestInvalidPermitRequestsAreRefused(t *testing.T) {
 	leader := startPermitLeader(t, true)
-	leader.Begin()
+	leader.BeginTerm()
 	for _, invalid := range []*rpc.PermitQuestion{{}, {PerSecond: -1}, {PatienceMs: -5}} {
-		require.False(t, leader.answerPermit(7, invalid, election.Sure, time.Now()).GetGranted())
+		require.False(t, leader.answerPermit(7, invalid, election.TermValid, time.Now()).GetGranted())
 	}
 	leader.ledger.RecordContact("d1", time.Now())
 	leader.pacer.Return(fleet.Incarnation{})
@@ -209,7 +209,7 @@
 func TestPassedReservationIsNotReturned(t *testing.T) {
 	leader := startPermitLeader(t, true)
 	client := startConnectedClient(t, leader.address)
-	granted, _ := client.AskPermit(t.Context(), newPermitRequest(1, 0))
+	granted, _ := client.RequestPermit(t.Context(), newPermitRequest(1, 0))
 	require.NotNil(t, granted)
 	granted.(*Permit).reservedAt = time.Now().Add(-maxReturnDelay - time.Millisecond)
 	client.mutex.Lock()
@@ -232,7 +232,7 @@
 	var limited, elapsed atomic.Int64
 	limited.Store(1)
 	log, _ := test.NewNullLogger()
-	client := &Client{Bounds: testBounds, Holder: func() string { return leader.address }, HasLimits: func() bool { return limited.Load() == 1 },
+	client := &Client{Bounds: testBounds, Leader: func() string { return leader.address }, HasLimits: func() bool { return limited.Load() == 1 },
 		Now: func() time.Time { return time.Now().Add(time.Duration(elapsed.Load())) }, Log: log}
 	client.Prepare()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/limiter/server.go
+++ b/limiter/server.go
@@ -23,7 +23,7 @@
 	Bounds quota.Bounds
 	Table  *routing.Store
 	// Term returns the fence of this daemon's term, zero if it has none, and how certain the term is.
-	Term func() (fence int64, status election.Standing)
+	Term func() (fence int64, status election.TermStatus)
 	// IsFirstTerm reports whether there can have been no leader before.
 	IsFirstTerm func() bool
 	// Now is the clock for credit and limits; nil means time.Now.
@@ -80,7 +80,7 @@
 	defer s.mutex.Unlock()
 	// Checked under the mutex, so that nothing is granted if the lease expired while waiting for it.
 	term, status := s.Term()
-	uncertain := status == election.Blind || status == election.Unsure
+	uncertain := status == election.TermStoreUnreachable || status == election.TermUncertain
 	if term == 0 || fence != 0 && fence != term || uncertain && term != s.fence {
 		return nil, errNotLeader
 	}
--- a/loading/models.go
+++ b/loading/models.go
@@ -86,15 +86,15 @@
 	replica := best.place.replica
 	if len(best.victims) > 0 {
 		need.onWay++
-		p.give(replica, Order{Verb: Unload, Target: fleet.Target{Model: best.victims[0].name}, Takes: unloadTime,
+		p.give(replica, Order{Verb: Unload, Target: fleet.Target{Model: best.victims[0].name}, ExpectedDuration: unloadTime,
 			Reason: "room for " + need.model.Name, RoomFor: need.model.Name})
 		return
 	}
 	if best.origin == FromStore {
-		p.StoreLoads--
+		p.StoreLoadsAllowed--
 		p.fetching++
 	}
-	p.give(replica, Order{Verb: Load, Target: fleet.Target{Model: need.model.Name}, Origin: best.origin, Takes: best.takes, Reason: reason})
+	p.give(replica, Order{Verb: Load, Target: fleet.Target{Model: need.model.Name}, Origin: best.origin, ExpectedDuration: best.takes, Reason: reason})
 	need.addCopy(replica.Zone)
 	need.cached = true
 }
@@ -252,7 +252,7 @@
 			left -= known.MemoryMB + float64(len(adapters))*known.AdapterMemoryMB
 		}
 	}
-	for _, order := range replica.UnderWay {
+	for _, order := range replica.Pending {
 		known := p.engine.Models[order.Target.Model]
 		if order.Verb != Load || known == nil || replica.Holdings.Has(order.Target) {
 			continue
--- a/loading/place.go
+++ b/loading/place.go
@@ -86,7 +86,7 @@
 	for _, name := range one.replica.OnDisk {
 		p.indexKeeper(one, name, FromDisk)
 	}
-	for _, order := range one.replica.UnderWay {
+	for _, order := range one.replica.Pending {
 		if need := p.byName[order.Target.Model]; need != nil && order.Verb == Load {
 			need.cached = true
 		}
@@ -224,7 +224,7 @@
 				}
 			}
 		}
-		for _, order := range replica.UnderWay {
+		for _, order := range replica.Pending {
 			if order.Verb == Load && !order.ForModel() {
 				copies[order.Target]++
 			}
--- a/loading/search_test.go
+++ b/loading/search_test.go
@@ -45,14 +45,14 @@
 	switch rapid.IntRange(0, 4).Draw(t, "state") {
 	case 0:
 		target := fleet.Target{Model: drawName(t, "loading")}
-		drawn.Took(Order{Verb: Load, Target: target, Takes: time.Duration(rapid.IntRange(0, 4).Draw(t, "takes")) * second}, start)
+		drawn.MarkAccepted(Order{Verb: Load, Target: target, ExpectedDuration: time.Duration(rapid.IntRange(0, 4).Draw(t, "takes")) * second}, start)
 	case 1:
 		held := drawNames(t, 1, "unloading")
 		if len(held) > 0 {
-			drawn.Took(Order{Verb: Unload, Target: fleet.Target{Model: held[0]}, Takes: unloadTime, RoomFor: drawName(t, "room for")}, start)
+			drawn.MarkAccepted(Order{Verb: Unload, Target: fleet.Target{Model: held[0]}, ExpectedDuration: unloadTime, RoomFor: drawName(t, "room for")}, start)
 		}
 	case 2:
-		drawn.PromisedTo, drawn.PromisedUntil = drawName(t, "promised"), start.Add(second)
+		drawn.ReservedFor, drawn.ReservedUntil = drawName(t, "promised"), start.Add(second)
 	}
 	return drawn
 }
@@ -147,7 +147,7 @@
 				if one.promised == name {
 					promisers = append(promisers, one)
 				}
-				onWay := slices.ContainsFunc(one.replica.UnderWay, func(order UnderWay) bool { return order.Verb == Load && order.Target.Model == name })
+				onWay := slices.ContainsFunc(one.replica.Pending, func(order Pending) bool { return order.Verb == Load && order.Target.Model == name })
 				cached = cached || held || onWay || slices.Contains(one.replica.InMemory, name) || slices.Contains(one.replica.OnDisk, name)
 				kept = kept || !held && plainSource(one, need).origin != FromStore
 				require.Equal(t, plainSource(one, need), need.sourceOn(one))
