--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -41,7 +41,7 @@
 
 // dispatch sends the call to a replica and relays the answer.
 func (c *Core) dispatch(ctx context.Context, running *run, pick *fleet.Pick) dispatchOutcome {
-	stopRunning := c.Demand.Run(running.key())
+	stopRunning := c.Demand.BeginRun(running.key())
 	defer stopRunning()
 	running.lastID, running.pick = pick.ID, pick
 	try, cancel := c.tryContext(ctx, running)
--- a/core/permission.go
+++ b/core/permission.go
@@ -48,7 +48,7 @@
 			}
 		}()
 	}
-	c.Demand.Arrive(running.key())
+	c.Demand.RecordArrival(running.key())
 	c.budget(running.Service.Name).Earn()
 	return c.lead(ctx, running)
 }
--- a/core/wait.go
+++ b/core/wait.go
@@ -194,7 +194,7 @@
 		met := c.obstacleOf(running, miss, now)
 		decision := c.decide(running, met, now)
 		if waiting.begins(miss) {
-			waiting.stop = c.Demand.Wait(running.key(), now)
+			waiting.stop = c.Demand.BeginWait(running.key(), now)
 			c.noteWait(running, met, decision)
 		}
 		if !decision.wait {
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -186,7 +186,7 @@
 	log := quietLog()
 	made := map[string]*Election{}
 	for _, daemon := range daemons {
-		one := New(Config{Key: testKey, Daemon: daemon, Address: daemon + ":1", TTL: testTTL, Informed: func() bool { return informed[daemon] }}, view{store, daemon}, log)
+		one := New(Config{Key: testKey, Daemon: daemon, Address: daemon + ":1", TTL: testTTL, HasLeaderHistory: func() bool { return informed[daemon] }}, view{store, daemon}, log)
 		made[daemon] = one
 		store.told = append(store.told, one)
 	}
@@ -295,7 +295,7 @@
 		require.Equal(t, []string{"a"}, holders(made))
 		fence, _ := made["a"].Term()
 		require.Equal(t, store.pair.ModRevision, fence)
-		var holder Holder
+		var holder Leader
 		require.NoError(t, json.Unmarshal(store.pair.Value, &holder))
 		require.Equal(t, "a", holder.Daemon)
 	})
--- a/election/handover.go
+++ b/election/handover.go
@@ -104,7 +104,7 @@
 }
 
 // handOver replaces the term's record by one that offers the term, under the same lease.
-func (e *Election) handOver(ctx context.Context, term Holder, lease kv.LeaseID, handover Handover) error {
+func (e *Election) handOver(ctx context.Context, term Leader, lease kv.LeaseID, handover Handover) error {
 	term.Handover = &handover
 	result, err := e.store.Commit(ctx, e.replacing(term.Fence, term, lease))
 	if err == nil && !result.Succeeded {
--- a/estimate/estimate.go
+++ b/estimate/estimate.go
@@ -13,23 +13,23 @@
 )
 
 // Moving is a moving mean of times with their mean deviation. The zero value has seen none.
-type Moving struct {
-	seen            bool
+type Duration struct {
+	hasSamples      bool
 	mean, deviation float64 // seconds
 }
 
 // Add takes in a time.
-func (m *Moving) Add(took time.Duration) {
-	seconds := took.Seconds()
-	if !m.seen {
-		m.seen, m.mean, m.deviation = true, seconds, seconds/2
+func (d *Duration) Add(sample time.Duration) {
+	seconds := sample.Seconds()
+	if !d.hasSamples {
+		d.hasSamples, d.mean, d.deviation = true, seconds, seconds/2
 		return
 	}
-	m.deviation += deviationWeight * (math.Abs(seconds-m.mean) - m.deviation)
-	m.mean += meanWeight * (seconds - m.mean)
+	d.deviation += deviationWeight * (math.Abs(seconds-d.mean) - d.deviation)
+	d.mean += meanWeight * (seconds - d.mean)
 }
 
 // Bound returns the mean and so many mean deviations; zero if no time was seen.
-func (m *Moving) Bound(deviations float64) time.Duration {
-	return time.Duration((m.mean + deviations*m.deviation) * float64(time.Second))
+func (d *Duration) UpperBound(deviations float64) time.Duration {
+	return time.Duration((d.mean + deviations*d.deviation) * float64(time.Second))
 }
--- a/lab/scale/adapters.go
+++ b/lab/scale/adapters.go
@@ -104,7 +104,7 @@
 type hollow struct{}
 
 // Order implements loader.Replicas.
-func (hollow) Order(context.Context, fleet.Entry, loading.Order, string, int64) (loader.Answer, error) {
+func (hollow) Order(context.Context, fleet.Entry, loading.Order, string, int64) (loader.OrderResponse, error) {
 	return loader.Done, nil
 }
 
--- a/limiter/bench_test.go
+++ b/limiter/bench_test.go
@@ -25,7 +25,7 @@
 				Bounds: testBounds, Table: &routing.Store{}, Term: func() (int64, election.Standing) { return 1, election.Sure },
 				First: func() bool { return true }, Reached: func() float64 { return 1 }, LimitOf: func(string) float64 { return 1 }, Log: log,
 			}
-			held.Begin()
+			held.BeginTerm()
 			now := time.Now()
 			question, answer := 0, 0
 			for number := 0; b.Loop(); number++ {
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -63,7 +63,7 @@
 func clientOf(t *testing.T, address string) *Client {
 	t.Helper()
 	log, _ := test.NewNullLogger()
-	client := &Client{Bounds: testBounds, Holder: func() string { return address }, Log: log}
+	client := &Client{Bounds: testBounds, Leader: func() string { return address }, Log: log}
 	client.Prepare()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
--- a/limiter/owner.go
+++ b/limiter/owner.go
@@ -14,7 +14,7 @@
 
 // Begin opens the book of a term as it begins: the turns that the last holder gave out pass from then on,
 // and not from the first question.
-func (s *Server) Begin() {
+func (s *Server) BeginTerm() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if term, standing := s.Term(); term != 0 && standing == election.Sure {
@@ -22,8 +22,8 @@
 	}
 }
 
-// TakeTurn takes a turn for a message of the holder itself, if one is free now.
-func (s *Server) TakeTurn(ask permit.Ask) (taken bool, retryIn time.Duration) {
+// TryReserve takes a turn for a message of the holder itself, if one is free now.
+func (s *Server) TryReserve(ask permit.Ask) (taken bool, retryIn time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	term, standing := s.Term()
--- a/limiter/permits_test.go
+++ b/limiter/permits_test.go
@@ -79,7 +79,7 @@
 	require.InDelta(t, 1, none.RetryIn.Seconds(), 0.15)
 	_, later := second.AskPermit(t.Context(), permitAsk(4, 0))
 	require.Greater(t, later.RetryIn, none.RetryIn)
-	taken, _ := held.TakeTurn(ask)
+	taken, _ := held.TryReserve(ask)
 	require.False(t, taken, "the holder's own messages wait for a free turn")
 }
 
@@ -125,13 +125,13 @@
 	require.Nil(t, refused, "another may have begun")
 	require.Equal(t, unsureReturn, none.RetryIn)
 	held.reached.Store(0)
-	taken, _ := held.TakeTurn(permitAsk(1, 0))
+	taken, _ := held.TryReserve(permitAsk(1, 0))
 	require.False(t, taken)
 }
 
 func TestAFurtherHolderCountsTheTurnsThatAreOutFromTheBeginOfItsTerm(t *testing.T) {
 	held := startOwner(t, false)
-	held.Begin()
+	held.BeginTerm()
 	begun := time.Now()
 	client := connected(t, held.address)
 	time.Sleep(200 * time.Millisecond)
@@ -196,7 +196,7 @@
 
 func TestNonsenseGetsNoPermit(t *testing.T) {
 	held := startOwner(t, true)
-	held.Begin()
+	held.BeginTerm()
 	for _, asked := range []*rpc.PermitQuestion{{}, {PerSecond: -1}, {PatienceMs: -5}} {
 		require.False(t, held.answerPermit(7, asked, election.Sure, time.Now()).GetGranted())
 	}
@@ -231,7 +231,7 @@
 	var needed, passed atomic.Int64
 	needed.Store(1)
 	log, _ := test.NewNullLogger()
-	client := &Client{Bounds: testBounds, Holder: func() string { return held.address }, Needed: func() bool { return needed.Load() == 1 },
+	client := &Client{Bounds: testBounds, Leader: func() string { return held.address }, Needed: func() bool { return needed.Load() == 1 },
 		Now: func() time.Time { return time.Now().Add(time.Duration(passed.Load())) }, Log: log}
 	client.Prepare()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/loader/demand.go
+++ b/loader/demand.go
@@ -8,48 +8,48 @@
 	"github.com/finchspoke/finchspoke/loading"
 )
 
-// daemonDemand is the last report of one daemon.
-type daemonDemand struct {
-	counts   map[demand.Key]demand.Count
-	running  map[string]uint32 // requests by replica
-	detached time.Time         // zero while attached
-	delay    time.Duration     // before it campaigns for the term; zero if not known
-	attached time.Time         // when its present stream began
-	address  string            // where daemons reach it
-	zone     string
-	knows    bool // all replicas
+// daemonState is the last report of one daemon.
+type daemonState struct {
+	counts        map[demand.Key]demand.Count
+	running       map[string]uint32 // requests by replica
+	detachedAt    time.Time         // zero while attached
+	termDelay     time.Duration     // before it campaigns for the term; zero if not known
+	attachedAt    time.Time         // when its present stream began
+	address       string            // where daemons reach it
+	zone          string
+	knowsReplicas bool // all replicas
 }
 
 // rate is a moving average of arrivals.
-type rate struct {
+type arrivalRate struct {
 	perSecond float64
-	at        time.Time
+	updatedAt time.Time
 	lastUsed  time.Time
 }
 
-func (r *rate) add(arrivals uint64, now time.Time) {
+func (r *arrivalRate) add(arrivals uint64, now time.Time) {
 	r.decay(now)
 	r.perSecond += float64(arrivals) / rateWindow.Seconds()
 	r.lastUsed = now
 }
 
-func (r *rate) decay(now time.Time) {
-	if !r.at.IsZero() {
-		r.perSecond *= math.Exp(-now.Sub(r.at).Seconds() / rateWindow.Seconds())
+func (r *arrivalRate) decay(now time.Time) {
+	if !r.updatedAt.IsZero() {
+		r.perSecond *= math.Exp(-now.Sub(r.updatedAt).Seconds() / rateWindow.Seconds())
 	}
-	r.at = now
+	r.updatedAt = now
 }
 
-// demandOf sums the demand of all daemons; the mutex is held.
-func (h *Holder) demandOf(now time.Time) map[demand.Key]loading.Demand {
+// totalDemand sums the demand of all daemons; the mutex is held.
+func (l *Leader) totalDemand(now time.Time) map[demand.Key]loading.Demand {
 	total := map[demand.Key]loading.Demand{}
-	for key, arrivals := range h.rates {
+	for key, arrivals := range l.rates {
 		arrivals.decay(now)
 		total[key] = loading.Demand{PerSecond: arrivals.perSecond, LastUsed: arrivals.lastUsed}
 	}
-	for id, reported := range h.daemons {
-		if !reported.detached.IsZero() && now.Sub(reported.detached) > forgetAfter {
-			delete(h.daemons, id)
+	for id, reported := range l.daemons {
+		if !reported.detachedAt.IsZero() && now.Sub(reported.detachedAt) > detachedDemandTTL {
+			delete(l.daemons, id)
 			continue
 		}
 		for key, count := range reported.counts {
@@ -57,7 +57,7 @@
 			sum.Waiting += count.Waiting
 			sum.Running += count.Running
 			if count.Waiting > 0 {
-				sum.WaitingFor = max(sum.WaitingFor, now.Sub(count.WaitingSince))
+				sum.LongestWait = max(sum.LongestWait, now.Sub(count.WaitingSince))
 			}
 			if count.Waiting+count.Running > 0 {
 				sum.LastUsed = now
--- a/loader/directories.go
+++ b/loader/directories.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// directoriesMost is how many daemons at most know all replicas for the others, beside the
+	// maxDirectories is how many daemons at most know all replicas for the others, beside the
 	// holder. Each costs the holder a stream of all that changes; ten serve a hundred daemons each at
 	// 985, and two are in each of five zones.
-	directoriesMost = 10
+	maxDirectories = 10
 	// daemonsPerDirectory is how many daemons there are for each directory in a smaller fleet.
 	daemonsPerDirectory = 8
-	// directoriesPause is the time between looks whether the list is to change.
-	directoriesPause = 250 * time.Millisecond
-	// adoptTime is how old a term is at least before directories are named, and adoptMost how old at
+	// directoriesInterval is the time between looks whether the list is to change.
+	directoriesInterval = 250 * time.Millisecond
+	// minTermAgeForDirectories is how old a term is at least before directories are named, and maxAttachWait how old at
 	// most: until then daemons attach, and the directories of the last holder go on.
-	adoptTime = time.Second
-	adoptMost = 4 * time.Second
-	// readyTime is how long directories that are named have to learn of all replicas before those
+	minTermAgeForDirectories = time.Second
+	maxAttachWait            = 4 * time.Second
+	// directoryReadyTimeout is how long directories that are named have to learn of all replicas before those
 	// that are ready are asked alone: a single one would get the streams of all.
-	readyTime = 3 * time.Second
+	directoryReadyTimeout = 3 * time.Second
 )
 
 // directories are the daemons that know all replicas for the others. The list is empty where every
@@ -36,7 +36,7 @@
 	addresses []string        // of those that are ready; the holder's own while none is
 	version   uint64
 	changed   chan struct{} // closed at the next version, or term
-	lookedAt  time.Time
+	checkedAt time.Time
 	chosenAt  time.Time // when the daemons were last chosen
 }
 
@@ -52,39 +52,39 @@
 
 // refreshDirectories names directories where there are too many replicas for every daemon to know
 // them; the mutex is held.
-func (h *Holder) refreshDirectories(now time.Time) {
-	if h.TooLarge == nil || now.Sub(h.directories.lookedAt) < directoriesPause || !h.mostAttached(now) {
+func (l *Leader) refreshDirectories(now time.Time) {
+	if l.TooManyReplicas == nil || now.Sub(l.directories.checkedAt) < directoriesInterval || !l.termSettled(now) {
 		return
 	}
-	h.directories.lookedAt = now
+	l.directories.checkedAt = now
 	chosen := map[string]bool{}
-	if h.TooLarge() {
-		chosen = h.chooseDirectories()
+	if l.TooManyReplicas() {
+		chosen = l.chooseDirectories()
 	}
 	var addresses []string
 	for id := range chosen {
-		if known := h.daemons[id]; known.knows {
+		if known := l.daemons[id]; known.knowsReplicas {
 			addresses = append(addresses, known.address)
 		}
 	}
-	if h.TooLarge() && len(addresses) == 0 {
-		addresses = []string{h.Address}
+	if l.TooManyReplicas() && len(addresses) == 0 {
+		addresses = []string{l.Address}
 	}
 	slices.Sort(addresses)
-	if !sameSet(chosen, h.directories.chosen) {
-		h.directories.chosenAt = now
+	if !sameSet(chosen, l.directories.chosen) {
+		l.directories.chosenAt = now
 	}
-	if 2*len(addresses) < len(chosen) && now.Sub(h.directories.chosenAt) < readyTime {
-		addresses = h.directories.addresses
+	if 2*len(addresses) < len(chosen) && now.Sub(l.directories.chosenAt) < directoryReadyTimeout {
+		addresses = l.directories.addresses
 	}
-	if slices.Equal(addresses, h.directories.addresses) && sameSet(chosen, h.directories.chosen) {
+	if slices.Equal(addresses, l.directories.addresses) && sameSet(chosen, l.directories.chosen) {
 		return
 	}
-	h.directories.chosen, h.directories.addresses = chosen, addresses
-	h.directories.version++
-	h.directories.wake()
-	h.notify()
-	h.Log.WithFields(logrus.Fields{logging.Directories: len(addresses), logging.Serves: len(chosen), logging.Fence: h.fence}).Info(logging.MessageDirectories)
+	l.directories.chosen, l.directories.addresses = chosen, addresses
+	l.directories.version++
+	l.directories.wake()
+	l.publishChange()
+	l.Log.WithFields(logrus.Fields{logging.Directories: len(addresses), logging.Serves: len(chosen), logging.Fence: l.fence}).Info(logging.MessageDirectories)
 }
 
 func sameSet(a, b map[string]bool) bool {
@@ -99,53 +99,53 @@
 	return true
 }
 
-// mostAttached tells whether the term is old enough for directories to be named: most of the daemons
+// termSettled tells whether the term is old enough for directories to be named: most of the daemons
 // that the last holder had have attached. The mutex is held.
-func (h *Holder) mostAttached(now time.Time) bool {
-	age := now.Sub(h.yields.began)
-	if h.FirstStart && !h.others.Load() {
+func (l *Leader) termSettled(now time.Time) bool {
+	age := now.Sub(l.handovers.termStart)
+	if l.FirstStart && !l.otherLeaderObserved.Load() {
 		return true // there was no holder before
 	}
-	if age < adoptTime || age >= adoptMost || h.Expected == nil {
-		return age >= adoptTime
+	if age < minTermAgeForDirectories || age >= maxAttachWait || l.ExpectedDaemons == nil {
+		return age >= minTermAgeForDirectories
 	}
-	return 2*h.attached >= h.Expected()
+	return 2*l.attached >= l.ExpectedDaemons()
 }
 
-// isDecided tells whether the list was made in this term.
-func (d *directories) isDecided() bool { return !d.lookedAt.IsZero() }
+// decided tells whether the list was made in this term.
+func (d *directories) decided() bool { return !d.checkedAt.IsZero() }
 
 // listeners returns how many daemons are told what is loaded on each replica; the mutex is held.
-func (h *Holder) listeners() int {
-	if h.TooLarge == nil || !h.TooLarge() {
-		return h.attached
+func (l *Leader) loadReceivers() int {
+	if l.TooManyReplicas == nil || !l.TooManyReplicas() {
+		return l.attached
 	}
-	return len(h.directories.chosen) + 1
+	return len(l.directories.chosen) + 1
 }
 
 // chooseDirectories picks the daemons that know all replicas: those that were picked before, those
 // that know them already, then the strongest, spread over the zones. The mutex is held.
-func (h *Holder) chooseDirectories() map[string]bool {
-	var able []string
-	for id, known := range h.daemons {
-		if id != h.Daemon && known.address != "" && known.detached.IsZero() {
-			able = append(able, id)
+func (l *Leader) chooseDirectories() map[string]bool {
+	var eligible []string
+	for id, known := range l.daemons {
+		if id != l.Daemon && known.address != "" && known.detachedAt.IsZero() {
+			eligible = append(eligible, id)
 		}
 	}
-	slices.SortFunc(able, func(a, b string) int {
-		first, second := h.daemons[a], h.daemons[b]
-		return cmp.Or(compareFlags(h.directories.chosen[b], h.directories.chosen[a]), cmp.Compare(first.delay, second.delay),
-			compareFlags(second.knows, first.knows),
-			cmp.Compare(rendezvous.Score(h.Daemon, b), rendezvous.Score(h.Daemon, a)))
+	slices.SortFunc(eligible, func(a, b string) int {
+		first, second := l.daemons[a], l.daemons[b]
+		return cmp.Or(compareFlags(l.directories.chosen[b], l.directories.chosen[a]), cmp.Compare(first.termDelay, second.termDelay),
+			compareFlags(second.knowsReplicas, first.knowsReplicas),
+			cmp.Compare(rendezvous.Score(l.Daemon, b), rendezvous.Score(l.Daemon, a)))
 	})
-	chosen, inZone := map[string]bool{}, map[string]int{}
-	wanted := min(directoriesMost, max(1, h.attached/daemonsPerDirectory))
-	for most := 1; most <= wanted; most++ { // of one zone
-		for _, id := range able {
-			zone := h.daemons[id].zone
-			if len(chosen) < wanted && !chosen[id] && inZone[zone] < most {
+	chosen, countByZone := map[string]bool{}, map[string]int{}
+	desired := min(maxDirectories, max(1, l.attached/daemonsPerDirectory))
+	for maxPerZone := 1; maxPerZone <= desired; maxPerZone++ { // of one zone
+		for _, id := range eligible {
+			zone := l.daemons[id].zone
+			if len(chosen) < desired && !chosen[id] && countByZone[zone] < maxPerZone {
 				chosen[id] = true
-				inZone[zone]++
+				countByZone[zone]++
 			}
 		}
 	}
--- a/loader/directories_test.go
+++ b/loader/directories_test.go
@@ -17,38 +17,38 @@
 
 // largeFleet is a holder before so many replicas that not every daemon knows them.
 type largeFleet struct {
-	*Holder
+	*Leader
 	isLarge bool
 	now     time.Time
 }
 
 func newLargeFleet(daemons int) *largeFleet {
-	made := &largeFleet{Holder: &Holder{Daemon: "holder", Address: "holder:1", Fleet: emptyFleet(), Log: discarding()}, isLarge: true, now: time.Now()}
-	made.TooLarge = func() bool { return made.isLarge }
-	made.Prepare()
-	made.yields.termBegan(made.now)
-	made.attach("holder", "a", 80*time.Millisecond, true)
+	f := &largeFleet{Leader: &Leader{Daemon: "holder", Address: "holder:1", Fleet: emptyFleet(), Log: discardLog()}, isLarge: true, now: time.Now()}
+	f.TooManyReplicas = func() bool { return f.isLarge }
+	f.Prepare()
+	f.handovers.termBegan(f.now)
+	f.attach("holder", "a", 80*time.Millisecond, true)
 	for number := range daemons {
 		delay := 300 * time.Millisecond
 		if number%20 == 0 {
 			delay = 75 * time.Millisecond // a strong machine
 		}
-		made.attach(fmt.Sprintf("d%d", number), string("abcde"[number/20%5]), delay, false)
+		f.attach(fmt.Sprintf("d%d", number), string("abcde"[number/20%5]), delay, false)
 	}
-	return made
+	return f
 }
 
 // attach lets a daemon attach.
 func (f *largeFleet) attach(daemon, zone string, delay time.Duration, knows bool) {
 	message := &rpc.LoadsDemand{DaemonId: daemon, Address: daemon + ":1", Zone: zone, TermDelayMs: delay.Milliseconds(), KnowsReplicas: knows}
-	f.join(daemon)
-	f.report(message)
-	f.noteDaemon(message)
+	f.addStream(daemon)
+	f.applyDemand(message)
+	f.recordDaemon(message)
 }
 
 // learn tells that a daemon knows all replicas now.
-func (f *largeFleet) learn(daemon string) {
-	f.report(&rpc.LoadsDemand{DaemonId: daemon, KnowsReplicas: true})
+func (f *largeFleet) reportKnowsReplicas(daemon string) {
+	f.applyDemand(&rpc.LoadsDemand{DaemonId: daemon, KnowsReplicas: true})
 }
 
 // refresh lets some time pass and looks again.
@@ -57,14 +57,14 @@
 	f.refreshDirectories(f.now)
 }
 
-func TestDirectoriesAreStrongAndSpreadOverTheZones(t *testing.T) {
+func TestDirectoriesAreStrongAndSpreadOverZones(t *testing.T) {
 	fleet := newLargeFleet(400)
-	fleet.refresh(adoptTime)
-	require.Len(t, fleet.directories.chosen, directoriesMost)
+	fleet.refresh(minTermAgeForDirectories)
+	require.Len(t, fleet.directories.chosen, maxDirectories)
 	inZone := map[string]int{}
 	for id := range fleet.directories.chosen {
 		known := fleet.daemons[id]
-		require.Equal(t, 75*time.Millisecond, known.delay)
+		require.Equal(t, 75*time.Millisecond, known.termDelay)
 		inZone[known.zone]++
 	}
 	require.Equal(t, map[string]int{"a": 2, "b": 2, "c": 2, "d": 2, "e": 2}, inZone)
@@ -72,16 +72,16 @@
 
 	first := true
 	for id := range fleet.directories.chosen {
-		fleet.learn(id)
+		fleet.reportKnowsReplicas(id)
 		if first {
-			fleet.refresh(directoriesPause)
+			fleet.refresh(directoriesInterval)
 			require.Empty(t, fleet.directories.addresses, "a single one would get the streams of all")
 			first = false
 		}
 	}
 	before := fleet.directories.chosen
-	fleet.refresh(directoriesPause)
-	require.Len(t, fleet.directories.addresses, directoriesMost)
+	fleet.refresh(directoriesInterval)
+	require.Len(t, fleet.directories.addresses, maxDirectories)
 	require.Equal(t, before, fleet.directories.chosen)
 
 	// One is lost; another takes its place, the rest go on.
@@ -89,69 +89,69 @@
 	for id := range before {
 		lost = id
 	}
-	fleet.daemons[lost].detached = fleet.now
-	fleet.refresh(directoriesPause)
-	require.Len(t, fleet.directories.chosen, directoriesMost)
+	fleet.daemons[lost].detachedAt = fleet.now
+	fleet.refresh(directoriesInterval)
+	require.Len(t, fleet.directories.chosen, maxDirectories)
 	require.NotContains(t, fleet.directories.chosen, lost)
-	require.Len(t, fleet.directories.addresses, directoriesMost-1)
+	require.Len(t, fleet.directories.addresses, maxDirectories-1)
 
 	fleet.isLarge = false
-	fleet.refresh(directoriesPause)
+	fleet.refresh(directoriesInterval)
 	require.Empty(t, fleet.directories.chosen)
 	require.Empty(t, fleet.directories.addresses)
 }
 
-func TestANewHolderKeepsTheDirectoriesOfTheLastOne(t *testing.T) {
+func TestNewLeaderKeepsEarlierDirectories(t *testing.T) {
 	fleet := newLargeFleet(200)
-	fleet.learn("d0")
-	fleet.learn("d40")
+	fleet.reportKnowsReplicas("d0")
+	fleet.reportKnowsReplicas("d40")
 	fleet.refresh(0)
-	require.False(t, fleet.directories.isDecided(), "not all have attached")
-	fleet.refresh(adoptTime)
+	require.False(t, fleet.directories.decided(), "not all have attached")
+	fleet.refresh(minTermAgeForDirectories)
 	require.True(t, fleet.directories.chosen["d0"])
 	require.True(t, fleet.directories.chosen["d40"])
 }
 
 // 985 daemons that are told of 10,000 replicas are ten million messages.
-func TestADaemonThatAsksDirectoriesIsToldOfThemOnly(t *testing.T) {
+func TestDaemonWithoutReplicaRecordsReceivesOnlyDirectories(t *testing.T) {
 	fleet := newLargeFleet(20)
-	fleet.refresh(adoptTime)
-	fleet.states["r1"] = &loading.Replica{ID: "r1", Known: true}
+	fleet.refresh(minTermAgeForDirectories)
+	fleet.states["r1"] = &loading.Replica{ID: "r1", Verified: true}
 	directory := ""
 	for id := range fleet.directories.chosen {
 		directory = id
 	}
-	fleet.learn(directory)
-	fleet.refresh(directoriesPause)
+	fleet.reportKnowsReplicas(directory)
+	fleet.refresh(directoriesInterval)
 
-	var toldDirectory, toldOther told
-	first, err := fleet.viewsFor(&toldOther, "d1", fleet.now)
+	var sentToDirectory, sentToOther sentState
+	first, err := fleet.nextViews(&sentToOther, "d1", fleet.now)
 	require.NoError(t, err)
 	require.Len(t, first.messages, 2)
 	require.False(t, first.messages[1].GetDirectories().GetServe())
 	require.Equal(t, fleet.directories.addresses, first.messages[1].GetDirectories().GetAddresses())
-	mine, err := fleet.viewsFor(&toldDirectory, directory, fleet.now)
+	mine, err := fleet.nextViews(&sentToDirectory, directory, fleet.now)
 	require.NoError(t, err)
 	require.True(t, mine.messages[1].GetDirectories().GetServe())
 
-	fleet.touch("r1")
+	fleet.markChanged("r1")
 	select {
 	case <-first.changed:
 		t.Fatal("a replica's change wakes the streams of all daemons")
 	case <-mine.changed:
 	}
-	next, err := fleet.viewsFor(&toldOther, "d1", fleet.now)
+	next, err := fleet.nextViews(&sentToOther, "d1", fleet.now)
 	require.NoError(t, err)
 	require.Len(t, next.messages, 1)
-	require.False(t, saysSomething(next.messages[0]))
-	mine, err = fleet.viewsFor(&toldDirectory, directory, fleet.now)
+	require.False(t, viewHasChanges(next.messages[0]))
+	mine, err = fleet.nextViews(&sentToDirectory, directory, fleet.now)
 	require.NoError(t, err)
 	require.Len(t, mine.messages[0].GetReplicas(), 1)
 
 	// It knows all replicas from now on: then it is told of each from the beginning.
-	fleet.learn("d1")
+	fleet.reportKnowsReplicas("d1")
 	<-next.changed
-	next, err = fleet.viewsFor(&toldOther, "d1", fleet.now)
+	next, err = fleet.nextViews(&sentToOther, "d1", fleet.now)
 	require.NoError(t, err)
 	require.Len(t, next.messages[0].GetReplicas(), 1)
 }
@@ -168,7 +168,7 @@
 }
 
 // received returns what comes on a channel within a second.
-func received[T any](t *testing.T, from <-chan T) (value T) {
+func receive[T any](t *testing.T, from <-chan T) (value T) {
 	t.Helper()
 	select {
 	case value = <-from:
@@ -180,9 +180,9 @@
 
 // A term before 10,000 replicas began with a connection to each, for a report that the first orders
 // did not need; a process may have 4,100.
-func TestReplicasAreAskedForTheirStateBeforeTheirFirstOrderOnly(t *testing.T) {
-	log := discarding()
-	made := elected(t, log)
+func TestReportIsFetchedOnlyBeforeAReplicasFirstOrder(t *testing.T) {
+	log := discardLog()
+	campaign := electedLeader(t, log)
 	table, err := routing.NewTable(routing.Revision{Version: 1, Services: []*routing.Service{{Name: "press", Engine: &routing.Engine{
 		MemoryMB: 200, LoadsPerSecond: 4, Models: map[string]*routing.Model{"m1": {Name: "m1", MemoryMB: 90, StoreLoad: 4 * time.Second}, "m2": {Name: "m2", MemoryMB: 90, StoreLoad: 4 * time.Second}},
 	}}}})
@@ -190,31 +190,31 @@
 	routes := &routing.Store{}
 	routes.Put(table)
 	replicas := reportingReplicas{recordingReplicas{orders: make(chan loading.Order, 10)}, make(chan string, 100)}
-	holder := &Holder{
-		Daemon: "d1", Fleet: emptyFleet(), Table: routes, Replicas: replicas, Election: made,
-		Metrics: NewMetrics(prometheus.NewRegistry()), Log: log, FirstStart: true, TooLarge: func() bool { return true },
+	leader := &Leader{
+		Daemon: "d1", Fleet: emptyFleet(), Table: routes, Replicas: replicas, Election: campaign,
+		Metrics: NewMetrics(prometheus.NewRegistry()), Log: log, FirstStart: true, TooManyReplicas: func() bool { return true },
 		Limits: Limits{Window: 5 * time.Second, Slack: 1, Extra: 3},
 	}
-	holder.Prepare()
+	leader.Prepare()
 	for number := range 50 {
 		id := fmt.Sprintf("r%d", number)
-		holder.Fleet.Put(fleet.Entry{ID: id, Service: "press", Address: id + ":1", Holdings: fleet.Holdings{"m1": nil}}, time.Now())
+		leader.Fleet.Put(fleet.Entry{ID: id, Service: "press", Address: id + ":1", Holdings: fleet.Holdings{"m1": nil}}, time.Now())
 	}
-	holder.turn(t.Context(), time.Now())
+	leader.runRound(t.Context(), time.Now())
 	require.Empty(t, replicas.reports, "nothing is asked for")
 
-	holder.report(&rpc.LoadsDemand{DaemonId: "d2", Keys: []*rpc.TargetLoadDemand{{Service: "press", Model: "m2", Arrivals: 1, Waiting: 1}}})
-	holder.turn(t.Context(), time.Now())
-	asked := received(t, replicas.reports)
+	leader.applyDemand(&rpc.LoadsDemand{DaemonId: "d2", Keys: []*rpc.TargetLoadDemand{{Service: "press", Model: "m2", Arrivals: 1, Waiting: 1}}})
+	leader.runRound(t.Context(), time.Now())
+	replicaID := receive(t, replicas.reports)
 	require.Empty(t, replicas.orders, "its own word first")
 	require.Eventually(t, func() bool {
-		holder.mutex.Lock()
-		defer holder.mutex.Unlock()
-		return holder.states[asked].Known
+		leader.mutex.Lock()
+		defer leader.mutex.Unlock()
+		return leader.states[replicaID].Verified
 	}, time.Second, time.Millisecond)
-	holder.turn(t.Context(), time.Now())
-	order := received(t, replicas.orders)
-	require.Equal(t, asked, order.ReplicaID)
+	leader.runRound(t.Context(), time.Now())
+	order := receive(t, replicas.orders)
+	require.Equal(t, replicaID, order.ReplicaID)
 	require.EqualValues(t, 4, order.Sequence, "bound to the orders that it has taken")
 	require.Empty(t, replicas.reports)
 }
--- a/loader/handover_test.go
+++ b/loader/handover_test.go
@@ -16,29 +16,29 @@
 
 // A holder that stops names every replica that any holder gave an order to within the
 // distance that holders keep, and the next holds orders to these alone back.
-func TestAHandoverNamesTheReplicasThatGotOrdersLately(t *testing.T) {
-	const gap = 3 * time.Second
+func TestHandoverListsRecentlyOrderedReplicas(t *testing.T) {
+	const termGap = 3 * time.Second
 	now := time.Unix(1_000_000, 0)
 	orders := recentOrders{inherited: map[string]time.Time{
-		"inherited": now.Add(-2 * time.Second), "long ago": now.Add(-gap), "both": now.Add(-2 * time.Second),
+		"inherited": now.Add(-2 * time.Second), "long ago": now.Add(-termGap), "both": now.Add(-2 * time.Second),
 	}}
-	orders.note("both", now.Add(-time.Second))
-	orders.note("own", now.Add(-2500*time.Millisecond))
-	orders.note("old", now.Add(-4*time.Second))
-	orders.note("on its way", now.Add(-orderTimeout/2))
-	require.Equal(t, map[string]int64{"inherited": 2000, "both": 1000, "own": 2500, "on its way": 0}, orders.ages(now, gap))
+	orders.record("both", now.Add(-time.Second))
+	orders.record("own", now.Add(-2500*time.Millisecond))
+	orders.record("old", now.Add(-4*time.Second))
+	orders.record("on its way", now.Add(-orderTimeout/2))
+	require.Equal(t, map[string]int64{"inherited": 2000, "both": 1000, "own": 2500, "on its way": 0}, orders.ages(now, termGap))
 
-	require.Equal(t, now.Add(time.Second), orders.heldUntil("inherited", gap))
-	require.Zero(t, orders.heldUntil("own", gap), "this daemon's own orders need no distance from its own")
+	require.Equal(t, now.Add(time.Second), orders.termGapUntil("inherited", termGap))
+	require.Zero(t, orders.termGapUntil("own", termGap), "this daemon's own orders need no distance from its own")
 }
 
 // A holder that was itself waiting for its distance hands over what is left of the wait.
-func TestAHolderThatMayNotOrderYetHandsItsWaitOver(t *testing.T) {
-	holder := &Holder{Fleet: emptyFleet(), Limits: Limits{TermGap: 3 * time.Second}}
-	holder.Prepare()
-	holder.reset(5, time.Now().Add(2*time.Second))
-	holder.beginTerm(0, time.Now()) // its term is given up
-	handover := holder.Handover()
+func TestHandoverIncludesRemainingWait(t *testing.T) {
+	leader := &Leader{Fleet: emptyFleet(), Limits: Limits{TermGap: 3 * time.Second}}
+	leader.Prepare()
+	leader.reset(5, time.Now().Add(2*time.Second))
+	leader.beginTerm(0, time.Now()) // its term is given up
+	handover := leader.Handover()
 	require.InDelta(t, 2000, handover.WaitMs, 200)
 	require.Empty(t, handover.LastOrderMs)
 }
@@ -59,45 +59,45 @@
 
 // A restore of the service may take a term away before its holder may give orders. The term that it takes up
 // again keeps the distance from the holder before, as the one that was lost.
-func TestATermTakenUpAgainKeepsTheDistanceOfTheOneBefore(t *testing.T) {
+func TestReclaimedTermKeepsTheEarlierTermGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const gap = 3 * time.Second
+		const termGap = 3 * time.Second
 		store := revisingStore{revision: &atomic.Int64{}}
-		made := election.New(election.Config{Key: "term", Daemon: "d1", TTL: gap}, store, discarding())
-		holder := &Holder{Fleet: emptyFleet(), Table: &routing.Store{}, Limits: Limits{TermGap: gap}, Election: made, Log: discarding()}
-		holder.Prepare()
-		other := time.Now()
-		holder.OrderSeen(other)
-		made.Vacate(0)
-		go func() { _ = made.Serve(t.Context()) }()
-		time.Sleep(gap / 3)
-		holder.turn(t.Context(), time.Now())
-		first := holder.fence
-		require.Equal(t, other.Add(gap), holder.begins)
-		holder.ordered.inherited = map[string]time.Time{"r1": other}
+		campaign := election.New(election.Config{Key: "term", Daemon: "d1", TTL: termGap}, store, discardLog())
+		leader := &Leader{Fleet: emptyFleet(), Table: &routing.Store{}, Limits: Limits{TermGap: termGap}, Election: campaign, Log: discardLog()}
+		leader.Prepare()
+		lastOrder := time.Now()
+		leader.ObserveOrder(lastOrder)
+		campaign.Vacate(0)
+		go func() { _ = campaign.Serve(t.Context()) }()
+		time.Sleep(termGap / 3)
+		leader.runRound(t.Context(), time.Now())
+		first := leader.fence
+		require.Equal(t, lastOrder.Add(termGap), leader.ordersFrom)
+		leader.orderTimes.inherited = map[string]time.Time{"r1": lastOrder}
 
 		store.revision.Store(kv.RevisionIn(1, 1))
-		made.Observe(kv.Event{Pair: kv.Pair{Key: "term", ModRevision: kv.RevisionIn(1, 1)}, Deleted: true, Restored: true})
-		holder.turn(t.Context(), time.Now())
+		campaign.Observe(kv.Event{Pair: kv.Pair{Key: "term", ModRevision: kv.RevisionIn(1, 1)}, Deleted: true, Restored: true})
+		leader.runRound(t.Context(), time.Now())
 		synctest.Wait()
-		holder.turn(t.Context(), time.Now())
-		require.Greater(t, holder.fence, first)
-		require.True(t, made.Reclaimed())
-		require.Equal(t, other.Add(gap), holder.begins)
-		require.NotEmpty(t, holder.ordered.inherited)
+		leader.runRound(t.Context(), time.Now())
+		require.Greater(t, leader.fence, first)
+		require.True(t, campaign.Reclaimed())
+		require.Equal(t, lastOrder.Add(termGap), leader.ordersFrom)
+		require.NotEmpty(t, leader.orderTimes.inherited)
 
-		time.Sleep(gap)
+		time.Sleep(termGap)
 		store.revision.Store(kv.RevisionIn(2, 1))
-		made.Observe(kv.Event{Pair: kv.Pair{Key: "term", ModRevision: kv.RevisionIn(2, 1)}, Deleted: true, Restored: true})
+		campaign.Observe(kv.Event{Pair: kv.Pair{Key: "term", ModRevision: kv.RevisionIn(2, 1)}, Deleted: true, Restored: true})
 		synctest.Wait()
-		holder.turn(t.Context(), time.Now())
-		require.False(t, holder.begins.After(time.Now()), "no distance is left to keep")
+		leader.runRound(t.Context(), time.Now())
+		require.False(t, leader.ordersFrom.After(time.Now()), "no distance is left to keep")
 	})
 }
 
 // After a loss of all daemons nobody knows when the last order was given.
-func TestADaemonThatJustStartedWaitsOnlyWhereReplicasCheckNoFences(t *testing.T) {
-	const gap = 3 * time.Second
+func TestStartedDaemonSkipsTermGapOnlyIfFencesAreChecked(t *testing.T) {
+	const termGap = 3 * time.Second
 	for name, example := range map[string]struct {
 		checked bool
 		age     time.Duration
@@ -106,13 +106,13 @@
 		"just started":          {true, time.Second, false},
 		"up for a while":        {true, 2 * time.Second, true},
 		"fences not checked":    {false, time.Second, true},
-		"at the allowed age":    {true, gap / 2, true},
-		"before the age passes": {true, gap/2 - time.Millisecond, false},
+		"at the allowed age":    {true, termGap / 2, true},
+		"before the age passes": {true, termGap/2 - time.Millisecond, false},
 	} {
-		holder := &Holder{Fleet: emptyFleet(), Limits: Limits{TermGap: gap, FencesChecked: example.checked}, Election: election.New(election.Config{}, nil, nil)}
-		holder.Prepare()
-		now := holder.started.Add(example.age)
-		holder.beginTerm(7, now)
-		require.Equal(t, example.waits, holder.begins.After(now), name)
+		leader := &Leader{Fleet: emptyFleet(), Limits: Limits{TermGap: termGap, FencesChecked: example.checked}, Election: election.New(election.Config{}, nil, nil)}
+		leader.Prepare()
+		now := leader.started.Add(example.age)
+		leader.beginTerm(7, now)
+		require.Equal(t, example.waits, leader.ordersFrom.After(now), name)
 	}
 }
--- a/loader/leaving.go
+++ b/loader/leaving.go
@@ -10,59 +10,59 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// takeLeaving takes in which replicas said to a daemon that they leave; the mutex is held.
+// applyLeaving takes in which replicas said to a daemon that they leave; the mutex is held.
 //
 // The holder has to know, or it counts the copies on a leaving replica while the registry is silent: a
 // model with one copy was served elsewhere after 2.5 s, and after 0.25 s since it is told. The other
 // daemons have to know, or they go on to send requests there.
-func (h *Holder) takeLeaving(message *rpc.LoadsDemand, now time.Time) {
-	var news []string
-	for _, one := range incarnationsOf(message.GetLeaving()) {
+func (l *Leader) applyLeaving(message *rpc.LoadsDemand, now time.Time) {
+	var changed []string
+	for _, incarnation := range incarnationsOf(message.GetLeaving()) {
 		// This daemon's own requests may have told its directory before.
-		if isNews := h.Fleet.TellLeaving(one, now); isNews || !h.leaving.has(one.ID) {
-			news = append(news, one.ID)
+		if isNew := l.Fleet.TellLeaving(incarnation, now); isNew || !l.leavingChanges.has(incarnation.ID) {
+			changed = append(changed, incarnation.ID)
 		}
 	}
-	if len(news) == 0 {
+	if len(changed) == 0 {
 		return
 	}
-	h.notify()
-	for _, id := range news {
-		h.leaving.mark(id, h.version)
-		h.registry.note(id)
+	l.publishChange()
+	for _, id := range changed {
+		l.leavingChanges.mark(id, l.version)
+		l.changedReplicas.add(id)
 	}
-	h.Wake()
-	h.Log.WithFields(logrus.Fields{logging.Replica: news, logging.Source: message.GetDaemonId(), logging.Fence: h.fence}).Info(logging.MessageLeavingTold)
+	l.Wake()
+	l.Log.WithFields(logrus.Fields{logging.Replica: changed, logging.Source: message.GetDaemonId(), logging.Fence: l.fence}).Info(logging.MessageLeavingTold)
 }
 
-// retellLeaving begins a term with the replicas that are known to leave; the mutex is held.
-func (h *Holder) retellLeaving() {
-	h.leaving = newTouches()
-	for _, one := range h.Fleet.Leaving() {
-		h.leaving.mark(one.ID, h.version)
+// resetLeaving begins a term with the replicas that are known to leave; the mutex is held.
+func (l *Leader) resetLeaving() {
+	l.leavingChanges = newChangeLog()
+	for _, incarnation := range l.Fleet.Leaving() {
+		l.leavingChanges.mark(incarnation.ID, l.version)
 	}
 }
 
 // leavingView lists the replicas of which it came after a version that they leave; the mutex is held.
-func (h *Holder) leavingView(after uint64) (view []*rpc.ReplicaIncarnation) {
-	for _, id := range h.leaving.after(after) {
-		if one, leaves := h.Fleet.Leaves(id); leaves {
-			view = append(view, rpc.IncarnationMessage(one))
+func (l *Leader) leavingView(after uint64) (view []*rpc.ReplicaIncarnation) {
+	for _, id := range l.leavingChanges.after(after) {
+		if incarnation, isLeaving := l.Fleet.Leaves(id); isLeaving {
+			view = append(view, rpc.IncarnationMessage(incarnation))
 		}
 	}
 	return view
 }
 
-// leavingNews returns the replicas that said to this daemon that they leave and of which the holder has
+// newLeaving returns the replicas that said to this daemon that they leave and of which the holder has
 // not been told on this stream.
-func (f *Follower) leavingNews(sent *reported) (news []*rpc.ReplicaIncarnation) {
-	for _, one := range f.Fleet.LeavingHere() {
-		if !sent.leaving[one] {
-			sent.leaving[one] = true
-			news = append(news, rpc.IncarnationMessage(one))
+func (f *Follower) newLeaving(sent *sentReport) (messages []*rpc.ReplicaIncarnation) {
+	for _, incarnation := range f.Fleet.LeavingHere() {
+		if !sent.leaving[incarnation] {
+			sent.leaving[incarnation] = true
+			messages = append(messages, rpc.IncarnationMessage(incarnation))
 		}
 	}
-	return news
+	return messages
 }
 
 func incarnationsOf(messages []*rpc.ReplicaIncarnation) []fleet.Incarnation {
--- a/loader/limits_test.go
+++ b/loader/limits_test.go
@@ -10,8 +10,8 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// limitsSaid are the limits by a message.
-func limitsSaid(messages []*rpc.ReplicaLimit) map[string]float64 {
+// limitsByReplica are the limits by a message.
+func limitsByReplica(messages []*rpc.ReplicaLimit) map[string]float64 {
 	limits := map[string]float64{}
 	for _, one := range messages {
 		limits[one.GetReplica().GetReplicaId()] = one.GetPerSecond()
@@ -19,72 +19,72 @@
 	return limits
 }
 
-func limitFollower(directory *fleet.Directory) (*Follower, *reported) {
-	follower := &Follower{Fleet: directory, Log: discarding()}
+func limitFollower(directory *fleet.Directory) (*Follower, *sentReport) {
+	follower := &Follower{Fleet: directory, Log: discardLog()}
 	follower.Prepare()
-	return follower, &reported{limits: map[fleet.Incarnation]float64{}}
+	return follower, &sentReport{limits: map[fleet.Incarnation]float64{}}
 }
 
-func naming(id string, perSecond float64) fleet.Notice {
+func limitNotice(id string, perSecond float64) fleet.Notice {
 	return fleet.Notice{Replica: id, Limit: fleet.LimitNamed, PerSecond: perSecond}
 }
 
-func TestADaemonsWordOfALimitReachesAllOthersOnce(t *testing.T) {
+func TestReportedLimitIsRelayedOnce(t *testing.T) {
 	now := time.Now()
-	holder := leavingHolder(now)
-	before := holder.version
-	word := rpc.LimitMessage(fleet.ReplicaLimit{Incarnation: fleet.Incarnation{ID: "r1"}, PerSecond: 2, HeardAt: now}, now)
-	holder.report(&rpc.LoadsDemand{DaemonId: "d1", Limits: []*rpc.ReplicaLimit{word}})
-	require.Equal(t, 2.0, holder.Fleet.LimitOf("r1"))
-	require.Equal(t, map[string]float64{"r1": 2}, limitsSaid(holder.view(before, now).GetLimits()))
-	told := holder.version
-	require.Empty(t, holder.view(told, now).GetLimits())
-	require.Equal(t, map[string]float64{"r1": 2}, limitsSaid(holder.view(0, now).GetLimits()), "a daemon that attaches hears of all")
+	leader := leaderWithReplicas(now)
+	before := leader.version
+	reported := rpc.LimitMessage(fleet.ReplicaLimit{Incarnation: fleet.Incarnation{ID: "r1"}, PerSecond: 2, HeardAt: now}, now)
+	leader.applyDemand(&rpc.LoadsDemand{DaemonId: "d1", Limits: []*rpc.ReplicaLimit{reported}})
+	require.Equal(t, 2.0, leader.Fleet.LimitOf("r1"))
+	require.Equal(t, map[string]float64{"r1": 2}, limitsByReplica(leader.view(before, now).GetLimits()))
+	sentVersion := leader.version
+	require.Empty(t, leader.view(sentVersion, now).GetLimits())
+	require.Equal(t, map[string]float64{"r1": 2}, limitsByReplica(leader.view(0, now).GetLimits()), "a daemon that attaches hears of all")
 
-	require.InDelta(t, 60_000, holder.view(0, now.Add(time.Minute)).GetLimits()[0].GetAgeMs(), 5_000, "and of its age, which is as of now")
+	require.InDelta(t, 60_000, leader.view(0, now.Add(time.Minute)).GetLimits()[0].GetAgeMs(), 5_000, "and of its age, which is as of now")
 
-	holder.reset(7, now)
-	require.Equal(t, map[string]float64{"r1": 2}, limitsSaid(holder.view(0, now).GetLimits()), "the next term too")
+	leader.reset(7, now)
+	require.Equal(t, map[string]float64{"r1": 2}, limitsByReplica(leader.view(0, now).GetLimits()), "the next term too")
 
-	listening, sent := limitFollower(leavingHolder(now).Fleet)
-	listening.takeLimits(holder.view(0, now).GetLimits(), sent, now)
+	listening, sent := limitFollower(leaderWithReplicas(now).Fleet)
+	listening.applyLimits(leader.view(0, now).GetLimits(), sent, now)
 	require.Equal(t, 2.0, listening.Fleet.LimitOf("r1"))
-	require.Empty(t, listening.limitNews(sent, now), "it was said to another daemon")
+	require.Empty(t, listening.newLimits(sent, now), "it was said to another daemon")
 }
 
 // The holder's own requests hear of it as well; its directory then knows before any stream tells.
-func TestALimitThatTheHolderHeardItselfIsToldToAllOthers(t *testing.T) {
+func TestLimitObservedByTheLeaderIsRelayed(t *testing.T) {
 	now := time.Now()
-	holder := leavingHolder(now)
-	holder.Fleet.HearLimit(naming("r1", 2), now)
-	follower, sent := limitFollower(holder.Fleet)
-	holder.report(&rpc.LoadsDemand{DaemonId: "self", Limits: follower.limitNews(sent, now)})
-	require.Equal(t, map[string]float64{"r1": 2}, limitsSaid(holder.view(0, now).GetLimits()))
-	require.Empty(t, follower.limitNews(sent, now), "once on a stream")
+	leader := leaderWithReplicas(now)
+	leader.Fleet.HearLimit(limitNotice("r1", 2), now)
+	follower, sent := limitFollower(leader.Fleet)
+	leader.applyDemand(&rpc.LoadsDemand{DaemonId: "self", Limits: follower.newLimits(sent, now)})
+	require.Equal(t, map[string]float64{"r1": 2}, limitsByReplica(leader.view(0, now).GetLimits()))
+	require.Empty(t, follower.newLimits(sent, now), "once on a stream")
 
 	for _, perSecond := range []float64{5, 1} {
-		told := holder.version
-		holder.Fleet.HearLimit(naming("r1", perSecond), now)
-		holder.report(&rpc.LoadsDemand{DaemonId: "self", Limits: follower.limitNews(sent, now)})
-		require.Equal(t, map[string]float64{"r1": perSecond}, limitsSaid(holder.view(told, now).GetLimits()), "each change")
+		sentVersion := leader.version
+		leader.Fleet.HearLimit(limitNotice("r1", perSecond), now)
+		leader.applyDemand(&rpc.LoadsDemand{DaemonId: "self", Limits: follower.newLimits(sent, now)})
+		require.Equal(t, map[string]float64{"r1": perSecond}, limitsByReplica(leader.view(sentVersion, now).GetLimits()), "each change")
 	}
 }
 
 // A word that crosses a later one is followed by that one again, so that all end with the later.
-func TestAWordThatTheHolderToldOtherwiseIsSaidAgain(t *testing.T) {
+func TestNewerLimitIsSentAgainAfterAnOlderOneIsReceived(t *testing.T) {
 	now := time.Now()
-	follower, sent := limitFollower(leavingHolder(now).Fleet)
-	follower.Fleet.HearLimit(naming("r1", 2), now)
-	require.Len(t, follower.limitNews(sent, now), 1)
+	follower, sent := limitFollower(leaderWithReplicas(now).Fleet)
+	follower.Fleet.HearLimit(limitNotice("r1", 2), now)
+	require.Len(t, follower.newLimits(sent, now), 1)
 	lifted := rpc.LimitMessage(fleet.ReplicaLimit{Incarnation: fleet.Incarnation{ID: "r1"}, HeardAt: now.Add(-time.Second)}, now)
-	follower.takeLimits([]*rpc.ReplicaLimit{lifted}, sent, now)
+	follower.applyLimits([]*rpc.ReplicaLimit{lifted}, sent, now)
 	require.Equal(t, 2.0, follower.Fleet.LimitOf("r1"), "it was said before")
-	require.Equal(t, map[string]float64{"r1": 2}, limitsSaid(follower.limitNews(sent, now)))
+	require.Equal(t, map[string]float64{"r1": 2}, limitsByReplica(follower.newLimits(sent, now)))
 }
 
-func TestALimitIsToldAtOnce(t *testing.T) {
+func TestLimitIsReportedAtOnce(t *testing.T) {
 	follower, _ := limitFollower(emptyFleet())
-	follower.LimitHeard()
-	follower.LimitHeard()
-	require.Len(t, follower.news, 1)
+	follower.LimitReported()
+	follower.LimitReported()
+	require.Len(t, follower.urgent, 1)
 }
--- a/loader/metrics.go
+++ b/loader/metrics.go
@@ -25,7 +25,7 @@
 }
 
 // begun counts a load that a replica has begun.
-func (m *Metrics) begun(order loading.Order) {
+func (m *Metrics) countLoad(order loading.Order) {
 	if order.Verb != loading.Load {
 		return
 	}
--- a/loader/orders.go
+++ b/loader/orders.go
@@ -14,196 +14,196 @@
 )
 
 // give sends an order; the mutex is held. The answer is taken in later.
-func (h *Holder) give(ctx context.Context, order loading.Order, now time.Time) {
-	if state := h.states[order.ReplicaID]; state != nil && !state.Known {
-		h.check(ctx, order.ReplicaID, now) // its own word first; the next round decides by it
+func (l *Leader) giveOrder(ctx context.Context, order loading.Order, now time.Time) {
+	if state := l.states[order.ReplicaID]; state != nil && !state.Verified {
+		l.requestReport(ctx, order.ReplicaID, now) // its own word first; the next round decides by it
 		return
 	}
-	entry, found := h.Fleet.Entry(order.ReplicaID)
-	if !found || !h.mayMessage(h.states[order.ReplicaID], now) {
+	entry, found := l.Fleet.Entry(order.ReplicaID)
+	if !found || !l.reserveMessage(l.states[order.ReplicaID], now) {
 		return
 	}
-	h.calling[order.ReplicaID] = &order
-	h.lastOrder = now
-	h.ordered.note(order.ReplicaID, now)
+	l.inFlight[order.ReplicaID] = &order
+	l.lastOrderAt = now
+	l.orderTimes.record(order.ReplicaID, now)
 	if order.LoadsFromStore() {
-		h.window.Began(now)
+		l.storeWindow.RecordStart(now)
 	}
-	h.send(ctx, entry, order, h.fence, h.apply)
+	l.sendOrder(ctx, entry, order, l.fence, l.applyResponse)
 }
 
-// applyAnswer takes in what a replica said to an order.
-type applyAnswer func(state *loading.Replica, order loading.Order, answer Answer, err error, now time.Time)
+// responseHandler takes in what a replica said to an order.
+type responseHandler func(state *loading.Replica, order loading.Order, answer OrderResponse, err error, now time.Time)
 
 // send sends an order; apply gets the answer, under the mutex.
-func (h *Holder) send(ctx context.Context, entry fleet.Entry, order loading.Order, fence int64, apply applyAnswer) {
+func (l *Leader) sendOrder(ctx context.Context, entry fleet.Entry, order loading.Order, fence int64, handle responseHandler) {
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 		defer cancel()
-		answer, err := h.Replicas.Order(ctx, entry, order, h.Daemon, fence)
-		h.answered(order, fence, answer, err, apply)
+		response, err := l.Replicas.Order(ctx, entry, order, l.Daemon, fence)
+		l.handleResponse(order, fence, response, err, handle)
 	}()
 }
 
 // answered takes in what a replica said to an order.
-func (h *Holder) answered(order loading.Order, fence int64, answer Answer, err error, apply applyAnswer) {
+func (l *Leader) handleResponse(order loading.Order, fence int64, response OrderResponse, err error, handle responseHandler) {
 	now := time.Now()
-	h.mutex.Lock()
-	h.ordered.note(order.ReplicaID, now) // it may have reached the replica as late as this
-	if fence == h.fence {
-		delete(h.calling, order.ReplicaID)
-		if state := h.states[order.ReplicaID]; state != nil {
-			apply(state, order, answer, err, now)
-			h.touch(order.ReplicaID)
+	l.mutex.Lock()
+	l.orderTimes.record(order.ReplicaID, now) // it may have reached the replica as late as this
+	if fence == l.fence {
+		delete(l.inFlight, order.ReplicaID)
+		if state := l.states[order.ReplicaID]; state != nil {
+			handle(state, order, response, err, now)
+			l.markChanged(order.ReplicaID)
 		}
 	}
-	h.mutex.Unlock()
-	h.logOrder(order, fence, answer, err)
-	if err == nil && answer == Fenced {
-		h.Election.Deposed("a replica has seen a higher fence")
+	l.mutex.Unlock()
+	l.logOrder(order, fence, response, err)
+	if err == nil && response == Fenced {
+		l.Election.Deposed("a replica has seen a higher fence")
 	}
-	h.Wake()
+	l.Wake()
 }
 
-func (h *Holder) apply(state *loading.Replica, order loading.Order, answer Answer, err error, now time.Time) {
+func (l *Leader) applyResponse(state *loading.Replica, order loading.Order, response OrderResponse, err error, now time.Time) {
 	switch {
-	case answer == Refused && err == nil && state.Awaits(now):
-		state.NotYet(now)
-	case err != nil, answer == Refused, answer == Fenced:
-		state.Doubt(now)
-	case answer == Gone:
-		state.Lost(now)
-	case answer == Accepted:
-		h.Metrics.begun(order)
-		state.Took(order, now)
-		h.fetches.Began(order, now)
-	case answer == Done:
-		state.Did(order, now)
-		h.fetches.Heard(state, now)
+	case response == Refused && err == nil && state.HasOverdueOrder(now):
+		state.MarkUnfinished(now)
+	case err != nil, response == Refused, response == Fenced:
+		state.MarkUnverified(now)
+	case response == Gone:
+		state.MarkUnreachable(now)
+	case response == Accepted:
+		l.Metrics.countLoad(order)
+		state.MarkAccepted(order, now)
+		l.fetches.Start(order, now)
+	case response == Done:
+		state.MarkDone(order, now)
+		l.fetches.Update(state, now)
 	}
 }
 
 // touch marks a replica's state as changed; the mutex is held.
-func (h *Holder) touch(id string) {
-	h.notify()
-	h.loads.mark(id, h.version)
+func (l *Leader) markChanged(id string) {
+	l.publishChange()
+	l.loadChanges.mark(id, l.version)
 }
 
-func (h *Holder) logOrder(order loading.Order, fence int64, answer Answer, err error) {
-	outcome := answer.String()
-	entry := h.Log.WithFields(logrus.Fields{
+func (l *Leader) logOrder(order loading.Order, fence int64, response OrderResponse, err error) {
+	outcome := response.String()
+	entry := l.Log.WithFields(logrus.Fields{
 		logging.Replica: order.ReplicaID, logging.Order: order.Verb.String(), logging.Model: order.Target.Model, logging.Adapter: order.Target.Adapter,
 		logging.Sequence: order.Sequence, logging.Fence: fence, logging.Reason: order.Reason, logging.Source: order.Origin.String(),
-		logging.ReadyInMs: order.Takes.Milliseconds(),
+		logging.ReadyInMs: order.ExpectedDuration.Milliseconds(),
 	})
 	if err != nil {
 		outcome = "unanswered"
 		entry = entry.WithField(logging.Cause, err.Error())
 	}
-	h.Metrics.orders.WithLabelValues(order.Verb.String(), outcome).Inc()
+	l.Metrics.orders.WithLabelValues(order.Verb.String(), outcome).Inc()
 	entry.WithField(logging.Outcome, outcome).Info(logging.MessageLoadOrder)
 }
 
 // checkReplicas asks for the reports of replicas of which more must be known; the
 // mutex is held.
-func (h *Holder) checkReplicas(ctx context.Context, now time.Time) {
-	for id, state := range h.states {
-		at := state.NextCheck(now)
-		if _, calling := h.calling[id]; calling || state.Draining && state.Known || (state.Known || state.Assumed) && at.IsZero() {
+func (l *Leader) checkReplicas(ctx context.Context, now time.Time) {
+	for id, state := range l.states {
+		dueAt := state.NextCheck(now)
+		if _, inFlight := l.inFlight[id]; inFlight || state.Draining && state.Verified || (state.Verified || state.Assumed) && dueAt.IsZero() {
 			continue
 		}
-		for _, earliest := range []time.Time{h.polled[id].Add(pollPause), state.RestsUntil} {
-			if at.Before(earliest) {
-				at = earliest
+		for _, earliest := range []time.Time{l.polledAt[id].Add(pollInterval), state.RestsUntil} {
+			if dueAt.Before(earliest) {
+				dueAt = earliest
 			}
 		}
-		if at.After(now) {
-			h.due(at)
+		if dueAt.After(now) {
+			l.scheduleRound(dueAt)
 			continue
 		}
-		if question, possible := state.Question(now); possible {
-			h.ask(ctx, question, now)
+		if probe, possible := state.ProbeOrder(now); possible {
+			l.sendProbe(ctx, probe, now)
 			continue
 		}
-		h.check(ctx, id, now)
+		l.requestReport(ctx, id, now)
 	}
 }
 
 // ask gives an order again that should have been carried out, to learn whether it was; the
 // mutex is held.
-func (h *Holder) ask(ctx context.Context, order loading.Order, now time.Time) {
-	entry, found := h.Fleet.Entry(order.ReplicaID)
-	if !found || !h.mayMessage(h.states[order.ReplicaID], now) {
+func (l *Leader) sendProbe(ctx context.Context, order loading.Order, now time.Time) {
+	entry, found := l.Fleet.Entry(order.ReplicaID)
+	if !found || !l.reserveMessage(l.states[order.ReplicaID], now) {
 		return
 	}
-	h.calling[order.ReplicaID] = nil
-	h.lastOrder = now
-	h.ordered.note(order.ReplicaID, now)
-	h.send(ctx, entry, order, h.fence, h.applyAsked)
+	l.inFlight[order.ReplicaID] = nil
+	l.lastOrderAt = now
+	l.orderTimes.record(order.ReplicaID, now)
+	l.sendOrder(ctx, entry, order, l.fence, l.applyProbeResponse)
 }
 
-// applyAsked takes in the answer to an order that was given before; the mutex is held.
-func (h *Holder) applyAsked(state *loading.Replica, order loading.Order, answer Answer, err error, now time.Time) {
-	if err == nil && (answer == Accepted || answer == Refused) {
-		state.NotYet(now) // accepted says that it is being carried out
+// applyProbeResponse takes in the answer to an order that was given before; the mutex is held.
+func (l *Leader) applyProbeResponse(state *loading.Replica, order loading.Order, response OrderResponse, err error, now time.Time) {
+	if err == nil && (response == Accepted || response == Refused) {
+		state.MarkUnfinished(now) // accepted says that it is being carried out
 		return
 	}
-	h.apply(state, order, answer, err, now)
+	l.applyResponse(state, order, response, err, now)
 }
 
 // due notes a moment at which the holder has to look again; the mutex is held.
-func (h *Holder) due(at time.Time) {
-	if h.next.IsZero() || at.Before(h.next) {
-		h.next = at
+func (l *Leader) scheduleRound(at time.Time) {
+	if l.nextRoundAt.IsZero() || at.Before(l.nextRoundAt) {
+		l.nextRoundAt = at
 	}
 }
 
 // check asks a replica for its report; the mutex is held.
-func (h *Holder) check(ctx context.Context, id string, now time.Time) {
-	entry, found := h.Fleet.Entry(id)
-	if !found || !h.mayMessage(h.states[id], now) {
+func (l *Leader) requestReport(ctx context.Context, id string, now time.Time) {
+	entry, found := l.Fleet.Entry(id)
+	if !found || !l.reserveMessage(l.states[id], now) {
 		return
 	}
-	h.calling[id] = nil
-	h.polled[id] = now
-	fence := h.fence
+	l.inFlight[id] = nil
+	l.polledAt[id] = now
+	fence := l.fence
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 		defer cancel()
-		report, err := h.Replicas.Report(ctx, entry)
-		h.heard(id, fence, report, err)
+		report, err := l.Replicas.Report(ctx, entry)
+		l.applyReport(id, fence, report, err)
 	}()
 }
 
 // heard takes in a replica's report.
-func (h *Holder) heard(id string, fence int64, report loading.Report, err error) {
+func (l *Leader) applyReport(id string, fence int64, report loading.Report, err error) {
 	now := time.Now()
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if fence != h.fence {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if fence != l.fence {
 		return
 	}
-	delete(h.calling, id)
-	state := h.states[id]
+	delete(l.inFlight, id)
+	state := l.states[id]
 	if state == nil {
 		return
 	}
 	if err != nil {
-		if state.Known {
-			h.polled[id] = now.Add(pollPause) // ask less often where nothing answers
+		if state.Verified {
+			l.polledAt[id] = now.Add(pollInterval) // ask less often where nothing answers
 		} else {
-			state.Lost(now)
+			state.MarkUnreachable(now)
 		}
 		return
 	}
-	changed := state.Hear(report, now)
-	h.fetches.Heard(state, now)
+	changed := state.ApplyReport(report, now)
+	l.fetches.Update(state, now)
 	if changed {
-		h.touch(id)
-		h.Log.WithFields(logrus.Fields{logging.Replica: id, logging.Sequence: report.Sequence, logging.Model: slices.Sorted(maps.Keys(report.Holdings)),
+		l.markChanged(id)
+		l.Log.WithFields(logrus.Fields{logging.Replica: id, logging.Sequence: report.Sequence, logging.Model: slices.Sorted(maps.Keys(report.Holdings)),
 			logging.Busy: report.Busy, logging.Fence: fence}).Info(logging.MessageReplicaHeard)
 	}
-	h.Wake()
+	l.Wake()
 }
 
 func sortedIDs(states map[string]*loading.Replica) []string { return slices.Sorted(maps.Keys(states)) }
--- a/loader/reach.go
+++ b/loader/reach.go
@@ -6,49 +6,49 @@
 	"time"
 )
 
-// lostTime is how long daemons that were attached and are not any more count as cut off: they use their
+// detachedCountTTL is how long daemons that were attached and are not any more count as cut off: they use their
 // own parts of replicas' limits. After it they are thought to be gone for good.
-const lostTime = 30 * time.Second
+const detachedCountTTL = 30 * time.Second
 
 // reach is which share of the daemons is attached to the holder. The share may be read without the
 // holder's mutex.
-type reach struct {
-	streams map[string]int // of each daemon: one that started again may have two for a while
-	most    int            // daemons lately
-	mostAt  time.Time      // when they were last as many
-	share   atomic.Uint64
+type attachment struct {
+	streams    map[string]int // of each daemon: one that started again may have two for a while
+	maxDaemons int            // daemons lately
+	maxSeenAt  time.Time      // when they were last as many
+	share      atomic.Uint64
 }
 
 // join and leave take in that a stream of a daemon begins and ends.
-func (r *reach) join(daemon string) {
+func (r *attachment) addStream(daemon string) {
 	if r.streams == nil {
 		r.streams = map[string]int{}
 	}
 	r.streams[daemon]++
 }
 
-func (r *reach) leave(daemon string) {
+func (r *attachment) removeStream(daemon string) {
 	if r.streams[daemon]--; r.streams[daemon] <= 0 {
 		delete(r.streams, daemon)
 	}
 }
 
 // note works out the share.
-func (r *reach) note(now time.Time) {
+func (r *attachment) updateShare(now time.Time) {
 	attached := len(r.streams)
-	if attached >= r.most || now.Sub(r.mostAt) > lostTime {
-		r.most, r.mostAt = attached, now
+	if attached >= r.maxDaemons || now.Sub(r.maxSeenAt) > detachedCountTTL {
+		r.maxDaemons, r.maxSeenAt = attached, now
 	}
-	r.share.Store(math.Float64bits(float64(attached) / float64(max(1, r.most))))
+	r.share.Store(math.Float64bits(float64(attached) / float64(max(1, r.maxDaemons))))
 }
 
 // expect takes in how many daemons the last holder had.
-func (r *reach) expect(daemons int, now time.Time) {
-	if daemons > r.most {
-		r.most, r.mostAt = daemons, now
+func (r *attachment) expect(daemons int, now time.Time) {
+	if daemons > r.maxDaemons {
+		r.maxDaemons, r.maxSeenAt = daemons, now
 	}
 }
 
 // Reached returns which share of the daemons is attached to this one, the holder of load orders, as of
 // its last round of decisions.
-func (h *Holder) Reached() float64 { return math.Float64frombits(h.reach.share.Load()) }
+func (l *Leader) Reached() float64 { return math.Float64frombits(l.attachment.share.Load()) }
--- a/loader/registry.go
+++ b/loader/registry.go
@@ -9,14 +9,14 @@
 // registryChanges gathers which replicas changed in the registry between two rounds of decisions,
 // so that a round costs what has changed and not a look at all replicas: 3 ms and 1.5 MB at 10,000.
 type registryChanges struct {
-	mutex   sync.Mutex
-	changed map[string]struct{}
-	isAll   bool           // all are to be looked at
-	table   *routing.Table // by which they were looked at last
+	mutex      sync.Mutex
+	changed    map[string]struct{}
+	allChanged bool           // all are to be looked at
+	table      *routing.Table // by which they were looked at last
 }
 
 // note takes in that a replica changed.
-func (r *registryChanges) note(id string) {
+func (r *registryChanges) add(id string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.changed == nil {
@@ -26,10 +26,10 @@
 }
 
 // all makes the next round look at all replicas.
-func (r *registryChanges) all() {
+func (r *registryChanges) markAll() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.isAll = true
+	r.allChanged = true
 }
 
 // take returns the replicas to be looked at, or that all are, and begins anew. Another table may
@@ -37,17 +37,17 @@
 func (r *registryChanges) take(table *routing.Table) (changed map[string]struct{}, all bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	changed, all = r.changed, r.isAll || r.table != table
-	r.changed, r.isAll, r.table = nil, false, table
+	changed, all = r.changed, r.allChanged || r.table != table
+	r.changed, r.allChanged, r.table = nil, false, table
 	return changed, all
 }
 
 // RegistryChanged takes in that a replica changed in the registry; empty: that all may have.
-func (h *Holder) RegistryChanged(replica string) {
+func (l *Leader) RegistryChanged(replica string) {
 	if replica == "" {
-		h.registry.all()
+		l.changedReplicas.markAll()
 	} else {
-		h.registry.note(replica)
+		l.changedReplicas.add(replica)
 	}
-	h.Wake()
+	l.Wake()
 }
--- a/loader/touches.go
+++ b/loader/touches.go
@@ -4,41 +4,41 @@
 
 // touches remembers in which version each replica last changed, so that what changed
 // after a version is found without a look at all replicas.
-type touches struct {
+type changeLog struct {
 	versions map[string]uint64
-	log      []touch // in the order of versions
+	entries  []changeEntry // in the order of versions
 }
 
-type touch struct {
+type changeEntry struct {
 	replica string
 	version uint64
 }
 
-// spareTouches is how many outdated entries the log may hold beyond the replicas.
-const spareTouches = 256
+// maxStaleEntries is how many outdated entries the log may hold beyond the replicas.
+const maxStaleEntries = 256
 
-func newTouches() *touches { return &touches{versions: map[string]uint64{}} }
+func newChangeLog() *changeLog { return &changeLog{versions: map[string]uint64{}} }
 
 // mark notes that a replica changed in a version, the highest so far.
-func (t *touches) mark(replica string, version uint64) {
+func (t *changeLog) mark(replica string, version uint64) {
 	t.versions[replica] = version
-	t.log = append(t.log, touch{replica, version})
-	if len(t.log) > 2*len(t.versions)+spareTouches {
-		t.log = slices.DeleteFunc(t.log, func(one touch) bool { return t.versions[one.replica] != one.version })
+	t.entries = append(t.entries, changeEntry{replica, version})
+	if len(t.entries) > 2*len(t.versions)+maxStaleEntries {
+		t.entries = slices.DeleteFunc(t.entries, func(entry changeEntry) bool { return t.versions[entry.replica] != entry.version })
 	}
 }
 
 // has tells whether a replica was ever marked.
-func (t *touches) has(replica string) bool { return t.versions[replica] > 0 }
+func (t *changeLog) has(replica string) bool { return t.versions[replica] > 0 }
 
 // after lists the replicas that last changed after a version, each once.
-func (t *touches) after(version uint64) []string {
+func (t *changeLog) after(version uint64) []string {
 	var changed []string
-	for index := len(t.log) - 1; index >= 0 && t.log[index].version > version; index-- {
-		one := t.log[index]
+	for index := len(t.entries) - 1; index >= 0 && t.entries[index].version > version; index-- {
+		entry := t.entries[index]
 		// A replica may be marked twice in one version; both entries are then alike.
-		if t.versions[one.replica] == one.version && !slices.Contains(changed[max(0, len(changed)-1):], one.replica) {
-			changed = append(changed, one.replica)
+		if t.versions[entry.replica] == entry.version && !slices.Contains(changed[max(0, len(changed)-1):], entry.replica) {
+			changed = append(changed, entry.replica)
 		}
 	}
 	return changed
--- a/loader/turns_test.go
+++ b/loader/turns_test.go
@@ -12,69 +12,69 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// turnsOf is a book of the holder's own.
-type turnsOf struct {
+// reservationBook is a book of the holder's own.
+type reservationBook struct {
 	book  *permit.Book
 	now   time.Time
-	begun int
+	terms int
 }
 
-func (t *turnsOf) Begin() { t.begun++ }
+func (b *reservationBook) BeginTerm() { b.terms++ }
 
-func (t *turnsOf) TakeTurn(ask permit.Ask) (bool, time.Duration) {
-	answer := t.book.Ask(ask, 1, t.now)
+func (b *reservationBook) TryReserve(request permit.Ask) (bool, time.Duration) {
+	answer := b.book.Ask(request, 1, b.now)
 	return answer.Granted, answer.RetryIn
 }
 
 // Orders and questions are messages as requests are: a replica that takes one in five seconds gets no more
 // of them either.
-func TestOrdersAndQuestionsToAReplicaWithALimitNeedTurns(t *testing.T) {
+func TestMessagesToALimitedReplicaNeedReservations(t *testing.T) {
 	const pause = 5 * time.Second
-	holder, replicas := orderingHolder(t)
+	leader, replicas := leaderWithDemand(t)
 	now := time.Now()
-	turns := &turnsOf{book: permit.NewBook(true, now), now: now}
-	holder.Turns = turns
-	holder.Fleet.Put(fleet.Entry{ID: "r1", Service: "press", Address: "r1:1"}, now)
-	holder.Fleet.HearLimit(naming("r1", 1/pause.Seconds()), now)
-	holder.report(&rpc.LoadsDemand{DaemonId: "d2", Keys: []*rpc.TargetLoadDemand{{Service: "press", Model: "m1", Arrivals: 1, Waiting: 1}}})
+	reservations := &reservationBook{book: permit.NewBook(true, now), now: now}
+	leader.Turns = reservations
+	leader.Fleet.Put(fleet.Entry{ID: "r1", Service: "press", Address: "r1:1"}, now)
+	leader.Fleet.HearLimit(limitNotice("r1", 1/pause.Seconds()), now)
+	leader.applyDemand(&rpc.LoadsDemand{DaemonId: "d2", Keys: []*rpc.TargetLoadDemand{{Service: "press", Model: "m1", Arrivals: 1, Waiting: 1}}})
 
-	holder.turn(t.Context(), now)
-	require.Equal(t, 1, turns.begun)
-	require.Equal(t, "r1", received(t, replicas.reports), "the first turn")
+	leader.runRound(t.Context(), now)
+	require.Equal(t, 1, reservations.terms)
+	require.Equal(t, "r1", receive(t, replicas.reports), "the first turn")
 	require.Eventually(t, func() bool {
-		holder.mutex.Lock()
-		defer holder.mutex.Unlock()
-		return holder.states["r1"].Known
+		leader.mutex.Lock()
+		defer leader.mutex.Unlock()
+		return leader.states["r1"].Verified
 	}, time.Second, time.Millisecond)
-	holder.turn(t.Context(), now)
-	require.Empty(t, holder.calling, "the next is not free")
-	turns.now = now.Add(pause)
-	holder.turn(t.Context(), turns.now)
-	require.Equal(t, "m1", received(t, replicas.orders).Target.Model)
+	leader.runRound(t.Context(), now)
+	require.Empty(t, leader.inFlight, "the next is not free")
+	reservations.now = now.Add(pause)
+	leader.runRound(t.Context(), reservations.now)
+	require.Equal(t, "m1", receive(t, replicas.orders).Target.Model)
 }
 
-func TestTheShareOfTheDaemonsThatReachTheHolder(t *testing.T) {
+func TestReachableShare(t *testing.T) {
 	now := time.Now()
-	holder := &Holder{}
-	require.Zero(t, holder.Reached())
-	note := func(attached int, after time.Duration) float64 {
-		holder.reach.streams = nil
+	leader := &Leader{}
+	require.Zero(t, leader.Reached())
+	updateShare := func(attached int, after time.Duration) float64 {
+		leader.attachment.streams = nil
 		for number := range attached {
-			holder.reach.join(strconv.Itoa(number))
+			leader.attachment.addStream(strconv.Itoa(number))
 		}
-		holder.reach.join("0") // it has started again, and its earlier stream still stands
-		holder.reach.note(now.Add(after))
-		return holder.Reached()
+		leader.attachment.addStream("0") // it has started again, and its earlier stream still stands
+		leader.attachment.updateShare(now.Add(after))
+		return leader.Reached()
 	}
-	require.Equal(t, 1.0, note(9, 0))
-	require.Equal(t, 1.0/3, note(3, time.Second), "the others may be cut off")
-	require.Equal(t, 1.0, note(9, 2*time.Second))
-	require.InDelta(t, 8.0/9, note(8, 3*time.Second), 1e-9)
-	require.Equal(t, 1.0, note(8, 3*time.Second+lostTime), "it is gone for good")
-	holder.reach.expect(16, now.Add(time.Hour))
-	require.Equal(t, 0.5, note(8, time.Hour+time.Second), "the last holder had more")
-	holder.reach.leave("0")
-	require.Len(t, holder.reach.streams, 8)
-	holder.reach.leave("0")
-	require.Len(t, holder.reach.streams, 7)
+	require.Equal(t, 1.0, updateShare(9, 0))
+	require.Equal(t, 1.0/3, updateShare(3, time.Second), "the others may be cut off")
+	require.Equal(t, 1.0, updateShare(9, 2*time.Second))
+	require.InDelta(t, 8.0/9, updateShare(8, 3*time.Second), 1e-9)
+	require.Equal(t, 1.0, updateShare(8, 3*time.Second+detachedCountTTL), "it is gone for good")
+	leader.attachment.expect(16, now.Add(time.Hour))
+	require.Equal(t, 0.5, updateShare(8, time.Hour+time.Second), "the last holder had more")
+	leader.attachment.removeStream("0")
+	require.Len(t, leader.attachment.streams, 8)
+	leader.attachment.removeStream("0")
+	require.Len(t, leader.attachment.streams, 7)
 }
--- a/loader/yield_test.go
+++ b/loader/yield_test.go
@@ -9,40 +9,40 @@
 
 // Seen on a drawn day of Nitra large (fresh-3090): a machine with a quarter of the strongest
 // ones' processor held the term to the end of the day.
-func TestATermIsHandedOverToAMuchStrongerMachineOnly(t *testing.T) {
+func TestTermIsHandedOverOnlyToAMuchStrongerMachine(t *testing.T) {
 	const own = 400 * time.Millisecond
 	now := time.Unix(1_000_000, 0)
-	longAgo := now.Add(-yieldAfter)
+	longAgo := now.Add(-minTermAgeForHandover)
 	for name, example := range map[string]struct {
-		other    daemonDemand
+		other    daemonState
 		stronger bool
 	}{
-		"much stronger":   {daemonDemand{delay: own / 4, attached: longAgo}, true},
-		"hardly stronger": {daemonDemand{delay: own * 3 / 4, attached: longAgo}, false},
-		"alike":           {daemonDemand{delay: own, attached: longAgo}, false},
-		"not known":       {daemonDemand{attached: longAgo}, false},
-		"just attached":   {daemonDemand{delay: own / 4, attached: now}, false},
-		"detached":        {daemonDemand{delay: own / 4, attached: longAgo, detached: now}, false},
+		"much stronger":   {daemonState{termDelay: own / 4, attachedAt: longAgo}, true},
+		"hardly stronger": {daemonState{termDelay: own * 3 / 4, attachedAt: longAgo}, false},
+		"alike":           {daemonState{termDelay: own, attachedAt: longAgo}, false},
+		"not known":       {daemonState{attachedAt: longAgo}, false},
+		"just attached":   {daemonState{termDelay: own / 4, attachedAt: now}, false},
+		"detached":        {daemonState{termDelay: own / 4, attachedAt: longAgo, detachedAt: now}, false},
 	} {
-		holder := &Holder{Daemon: "own", TermDelay: own, daemons: map[string]*daemonDemand{"other": &example.other}}
-		require.Equal(t, example.stronger, holder.strongerAttached(now), name)
+		leader := &Leader{Daemon: "own", TermDelay: own, daemons: map[string]*daemonState{"other": &example.other}}
+		require.Equal(t, example.stronger, leader.hasStrongerDaemon(now), name)
 	}
 }
 
 // A strong daemon that is attached but does not reach the key-value service takes no term.
-func TestATermThatNobodyElseTookIsHandedOverEverMoreRarely(t *testing.T) {
+func TestUnclaimedHandoversBackOff(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	plan := yieldPlan{}
+	plan := handoverPlan{}
 	plan.termBegan(now)
-	require.False(t, plan.due(now))
-	now = now.Add(yieldAfter)
-	require.True(t, plan.due(now))
-	plan.last = now
+	require.False(t, plan.mayHandOver(now))
+	now = now.Add(minTermAgeForHandover)
+	require.True(t, plan.mayHandOver(now))
+	plan.lastHandover = now
 	now = now.Add(500 * time.Millisecond)
 	plan.termBegan(now)
-	require.False(t, plan.due(now.Add(yieldAfter)))
-	require.True(t, plan.due(now.Add(yieldAgain*yieldAfter)))
+	require.False(t, plan.mayHandOver(now.Add(minTermAgeForHandover)))
+	require.True(t, plan.mayHandOver(now.Add(handoverBackoffFactor*minTermAgeForHandover)))
 	now = now.Add(time.Hour)
 	plan.termBegan(now) // another held it in between
-	require.True(t, plan.due(now.Add(yieldAfter)))
+	require.True(t, plan.mayHandOver(now.Add(minTermAgeForHandover)))
 }
--- a/loading/ask.go
+++ b/loading/ask.go
@@ -6,48 +6,48 @@
 )
 
 const (
-	// askAgain is the time between two questions whether a load has ended.
-	askAgain = 50 * time.Millisecond
-	// mostAsked is how often a replica is asked before its reports are read instead.
-	mostAsked = 4
-	// triedWithin is how long after an unload should have ended its replica's report is
+	// probeInterval is the time between two questions whether a load has ended.
+	probeInterval = 50 * time.Millisecond
+	// maxProbes is how often a replica is asked before its reports are read instead.
+	maxProbes = 4
+	// unloadReportDelay is how long after an unload should have ended its replica's report is
 	// read, where no next order told.
-	triedWithin = 100 * time.Millisecond
-	// readAfter is how long after an answer the report tells of it, and of the copies of
+	unloadReportDelay = 100 * time.Millisecond
+	// reportDelay is how long after an answer the report tells of it, and of the copies of
 	// weights that are kept.
-	readAfter = 600 * time.Millisecond
+	reportDelay = 600 * time.Millisecond
 )
 
-// reasonAsked is the reason of an order that is given again.
-const reasonAsked = "whether it has ended"
+// reasonProbe is the reason of an order that is given again.
+const reasonProbe = "whether it has ended"
 
 // Question returns the order to be given again to learn at once, not from a later report,
 // that the load of a model has ended: the replica answers that it holds the model, or
 // that it is busy.
-func (r *Replica) Question(now time.Time) (Order, bool) {
-	if !r.Known || now.Before(r.HeldUntil) {
+func (r *Replica) ProbeOrder(now time.Time) (Order, bool) {
+	if !r.Verified || now.Before(r.TermGapUntil) {
 		return Order{}, false
 	}
-	for _, order := range r.UnderWay {
-		if order.Verb == Load && order.ForModel() && order.Asked < mostAsked && !now.Before(order.askAt()) {
-			asked := order.Order
-			asked.Sequence, asked.Reason = r.Sequence, reasonAsked
-			return asked, true
+	for _, order := range r.Pending {
+		if order.Verb == Load && order.ForModel() && order.Probes < maxProbes && !now.Before(order.probeAt()) {
+			probe := order.Order
+			probe.Sequence, probe.Reason = r.Sequence, reasonProbe
+			return probe, true
 		}
 	}
 	return Order{}, false
 }
 
-// askAt is when the replica should be asked whether the order has ended.
-func (u UnderWay) askAt() time.Time {
-	return u.ReadyAt().Add(time.Duration(u.Asked) * askAgain)
+// probeAt is when the replica should be asked whether the order has ended.
+func (o Pending) probeAt() time.Time {
+	return o.ReadyAt().Add(time.Duration(o.Probes) * probeInterval)
 }
 
 // Ended takes in the replica's answer that an order under way has ended.
-func (r *Replica) Ended(order Order, now time.Time) {
-	r.UnderWay = slices.DeleteFunc(r.UnderWay, func(one UnderWay) bool { return one.is(order) })
-	r.apply(order)
-	r.ReadAgainAt = now.Add(readAfter)
+func (r *Replica) CompleteOrder(order Order, now time.Time) {
+	r.Pending = slices.DeleteFunc(r.Pending, func(one Pending) bool { return one.sameAs(order) })
+	r.applyOrder(order)
+	r.ReportDueAt = now.Add(reportDelay)
 	if order.Verb == Load && order.ForModel() {
 		if r.LoadedAt == nil {
 			r.LoadedAt = map[string]time.Time{}
@@ -64,12 +64,12 @@
 	return append(slices.Clone(names), name)
 }
 
-// NotYet takes in the replica's answer that a model is still being loaded or unloaded.
-func (r *Replica) NotYet(now time.Time) {
-	for index := range r.UnderWay {
-		if order := &r.UnderWay[index]; order.ForModel() && !now.Before(order.ReadyAt()) {
-			if order.Asked++; order.Asked >= mostAsked {
-				r.Known = false // only its report tells, whatever it says
+// MarkUnfinished takes in the replica's answer that a model is still being loaded or unloaded.
+func (r *Replica) MarkUnfinished(now time.Time) {
+	for index := range r.Pending {
+		if order := &r.Pending[index]; order.ForModel() && !now.Before(order.ReadyAt()) {
+			if order.Probes++; order.Probes >= maxProbes {
+				r.Verified = false // only its report tells, whatever it says
 			}
 		}
 	}
@@ -77,30 +77,30 @@
 
 // Awaits tells whether the replica has an order for a model under way that should have
 // ended.
-func (r *Replica) Awaits(now time.Time) bool {
-	return slices.ContainsFunc(r.UnderWay, func(order UnderWay) bool {
+func (r *Replica) HasOverdueOrder(now time.Time) bool {
+	return slices.ContainsFunc(r.Pending, func(order Pending) bool {
 		return order.ForModel() && !now.Before(order.ReadyAt())
 	})
 }
 
-// endUnloads takes in that unloads have ended, since the replica accepts an order for a
+// completeUnloads takes in that unloads have ended, since the replica accepts an order for a
 // model only when none is under way.
-func (r *Replica) endUnloads(now time.Time) {
-	for _, order := range slices.Clone(r.UnderWay) {
-		if order.unloaded(now) {
-			r.Ended(order.Order, now)
+func (r *Replica) completeUnloads(now time.Time) {
+	for _, order := range slices.Clone(r.Pending) {
+		if order.isOverdueUnload(now) {
+			r.CompleteOrder(order.Order, now)
 		}
 	}
 }
 
-// olderThanAnswers tells whether a report lacks a model of which the replica has said
+// predatesResponses tells whether a report lacks a model of which the replica has said
 // since that it holds it.
-func (r *Replica) olderThanAnswers(report Report, now time.Time) bool {
-	if r.ReadAgainAt.IsZero() || now.After(r.ReadAgainAt.Add(readAfter)) {
+func (r *Replica) predatesResponses(report Report, now time.Time) bool {
+	if r.ReportDueAt.IsZero() || now.After(r.ReportDueAt.Add(reportDelay)) {
 		return false
 	}
 	for model := range r.Holdings {
-		if _, held := report.Holdings[model]; !held && now.Sub(r.LoadedAt[model]) < 2*readAfter {
+		if _, held := report.Holdings[model]; !held && now.Sub(r.LoadedAt[model]) < 2*reportDelay {
 			return true
 		}
 	}
--- a/loading/ask_test.go
+++ b/loading/ask_test.go
@@ -8,80 +8,80 @@
 	"github.com/finchspoke/finchspoke/fleet"
 )
 
-func loadOrder(model string) Order {
-	return Order{ReplicaID: "r1", Verb: Load, Target: fleet.Target{Model: model}, Origin: FromDisk, Takes: second}
+func loadFromDisk(model string) Order {
+	return Order{ReplicaID: "r1", Verb: Load, Target: fleet.Target{Model: model}, Origin: FromDisk, ExpectedDuration: second}
 }
 
 // Reports tell of the end of a load some hundred ms late, which was a fifth of the time
 // that each load kept its replica.
-func TestAReplicaIsAskedByTheSameOrderWhetherALoadHasEnded(t *testing.T) {
-	asked := replica("r1", "m0")
-	asked.Took(loadOrder("m1"), start)
-	_, possible := asked.Question(start.Add(second - 1))
+func TestOverdueLoadIsProbedByRepeatingItsOrder(t *testing.T) {
+	probed := replica("r1", "m0")
+	probed.MarkAccepted(loadFromDisk("m1"), startTime)
+	_, possible := probed.ProbeOrder(startTime.Add(second - 1))
 	require.False(t, possible, "not before it should have ended")
-	question, possible := asked.Question(start.Add(second))
+	probe, possible := probed.ProbeOrder(startTime.Add(second))
 	require.True(t, possible)
-	require.Equal(t, asked.Sequence, question.Sequence)
-	require.Equal(t, fleet.Target{Model: "m1"}, question.Target)
+	require.Equal(t, probed.Sequence, probe.Sequence)
+	require.Equal(t, fleet.Target{Model: "m1"}, probe.Target)
 
-	asked.NotYet(start.Add(second))
-	require.Equal(t, start.Add(second+askAgain), asked.NextCheck(start.Add(second)))
-	_, possible = asked.Question(start.Add(second))
+	probed.MarkUnfinished(startTime.Add(second))
+	require.Equal(t, startTime.Add(second+probeInterval), probed.NextCheck(startTime.Add(second)))
+	_, possible = probed.ProbeOrder(startTime.Add(second))
 	require.False(t, possible)
 
-	end := start.Add(second + askAgain)
-	asked.Ended(question, end)
-	require.True(t, asked.Holdings.Has(fleet.Target{Model: "m1"}))
-	require.Empty(t, asked.UnderWay)
-	require.Zero(t, asked.freeIn(end))
-	require.Contains(t, asked.OnDisk, "m1")
-	require.Equal(t, end.Add(readAfter), asked.NextCheck(end), "the report tells which copies are kept")
+	end := startTime.Add(second + probeInterval)
+	probed.CompleteOrder(probe, end)
+	require.True(t, probed.Holdings.Has(fleet.Target{Model: "m1"}))
+	require.Empty(t, probed.Pending)
+	require.Zero(t, probed.freeIn(end))
+	require.Contains(t, probed.OnDisk, "m1")
+	require.Equal(t, end.Add(reportDelay), probed.NextCheck(end), "the report tells which copies are kept")
 }
 
-func TestAReportFromBeforeAnAnswerIsNotTaken(t *testing.T) {
-	asked := replica("r1", "m0")
-	asked.Took(loadOrder("m1"), start)
-	end := start.Add(second)
-	asked.Ended(loadOrder("m1"), end)
-	require.False(t, asked.Hear(Report{Sequence: 1, Busy: true, Holdings: fleet.Holdings{"m0": nil}}, end.Add(readAfter)))
-	require.True(t, asked.Holdings.Has(fleet.Target{Model: "m1"}))
-	asked.Hear(Report{Sequence: 1, Holdings: fleet.Holdings{"m0": nil, "m1": nil}, OnDisk: []string{"m1"}}, end.Add(2*readAfter))
-	require.Equal(t, []string{"m1"}, asked.OnDisk)
-	require.True(t, asked.NextCheck(end.Add(2*readAfter)).IsZero())
+func TestReportOlderThanAResponseIsIgnored(t *testing.T) {
+	probed := replica("r1", "m0")
+	probed.MarkAccepted(loadFromDisk("m1"), startTime)
+	end := startTime.Add(second)
+	probed.CompleteOrder(loadFromDisk("m1"), end)
+	require.False(t, probed.ApplyReport(Report{Sequence: 1, Busy: true, Holdings: fleet.Holdings{"m0": nil}}, end.Add(reportDelay)))
+	require.True(t, probed.Holdings.Has(fleet.Target{Model: "m1"}))
+	probed.ApplyReport(Report{Sequence: 1, Holdings: fleet.Holdings{"m0": nil, "m1": nil}, OnDisk: []string{"m1"}}, end.Add(2*reportDelay))
+	require.Equal(t, []string{"m1"}, probed.OnDisk)
+	require.True(t, probed.NextCheck(end.Add(2*reportDelay)).IsZero())
 }
 
 // Seen in a trial: the replica's count of orders was not what was thought, it refused each
 // question, and its reports were not taken for the rest of the day.
-func TestAReplicaThatNeverSaysThatALoadHasEndedIsReadAnew(t *testing.T) {
-	asked := replica("r1", "m0")
-	asked.Took(loadOrder("m1"), start)
-	asked.Sequence++ // more than the replica has taken
-	now := start.Add(second)
-	for range mostAsked {
-		asked.NotYet(now)
-		now = now.Add(askAgain)
+func TestReportIsFetchedAfterTooManyProbes(t *testing.T) {
+	probed := replica("r1", "m0")
+	probed.MarkAccepted(loadFromDisk("m1"), startTime)
+	probed.Sequence++ // more than the replica has taken
+	now := startTime.Add(second)
+	for range maxProbes {
+		probed.MarkUnfinished(now)
+		now = now.Add(probeInterval)
 	}
-	require.False(t, asked.Known)
-	asked.Hear(Report{Sequence: 1, Holdings: fleet.Holdings{"m0": nil, "m1": nil}}, now.Add(second))
-	require.Equal(t, int64(1), asked.Sequence)
-	require.True(t, asked.Holdings.Has(fleet.Target{Model: "m1"}))
+	require.False(t, probed.Verified)
+	probed.ApplyReport(Report{Sequence: 1, Holdings: fleet.Holdings{"m0": nil, "m1": nil}}, now.Add(second))
+	require.Equal(t, int64(1), probed.Sequence)
+	require.True(t, probed.Holdings.Has(fleet.Target{Model: "m1"}))
 }
 
-func TestTheLoadIsOrderedWhenTheUnloadBeforeItShouldHaveEnded(t *testing.T) {
-	emptied := keeping(replica("r1", "m1", "m2"), "m5")
-	emptied.Took(Order{ReplicaID: "r1", Verb: Unload, Target: fleet.Target{Model: "m1"}, Takes: unloadTime, RoomFor: "m5"}, start)
-	made := snapshot(waitingFor("m5", ""), emptied, replica("r2", "m0"))
+func TestLoadIsOrderedOnceThePrecedingUnloadIsDue(t *testing.T) {
+	emptied := withDisk(replica("r1", "m1", "m2"), "m5")
+	emptied.MarkAccepted(Order{ReplicaID: "r1", Verb: Unload, Target: fleet.Target{Model: "m1"}, ExpectedDuration: unloadTime, RoomFor: "m5"}, startTime)
+	made := snapshot(oneWaiting("m5", ""), emptied, replica("r2", "m0"))
 	require.Empty(t, decideOnDemand(made))
-	made.Now = start.Add(unloadTime)
+	made.Now = startTime.Add(unloadTime)
 	orders := decideOnDemand(made)
 	require.Len(t, orders, 1)
 	require.Equal(t, Load, orders[0].Verb)
 	require.Equal(t, "r1", orders[0].ReplicaID)
 
 	taken := *emptied
-	taken.Took(orders[0], made.Now)
+	taken.MarkAccepted(orders[0], made.Now)
 	require.False(t, taken.Holdings.Has(fleet.Target{Model: "m1"}), "it takes a load only after the unload")
 
-	emptied.NotYet(made.Now)
+	emptied.MarkUnfinished(made.Now)
 	require.Empty(t, decideOnDemand(made), "runs are still under way there")
 }
--- a/loading/bench_test.go
+++ b/loading/bench_test.go
@@ -23,11 +23,11 @@
 		}
 		engine.Models[name] = model
 		if rank%10 == 0 {
-			asked[demand.Key{Service: "press", Target: fleet.Target{Model: name}}] = Demand{PerSecond: 5, Running: 9, LastUsed: start}
-			asked[demand.Key{Service: "press", Target: fleet.Target{Model: name, Adapter: "a1"}}] = Demand{PerSecond: 1, Running: 2, LastUsed: start}
+			asked[demand.Key{Service: "press", Target: fleet.Target{Model: name}}] = Demand{PerSecond: 5, Running: 9, LastUsed: startTime}
+			asked[demand.Key{Service: "press", Target: fleet.Target{Model: name, Adapter: "a1"}}] = Demand{PerSecond: 1, Running: 2, LastUsed: startTime}
 		}
 	}
-	made := Snapshot{Now: start, Services: map[string]*routing.Engine{"press": engine}, Demand: asked, StoreLoads: 100, StoreAtOnce: 100, Settled: true}
+	made := Snapshot{Now: startTime, Services: map[string]*routing.Engine{"press": engine}, Demand: asked, StoreLoadsAllowed: 100, StoreConcurrency: 100, Settled: true}
 	for number := range replicas {
 		made.Replicas = append(made.Replicas, replica(fmt.Sprintf("r%03d", number), fmt.Sprintf("m%d", number%models), fmt.Sprintf("m%d", (number*7+3)%models), fmt.Sprintf("m%d", (number*13+5)%models)))
 	}
--- a/loading/fetch_test.go
+++ b/loading/fetch_test.go
@@ -11,50 +11,50 @@
 )
 
 // keeping returns a replica that holds models and has others on its disk.
-func keeping(made *Replica, onDisk ...string) *Replica {
+func withDisk(made *Replica, onDisk ...string) *Replica {
 	made.OnDisk = onDisk
 	return made
 }
 
 // Seen on a day of many rare models: a replica that kept the weights took another order
 // for a moment, and they were loaded from the store elsewhere, seven times as long.
-func TestALoadWaitsForTheReplicaThatKeepsTheWeights(t *testing.T) {
-	keeper := keeping(replica("r1", "m0"), "m5")
-	keeper.Took(Order{Verb: Load, Target: fleet.Target{Model: "m1"}, Takes: second, Origin: FromDisk}, start.Add(-second/2))
-	require.Empty(t, decideOnDemand(snapshot(waitingFor("m5", ""), keeper, replica("r2", "m0"))))
+func TestLoadWaitsForTheReplicaWithCachedWeights(t *testing.T) {
+	withWeights := withDisk(replica("r1", "m0"), "m5")
+	withWeights.MarkAccepted(Order{Verb: Load, Target: fleet.Target{Model: "m1"}, ExpectedDuration: second, Origin: FromDisk}, startTime.Add(-second/2))
+	require.Empty(t, decideOnDemand(snapshot(oneWaiting("m5", ""), withWeights, replica("r2", "m0"))))
 
-	keeper.Hear(Report{Sequence: 1, Holdings: fleet.Holdings{"m0": nil, "m1": nil}, OnDisk: []string{"m1", "m5"}}, start)
-	orders := decideOnDemand(snapshot(waitingFor("m5", ""), keeper, replica("r2", "m0")))
+	withWeights.ApplyReport(Report{Sequence: 1, Holdings: fleet.Holdings{"m0": nil, "m1": nil}, OnDisk: []string{"m1", "m5"}}, startTime)
+	orders := decideOnDemand(snapshot(oneWaiting("m5", ""), withWeights, replica("r2", "m0")))
 	require.Len(t, orders, 1)
 	require.Equal(t, "r1", orders[0].ReplicaID)
 	require.Equal(t, Unload, orders[0].Verb)
 }
 
-func TestALoadDoesNotWaitForAReplicaThatIsBusyForLonger(t *testing.T) {
-	keeper := keeping(replica("r1", "m0"), "m5")
-	keeper.Took(Order{Verb: Load, Target: fleet.Target{Model: "m1"}, Takes: 8 * second, Origin: FromStore}, start)
-	orders := decideOnDemand(snapshot(waitingFor("m5", ""), keeper, replica("r2", "m0")))
+func TestLoadDoesNotWaitLongerThanALoadFromTheStore(t *testing.T) {
+	withWeights := withDisk(replica("r1", "m0"), "m5")
+	withWeights.MarkAccepted(Order{Verb: Load, Target: fleet.Target{Model: "m1"}, ExpectedDuration: 8 * second, Origin: FromStore}, startTime)
+	orders := decideOnDemand(snapshot(oneWaiting("m5", ""), withWeights, replica("r2", "m0")))
 	require.Len(t, orders, 1)
 	require.Equal(t, "r2", orders[0].ReplicaID)
 }
 
 // A call to the only replica with the weights is on its way: the load waits for it.
-func TestALoadWaitsForACallOnItsWay(t *testing.T) {
-	keeper := keeping(replica("r1"), "m5")
-	calling := keeper.WithCall(nil, start, start.Add(250*time.Millisecond))
-	require.Empty(t, decideOnDemand(snapshot(waitingFor("m5", ""), calling, replica("r2"))))
+func TestLoadWaitsForAPendingCall(t *testing.T) {
+	withWeights := withDisk(replica("r1"), "m5")
+	calling := withWeights.WithPendingCall(nil, startTime, startTime.Add(250*time.Millisecond))
+	require.Empty(t, decideOnDemand(snapshot(oneWaiting("m5", ""), calling, replica("r2"))))
 }
 
 // Seen on the same days: room had been made for a model, and its load was then meant for
 // another replica that was busy, until requests were given up.
-func TestRoomThatWasMadeForAModelIsUsedByIt(t *testing.T) {
-	emptied := keeping(replica("r1", "m1"), "m5")
-	emptied.PromisedTo, emptied.PromisedUntil = "m5", start.Add(second)
+func TestReservedRoomIsUsedByItsModel(t *testing.T) {
+	emptied := withDisk(replica("r1", "m1"), "m5")
+	emptied.ReservedFor, emptied.ReservedUntil = "m5", startTime.Add(second)
 	emptied.Slots, emptied.Running = 10, 9
 	quicker := replica("r2", "m2")
 	quicker.InMemory = []string{"m5"}
-	quicker.Took(Order{Verb: Unload, Target: fleet.Target{Model: "m2"}, Takes: unloadTime}, start)
-	orders := decideOnDemand(snapshot(waitingFor("m5", ""), emptied, quicker))
+	quicker.MarkAccepted(Order{Verb: Unload, Target: fleet.Target{Model: "m2"}, ExpectedDuration: unloadTime}, startTime)
+	orders := decideOnDemand(snapshot(oneWaiting("m5", ""), emptied, quicker))
 	require.Len(t, orders, 1)
 	require.Equal(t, "r1", orders[0].ReplicaID)
 	require.Equal(t, Load, orders[0].Verb)
@@ -62,19 +62,19 @@
 
 // Seen on the same days: each place stayed taken for 4 s after a load of less than one,
 // and loads waited for places.
-func TestALoadedModelMayGoOnceItStayedAsLongAsItsLoadTakes(t *testing.T) {
-	full := keeping(replica("r1", "m1", "m2"), "m1", "m2", "m5")
-	full.LoadedAt["m1"], full.LoadedAt["m2"] = start.Add(-second), start.Add(-second)
-	require.Empty(t, decideOnDemand(snapshot(waitingFor("m5", ""), full)))
-	full.LoadedAt["m1"] = start.Add(-2 * second) // as long as its load from disk
-	orders := decideOnDemand(snapshot(waitingFor("m5", ""), full))
+func TestModelIsEvictableOnceItStayedForItsLoadTime(t *testing.T) {
+	full := withDisk(replica("r1", "m1", "m2"), "m1", "m2", "m5")
+	full.LoadedAt["m1"], full.LoadedAt["m2"] = startTime.Add(-second), startTime.Add(-second)
+	require.Empty(t, decideOnDemand(snapshot(oneWaiting("m5", ""), full)))
+	full.LoadedAt["m1"] = startTime.Add(-2 * second) // as long as its load from disk
+	orders := decideOnDemand(snapshot(oneWaiting("m5", ""), full))
 	require.Len(t, orders, 1)
 	require.Equal(t, "m1", orders[0].Target.Model)
 }
 
-func TestWeightsThatNoReplicaKeepsAreFetchedAhead(t *testing.T) {
-	first := keeping(replica("r1", "m0"), "m0", "m1", "m2")
-	other := keeping(replica("r2", "m3"), "m3", "m4")
+func TestUncachedWeightsArePrefetched(t *testing.T) {
+	first := withDisk(replica("r1", "m0"), "m0", "m1", "m2")
+	other := withDisk(replica("r2", "m3"), "m3", "m4")
 	orders := Decide(snapshot(nil, first, other))
 	require.Len(t, orders, 1)
 	require.Equal(t, "m5", orders[0].Target.Model)
@@ -84,15 +84,15 @@
 	require.Empty(t, Decide(snapshot(nil, first, other)), "some replica keeps each")
 }
 
-func TestNothingIsFetchedAheadBeforeAllReplicasWereHeard(t *testing.T) {
-	unheard := replica("r2", "m1")
-	unheard.Known = false
-	require.Empty(t, Decide(snapshot(nil, replica("r1", "m0"), unheard)))
+func TestNothingIsPrefetchedBeforeAllReplicasAreVerified(t *testing.T) {
+	unverified := replica("r2", "m1")
+	unverified.Verified = false
+	require.Empty(t, Decide(snapshot(nil, replica("r1", "m0"), unverified)))
 }
 
 // Seen before traffic: replicas entered the registry within 2 s, and until then models
 // that the last ones kept were loaded from the store, pushing out what others kept.
-func TestNothingIsFetchedAheadWhileReplicasStillEnterTheRegistry(t *testing.T) {
+func TestNothingIsPrefetchedWhileTheRegistryFills(t *testing.T) {
 	made := snapshot(nil, replica("r1", "m0"), replica("r2", "m1"))
 	made.Settled = false
 	require.Empty(t, Decide(made))
@@ -100,66 +100,66 @@
 	require.NotEmpty(t, Decide(made))
 }
 
-func TestFetchesAheadLeaveHalfOfTheReplicasForOthers(t *testing.T) {
+func TestPrefetchesUseAtMostHalfOfTheReplicas(t *testing.T) {
 	orders := Decide(snapshot(nil, replica("r1"), replica("r2"), replica("r3"), replica("r4")))
 	require.Len(t, orders, 2)
 }
 
-func TestTheStoreGetsNoMoreLoadsThanItBearsAtFullSpeed(t *testing.T) {
+func TestConcurrentStoreLoadsAreLimited(t *testing.T) {
 	asked := map[demand.Key]Demand{}
 	for _, model := range []string{"m1", "m2", "m3"} {
-		asked[key(model, "")] = Demand{Waiting: 1, LastUsed: start}
+		asked[key(model, "")] = Demand{Waiting: 1, LastUsed: startTime}
 	}
 	made := snapshot(asked, replica("r1"), replica("r2"), replica("r3"))
-	made.StoreAtOnce = 2
+	made.StoreConcurrency = 2
 	require.Len(t, Decide(made), 2)
 }
 
-func TestTheStorePaceIsLearnedFromHowLongLoadsTake(t *testing.T) {
-	pace := StorePace{}
-	require.Equal(t, firstAtOnce, pace.AtOnce())
+func TestStoreConcurrencyFollowsLoadTimes(t *testing.T) {
+	pace := ConcurrencyEstimate{}
+	require.Equal(t, initialStoreConcurrency, pace.Limit())
 	for load, want := range map[time.Duration]int{4 * second: 4, 6 * second: 4, 10 * second: 2, 20 * second: 1, 60 * second: 1} {
-		long := StorePace{}
-		long.Expect(load)
-		require.Equal(t, want, long.AtOnce(), load)
+		long := ConcurrencyEstimate{}
+		long.SetLoadTime(load)
+		require.Equal(t, want, long.Limit(), load)
 	}
-	pace.Ended(6*second, 6*second, firstAtOnce)
-	require.Equal(t, firstAtOnce+1, pace.AtOnce(), "at full speed with as many as allowed: one more")
-	pace.Ended(6*second, 6*second, 1)
-	require.Equal(t, firstAtOnce+1, pace.AtOnce(), "few under way say nothing")
-	pace.Ended(12*second, 6*second, 4)
-	require.Equal(t, 2, pace.AtOnce(), "four took twice as long")
-	pace.Ended(60*second, 6*second, 2)
-	require.Equal(t, 1, pace.AtOnce())
+	pace.Observe(6*second, 6*second, initialStoreConcurrency)
+	require.Equal(t, initialStoreConcurrency+1, pace.Limit(), "at full speed with as many as allowed: one more")
+	pace.Observe(6*second, 6*second, 1)
+	require.Equal(t, initialStoreConcurrency+1, pace.Limit(), "few under way say nothing")
+	pace.Observe(12*second, 6*second, 4)
+	require.Equal(t, 2, pace.Limit(), "four took twice as long")
+	pace.Observe(60*second, 6*second, 2)
+	require.Equal(t, 1, pace.Limit())
 }
 
-func TestFetchesAreFollowedUntilTheirReplicasSayThatTheyEnded(t *testing.T) {
+func TestFetchesEndWithTheirReplicasReport(t *testing.T) {
 	fetches := Fetches{}
 	loaded := replica("r1")
-	order := Order{ReplicaID: "r1", Verb: Load, Target: fleet.Target{Model: "m5"}, Origin: FromStore, Takes: 4 * second}
-	loaded.Took(order, start)
-	fetches.Began(order, start)
-	fetches.Heard(loaded, start.Add(second))
-	require.Len(t, fetches.underWay, 1)
-	loaded.Hear(Report{Sequence: 1, Holdings: fleet.Holdings{"m5": nil}}, start.Add(8*second))
-	fetches.Heard(loaded, start.Add(8*second))
-	require.Empty(t, fetches.underWay)
-	require.Equal(t, 1, fetches.Pace.AtOnce(), "one load took twice as long as the catalogue says")
+	order := Order{ReplicaID: "r1", Verb: Load, Target: fleet.Target{Model: "m5"}, Origin: FromStore, ExpectedDuration: 4 * second}
+	loaded.MarkAccepted(order, startTime)
+	fetches.Start(order, startTime)
+	fetches.Update(loaded, startTime.Add(second))
+	require.Len(t, fetches.pending, 1)
+	loaded.ApplyReport(Report{Sequence: 1, Holdings: fleet.Holdings{"m5": nil}}, startTime.Add(8*second))
+	fetches.Update(loaded, startTime.Add(8*second))
+	require.Empty(t, fetches.pending)
+	require.Equal(t, 1, fetches.Concurrency.Limit(), "one load took twice as long as the catalogue says")
 }
 
 // Seen on the same days: the only replica with the weights had just made room for another
 // model, and they were loaded from the store elsewhere.
-func TestALoadWaitsForAReplicaWhoseRoomIsPromisedToAnotherModel(t *testing.T) {
-	keeper := keeping(replica("r1", "m4"), "m3", "m5")
-	keeper.PromisedTo, keeper.PromisedUntil = "m3", start.Add(second)
-	asked := waitingFor("m5", "")
-	made := snapshot(asked, keeper, replica("r2", "m0"))
+func TestLoadWaitsForAReplicaReservedForAnotherModel(t *testing.T) {
+	withWeights := withDisk(replica("r1", "m4"), "m3", "m5")
+	withWeights.ReservedFor, withWeights.ReservedUntil = "m3", startTime.Add(second)
+	asked := oneWaiting("m5", "")
+	made := snapshot(asked, withWeights, replica("r2", "m0"))
 	for _, model := range made.Services["press"].Models {
 		model.DiskLoad = second / 2
 	}
 	require.Empty(t, decideOnDemand(made))
 
-	asked[key("m3", "")] = Demand{Waiting: 1, LastUsed: start}
+	asked[key("m3", "")] = Demand{Waiting: 1, LastUsed: startTime}
 	orders := decideOnDemand(made)
 	require.Len(t, orders, 1)
 	require.Equal(t, "m3", orders[0].Target.Model, "the room is used by the model that it was made for")
@@ -167,24 +167,24 @@
 
 // Seen on the same days: a further copy of a busy model kept a replica for the 6 s of a
 // load from the store.
-func TestFurtherCopiesComeFromTheStoreOnlyIfNoOtherReplicaKeepsTheWeights(t *testing.T) {
-	asked := map[demand.Key]Demand{key("m5", ""): {PerSecond: 9, Running: 4, LastUsed: start}}
-	held := keeping(replica("r1", "m5"), "m5")
-	keeper := keeping(replica("r2", "m1"), "m5")
-	keeper.Took(Order{Verb: Load, Target: fleet.Target{Model: "m2"}, Takes: 20 * second}, start)
-	require.Empty(t, decideOnDemand(snapshot(asked, held, keeper, replica("r3"))))
-	keeper.OnDisk = nil
-	orders := decideOnDemand(snapshot(asked, held, keeper, replica("r3")))
+func TestFurtherCopiesPreferCachedWeightsToTheStore(t *testing.T) {
+	asked := map[demand.Key]Demand{key("m5", ""): {PerSecond: 9, Running: 4, LastUsed: startTime}}
+	held := withDisk(replica("r1", "m5"), "m5")
+	withWeights := withDisk(replica("r2", "m1"), "m5")
+	withWeights.MarkAccepted(Order{Verb: Load, Target: fleet.Target{Model: "m2"}, ExpectedDuration: 20 * second}, startTime)
+	require.Empty(t, decideOnDemand(snapshot(asked, held, withWeights, replica("r3"))))
+	withWeights.OnDisk = nil
+	orders := decideOnDemand(snapshot(asked, held, withWeights, replica("r3")))
 	require.Len(t, orders, 1)
 	require.Equal(t, "r3", orders[0].ReplicaID)
 }
 
 // What a copy ahead of demand saves is the time of its load: where that is short, it does
 // not push out a model that is asked for now and then.
-func TestACopyAheadOfDemandIsWorthTheTimeOfItsLoad(t *testing.T) {
+func TestSpareCopyIsWorthItsLoadTime(t *testing.T) {
 	asked := map[demand.Key]Demand{
-		key("m4", ""): {PerSecond: 1.2, Running: 1, LastUsed: start},
-		key("m1", ""): {PerSecond: 0.2, LastUsed: start}, key("m2", ""): {PerSecond: 0.2, LastUsed: start},
+		key("m4", ""): {PerSecond: 1.2, Running: 1, LastUsed: startTime},
+		key("m1", ""): {PerSecond: 0.2, LastUsed: startTime}, key("m2", ""): {PerSecond: 0.2, LastUsed: startTime},
 	}
 	others := func() []*Replica {
 		return []*Replica{replica("r1", "m4", "m0"), replica("r2", "m3", "m5"), replica("r3", "m1", "m2")}
@@ -195,7 +195,7 @@
 
 	quick := others()
 	for _, one := range quick {
-		keeping(one, "m0", "m1", "m2", "m3", "m4", "m5")
+		withDisk(one, "m0", "m1", "m2", "m3", "m4", "m5")
 	}
 	made := snapshot(asked, quick...)
 	for _, model := range made.Services["press"].Models {
@@ -204,10 +204,10 @@
 	require.Empty(t, decideOnDemand(made))
 }
 
-func TestACatalogueWithoutLoadTimesIsServed(t *testing.T) {
-	crowded := replica("r1", "m0")
-	crowded.Slots, crowded.Running = 10, 9
-	made := snapshot(waitingFor("m5", ""), crowded, replica("r2"))
+func TestCatalogueWithoutLoadTimes(t *testing.T) {
+	saturated := replica("r1", "m0")
+	saturated.Slots, saturated.Running = 10, 9
+	made := snapshot(oneWaiting("m5", ""), saturated, replica("r2"))
 	for _, model := range made.Services["press"].Models {
 		model.StoreLoad, model.DiskLoad, model.MemoryLoad = 0, 0, 0
 	}
--- a/loading/needs.go
+++ b/loading/needs.go
@@ -12,69 +12,69 @@
 
 // modelNeed is the demand for a model and its adapters together.
 type modelNeed struct {
-	model     *routing.Model
-	perSecond float64
-	waiting   int // for the model
-	running   int
-	lastUsed  time.Time
-	waitedFor time.Duration
-	copies    int // loaded or being loaded where requests may go
-	loaded    int
-	desired   int
-	roomy     int // copies, those being loaded included, on replicas with places left
+	model       *routing.Model
+	perSecond   float64
+	waiting     int // for the model
+	running     int
+	lastUsed    time.Time
+	longestWait time.Duration
+	copies      int // loaded or being loaded where requests may go
+	loaded      int
+	desired     int
+	unsaturated int // copies, those being loaded included, on replicas with places left
 	// adapterWaiting is how many wait for an adapter, or for the model of one.
 	adapterWaiting int
 	cached         bool            // a replica holds or keeps the weights, or loads them
 	zones          map[string]bool // where copies are loaded or being loaded
-	holders        []*place
-	keepers        []keeper
-	promisers      []*place // places whose room is kept for the model
-	taken          []*place // places that this decision uses for the model, or waits for
-	onWay          int      // copies that this decision makes room for, or that wait for their place
+	holders        []*candidate
+	cachedSources  []cachedSource
+	reservedOn     []*candidate // places whose room is kept for the model
+	chosen         []*candidate // places that this decision uses for the model, or waits for
+	comingCopies   int          // copies that this decision makes room for, or that wait for their place
 }
 
 const (
-	// ratePerCopy is the arrivals a second that one copy of a model is meant for at most,
+	// maxRatePerCopy is the arrivals a second that one copy of a model is meant for at most,
 	// where places do not bound it first; reading more prompts makes pauses in streams.
-	ratePerCopy = 5.0
-	// runningPerCopy is the requests at once that one copy is meant for at most, likewise.
-	runningPerCopy = 16.0
-	// crowdedRate is the arrivals a second from which a model gets another copy where
+	maxRatePerCopy = 5.0
+	// maxRunningPerCopy is the requests at once that one copy is meant for at most, likewise.
+	maxRunningPerCopy = 16.0
+	// saturatedMinRate is the arrivals a second from which a model gets another copy where
 	// all replicas that hold it are crowded.
-	crowdedRate = 0.5
-	// ratePerSlot and runningPerSlot are the same for each place of a replica, where all
-	// replicas are busy. leastRatePerSlot and leastRunningPerSlot are those where most places
+	saturatedMinRate = 0.5
+	// maxRatePerSlot and maxRunningPerSlot are the same for each place of a replica, where all
+	// replicas are busy. minRatePerSlot and minRunningPerSlot are those where most places
 	// are free: copies then take what a replica takes on the mean, or popular models would
 	// crowd a tenth of the replicas beside idle ones. On scale-2 of Andina large (seed 11) the
 	// least figures earned 0.653 of worth, those of busy replicas 0.632.
-	ratePerSlot         = 0.3
-	runningPerSlot      = 0.6
-	leastRatePerSlot    = 0.1
-	leastRunningPerSlot = 0.25
-	// keepUsed is how long a model that was used keeps at least one copy.
-	keepUsed = 15 * time.Second
+	maxRatePerSlot    = 0.3
+	maxRunningPerSlot = 0.6
+	minRatePerSlot    = 0.1
+	minRunningPerSlot = 0.25
+	// keepUsedTime is how long a model that was used keeps at least one copy.
+	keepUsedTime = 15 * time.Second
 )
 
-// copyLoad is what one copy of a model is meant for.
-type copyLoad struct {
+// copyCapacity is what one copy of a model is meant for.
+type copyCapacity struct {
 	perSecond float64 // arrivals
 	running   float64 // requests at once
 }
 
-// meantForCopy returns what one copy is meant for on the service's replicas.
-func (p *planner) meantForCopy() copyLoad {
-	meant := copyLoad{perSecond: ratePerCopy, running: runningPerCopy}
+// capacityPerCopy returns what one copy is meant for on the service's replicas.
+func (p *planner) capacityPerCopy() copyCapacity {
+	capacity := copyCapacity{perSecond: maxRatePerCopy, running: maxRunningPerCopy}
 	slots, mean := p.meanLoad()
 	if slots > 0 {
-		meant.perSecond = min(meant.perSecond, bounded(mean.perSecond, leastRatePerSlot*slots, ratePerSlot*slots))
-		meant.running = min(meant.running, bounded(mean.running, leastRunningPerSlot*slots, runningPerSlot*slots))
+		capacity.perSecond = min(capacity.perSecond, clamp(mean.perSecond, minRatePerSlot*slots, maxRatePerSlot*slots))
+		capacity.running = min(capacity.running, clamp(mean.running, minRunningPerSlot*slots, maxRunningPerSlot*slots))
 	}
-	return meant
+	return capacity
 }
 
 // meanLoad returns the most places that a replica of the service has, and what its replicas
 // that take requests carry on the mean.
-func (p *planner) meanLoad() (slots float64, mean copyLoad) {
+func (p *planner) meanLoad() (slots float64, mean copyCapacity) {
 	replicas := 0.0
 	for _, replica := range p.Replicas {
 		if replica.Service == p.service {
@@ -84,16 +84,16 @@
 			}
 		}
 	}
-	for key, asked := range p.Demand {
+	for key, demanded := range p.Demand {
 		if key.Service == p.service && replicas > 0 {
-			mean.perSecond += asked.PerSecond / replicas
-			mean.running += float64(asked.Running) / replicas
+			mean.perSecond += demanded.PerSecond / replicas
+			mean.running += float64(demanded.Running) / replicas
 		}
 	}
 	return slots, mean
 }
 
-func bounded(value, least, most float64) float64 { return min(most, max(least, value)) }
+func clamp(value, lower, upper float64) float64 { return min(upper, max(lower, value)) }
 
 // modelNeeds works out the needs of a service's models, the most urgent first.
 func (p *planner) modelNeeds() []*modelNeed {
@@ -102,7 +102,7 @@
 		byName[name] = &modelNeed{model: model}
 	}
 	p.addDemand(byName)
-	p.noteSpared(byName)
+	p.excludeOverLimit(byName)
 	replicas := p.countCopies(byName)
 	needs := make([]*modelNeed, 0, len(byName))
 	for _, name := range sortedKeys(byName) {
@@ -110,30 +110,30 @@
 		if need.copies == 0 {
 			need.waiting += need.adapterWaiting
 		}
-		need.desired = need.wanted(p.Now, replicas, p.meant)
+		need.desired = need.desiredCopies(p.Now, replicas, p.capacity)
 		needs = append(needs, need)
 	}
-	slices.SortStableFunc(needs, func(a, b *modelNeed) int { return cmp.Compare(b.urgency(p.meant), a.urgency(p.meant)) })
+	slices.SortStableFunc(needs, func(a, b *modelNeed) int { return cmp.Compare(b.urgency(p.capacity), a.urgency(p.capacity)) })
 	return needs
 }
 
 // addDemand adds the demand for each model and its adapters.
 func (p *planner) addDemand(byName map[string]*modelNeed) {
-	for key, asked := range p.Demand {
+	for key, demanded := range p.Demand {
 		need := byName[key.Target.Model]
 		if key.Service != p.service || need == nil {
 			continue
 		}
-		need.perSecond += asked.PerSecond
-		need.running += asked.Running
+		need.perSecond += demanded.PerSecond
+		need.running += demanded.Running
 		if key.Target.Adapter == "" {
-			need.waiting += asked.Waiting
-			need.waitedFor = max(need.waitedFor, asked.WaitingFor)
+			need.waiting += demanded.Waiting
+			need.longestWait = max(need.longestWait, demanded.LongestWait)
 		} else {
-			need.adapterWaiting += asked.Waiting
+			need.adapterWaiting += demanded.Waiting
 		}
-		if asked.LastUsed.After(need.lastUsed) {
-			need.lastUsed = asked.LastUsed
+		if demanded.LastUsed.After(need.lastUsed) {
+			need.lastUsed = demanded.LastUsed
 		}
 	}
 }
@@ -147,20 +147,20 @@
 		}
 		replicas++
 		for model := range replica.Holdings {
-			if need := byName[model]; need != nil && !unloading(replica, model) && p.counts(replica, model) {
+			if need := byName[model]; need != nil && !isUnloading(replica, model) && p.isServing(replica, model) {
 				need.addCopy(replica.Zone)
 				need.loaded++
-				if replica.usage() < crowdedShare {
-					need.roomy++
+				if replica.utilization() < saturatedShare {
+					need.unsaturated++
 				}
 			}
 		}
-		for _, order := range replica.UnderWay {
+		for _, order := range replica.Pending {
 			need := byName[order.Target.Model]
 			_, held := replica.Holdings[order.Target.Model]
 			if need != nil && order.Verb == Load && order.ForModel() && !held {
 				need.addCopy(replica.Zone)
-				need.roomy++
+				need.unsaturated++
 			}
 		}
 	}
@@ -184,21 +184,21 @@
 	spareCopies = 2
 )
 
-func unloading(replica *Replica, model string) bool {
-	order := replica.underWay(fleet.Target{Model: model})
+func isUnloading(replica *Replica, model string) bool {
+	order := replica.pending(fleet.Target{Model: model})
 	return order != nil && order.Verb == Unload
 }
 
 // wanted returns how many copies a model should have.
-func (n *modelNeed) wanted(now time.Time, replicas int, meant copyLoad) int {
-	copies := int(math.Ceil(max(n.perSecond/meant.perSecond-headroom, float64(n.running)/meant.running)))
-	if n.waiting > 0 && n.waitedFor > unreachableAfter && n.loaded == 1 && n.copies == 1 {
+func (n *modelNeed) desiredCopies(now time.Time, replicas int, capacity copyCapacity) int {
+	copies := int(math.Ceil(max(n.perSecond/capacity.perSecond-copyHeadroom, float64(n.running)/capacity.running)))
+	if n.waiting > 0 && n.longestWait > unreachableAfter && n.loaded == 1 && n.copies == 1 {
 		copies = max(copies, n.copies+1) // those that are loaded do not serve
 	}
-	if n.loaded > 0 && n.roomy == 0 && n.perSecond >= crowdedRate {
+	if n.loaded > 0 && n.unsaturated == 0 && n.perSecond >= saturatedMinRate {
 		copies = max(copies, n.copies+1) // others use up the places where it is loaded
 	}
-	if n.waiting > 0 || (!n.lastUsed.IsZero() && now.Sub(n.lastUsed) < keepUsed) {
+	if n.waiting > 0 || (!n.lastUsed.IsZero() && now.Sub(n.lastUsed) < keepUsedTime) {
 		copies = max(copies, 1)
 	}
 	if n.perSecond >= busyRate {
@@ -213,24 +213,24 @@
 
 // headroom keeps a rate just above a whole number of copies from asking for one
 // more.
-const headroom = 0.15
+const copyHeadroom = 0.15
 
-// urgencyHorizon is over how many seconds the requests are counted that a load
+// urgencyHorizonSeconds is over how many seconds the requests are counted that a load
 // started now would help.
-const urgencyHorizon = 4.0
+const urgencyHorizonSeconds = 4.0
 
-// ageUrgency is how much more urgent a model becomes with each second that requests
+// urgencyPerSecondWaited is how much more urgent a model becomes with each second that requests
 // wait for it, so that none is passed over for ever.
-const ageUrgency = 0.7
+const urgencyPerSecondWaited = 0.7
 
-// aheadUrgency is the urgency of a copy that is loaded ahead of demand.
-const aheadUrgency = 0.1
+// prefetchUrgency is the urgency of a copy that is loaded ahead of demand.
+const prefetchUrgency = 0.1
 
 // urgency returns about how many requests a load would help: those that wait for a
 // model without a copy, or those that come to copies which have more than enough.
-func (n *modelNeed) urgency(meant copyLoad) float64 {
+func (n *modelNeed) urgency(capacity copyCapacity) float64 {
 	if n.copies == 0 && n.waiting > 0 {
-		return float64(n.waiting) + n.perSecond*urgencyHorizon + ageUrgency*n.waitedFor.Seconds()
+		return float64(n.waiting) + n.perSecond*urgencyHorizonSeconds + urgencyPerSecondWaited*n.longestWait.Seconds()
 	}
 	if n.copies >= n.desired {
 		return 0
@@ -238,9 +238,9 @@
 	if n.waiting > 0 {
 		return float64(n.waiting)
 	}
-	short := n.perSecond - meant.perSecond*float64(n.copies)
-	if short <= 0 {
-		return aheadUrgency * (1 + n.perSecond)
+	excess := n.perSecond - capacity.perSecond*float64(n.copies)
+	if excess <= 0 {
+		return prefetchUrgency * (1 + n.perSecond)
 	}
-	return short * urgencyHorizon
+	return excess * urgencyHorizonSeconds
 }
--- a/loading/place.go
+++ b/loading/place.go
@@ -13,29 +13,29 @@
 
 // place is a replica to which an order may be given, with what the choice among
 // places needs to know of it, worked out once a decision.
-type place struct {
-	replica    *Replica
-	freeIn     time.Duration // until it can take an order for a model; zero: it can now
-	queued     time.Duration // what models that wait for the place will keep it for
-	promised   string        // the model that its room is kept for
-	memoryLeft float64
-	shared     float64  // cost of what is in use there already, in seconds
-	victims    []victim // what may be unloaded, worth least first
+type candidate struct {
+	replica     *Replica
+	freeIn      time.Duration // until it can take an order for a model; zero: it can now
+	queuedFor   time.Duration // what models that wait for the place will keep it for
+	reserved    string        // the model that its room is kept for
+	memoryLeft  float64
+	sharingCost float64  // cost of what is in use there already, in seconds
+	victims     []victim // what may be unloaded, worth least first
 	// claim is the model that the room is kept for and that is not there yet; nil: none.
-	claim *modelNeed
+	reservation *modelNeed
 }
 
 // keeper is a place that keeps the weights of a model where a load is faster than from
 // the weight store.
-type keeper struct {
-	place *place
+type cachedSource struct {
+	candidate *candidate
 	source
 }
 
 // source is where the weights of a load come from, and how long that takes.
 type source struct {
-	origin Origin
-	takes  time.Duration
+	origin   Origin
+	loadTime time.Duration
 }
 
 // victim is a model that may be unloaded.
@@ -46,79 +46,79 @@
 	running int
 }
 
-// listPlaces lists the replicas of the service that take orders, now or after those
+// listCandidates lists the replicas of the service that take orders, now or after those
 // under way, and notes with each model where it is loaded, kept or expected.
-func (p *planner) listPlaces() {
-	p.places, p.placeOf = nil, map[*Replica]*place{}
+func (p *planner) listCandidates() {
+	p.candidates, p.candidateFor = nil, map[*Replica]*candidate{}
 	for _, replica := range p.Replicas {
 		if replica.Service == p.service && !replica.Draining {
-			made := p.placeOn(replica)
-			p.places = append(p.places, made)
-			p.placeOf[replica] = made
-			p.indexPlace(made)
+			c := p.newCandidate(replica)
+			p.candidates = append(p.candidates, c)
+			p.candidateFor[replica] = c
+			p.indexCandidate(c)
 		}
 	}
 }
 
-func (p *planner) placeOn(replica *Replica) *place {
-	made := &place{
-		replica: replica, freeIn: replica.freeIn(p.Now), promised: p.promisedTo(replica), memoryLeft: p.memoryLeft(replica),
-		shared: p.sharedCost(replica),
+func (p *planner) newCandidate(replica *Replica) *candidate {
+	c := &candidate{
+		replica: replica, freeIn: replica.freeIn(p.Now), reserved: p.reservedFor(replica), memoryLeft: p.memoryLeft(replica),
+		sharingCost: p.sharingCostOf(replica),
 	}
-	if _, held := replica.Holdings[made.promised]; !held {
-		made.claim = p.byName[made.promised]
+	if _, held := replica.Holdings[c.reserved]; !held {
+		c.reservation = p.byName[c.reserved]
 	}
-	made.victims = p.victimsOn(made)
-	return made
+	c.victims = p.victimsOf(c)
+	return c
 }
 
-// indexPlace notes a place with the models that it holds, keeps, loads or has room for, so
+// indexCandidate notes a place with the models that it holds, keeps, loads or has room for, so
 // that the choice for a model looks at few places. The lists follow the order of places.
-func (p *planner) indexPlace(one *place) {
-	for name := range one.replica.Holdings {
+func (p *planner) indexCandidate(c *candidate) {
+	for name := range c.replica.Holdings {
 		if need := p.byName[name]; need != nil {
-			need.holders, need.cached = append(need.holders, one), true
+			need.holders, need.cached = append(need.holders, c), true
 		}
 	}
-	for _, name := range one.replica.InMemory {
-		p.indexKeeper(one, name, FromMemory)
+	for _, name := range c.replica.InMemory {
+		p.indexCachedWeights(c, name, FromMemory)
 	}
-	for _, name := range one.replica.OnDisk {
-		p.indexKeeper(one, name, FromDisk)
+	for _, name := range c.replica.OnDisk {
+		p.indexCachedWeights(c, name, FromDisk)
 	}
-	for _, order := range one.replica.UnderWay {
+	for _, order := range c.replica.Pending {
 		if need := p.byName[order.Target.Model]; need != nil && order.Verb == Load {
 			need.cached = true
 		}
 	}
-	if need := p.byName[one.promised]; need != nil {
-		need.promisers = append(need.promisers, one)
+	if need := p.byName[c.reserved]; need != nil {
+		need.reservedOn = append(need.reservedOn, c)
 	}
 }
 
-// indexKeeper notes that a place keeps a model's weights. What is noted first is the
+// indexCachedWeights notes that a place keeps a model's weights. What is noted first is the
 // faster source.
-func (p *planner) indexKeeper(one *place, name string, origin Origin) {
+func (p *planner) indexCachedWeights(c *candidate, name string, origin Origin) {
 	need := p.byName[name]
 	if need == nil {
 		return
 	}
 	need.cached = true
-	takes := need.model.DiskLoad
+	loadTime := need.model.DiskLoad
 	if origin == FromMemory {
-		takes = need.model.MemoryLoad
+		loadTime = need.model.MemoryLoad
 	}
-	known := len(need.keepers) > 0 && need.keepers[len(need.keepers)-1].place == one
-	if takes > 0 && !known {
-		need.keepers = append(need.keepers, keeper{one, source{origin, takes}})
+	known := len(need.cachedSources) > 0 && need.cachedSources[len(need.cachedSources)-1].candidate == c
+	if loadTime > 0 && !known {
+		need.cachedSources = append(need.cachedSources, cachedSource{c, source{origin, loadTime}})
 	}
 }
 
 // sourceOn returns where a model would be loaded from on a place.
-func (n *modelNeed) sourceOn(one *place) source {
-	for _, kept := range n.keepers {
-		if kept.place == one {
-			return kept.source
+func (n *modelNeed) sourceOn(c *candidate) source {
+	for _, cached := range n.cachedSources {
+		if cached.candidate == c {
+			return cached.source
 		}
 	}
 	return n.fromStore()
@@ -128,25 +128,25 @@
 func (n *modelNeed) fromStore() source { return source{FromStore, n.model.StoreLoad} }
 
 // order takes in that an order was given.
-func (p *place) order(takes time.Duration) { p.freeIn += max(leastFreeIn, takes) }
+func (c *candidate) order(takes time.Duration) { c.freeIn += max(minBusyTime, takes) }
 
 // queue takes in that a model waits for the place.
-func (p *place) queue(takes time.Duration) { p.queued += max(leastFreeIn, takes) }
+func (c *candidate) addQueuedTime(takes time.Duration) { c.queuedFor += max(minBusyTime, takes) }
 
 // busyFor returns when a model that has no claim on the place could be loaded there.
-func (p *place) busyFor() time.Duration { return p.freeIn + p.queued }
+func (c *candidate) busyFor() time.Duration { return c.freeIn + c.queuedFor }
 
-// sharedCost returns what it costs that a replica has other models in use.
-func (p *planner) sharedCost(replica *Replica) float64 {
-	cost := costUsage * replica.usage()
+// sharingCostOf returns what it costs that a replica has other models in use.
+func (p *planner) sharingCostOf(replica *Replica) float64 {
+	cost := costFullReplica * replica.utilization()
 	for model := range replica.Holdings {
 		other := p.byName[model]
 		if other == nil {
 			continue
 		}
-		cost += costShared * min(1, other.perSecond)
+		cost += costSharedModel * min(1, other.perSecond)
 		if len(other.model.Adapters) > 0 && other.perSecond > 0 {
-			cost += costAdapters / float64(max(1, other.loaded))
+			cost += costBlockedAdapters / float64(max(1, other.loaded))
 		}
 	}
 	return cost
@@ -155,34 +155,34 @@
 // victimsOn lists the models on a place that may be unloaded, worth least first. One that
 // was just loaded stays as long as loading it again would take, so that no replica is busy
 // with loads alone.
-func (p *planner) victimsOn(one *place) []victim {
-	replica := one.replica
-	all := make([]victim, 0, len(replica.Holdings))
+func (p *planner) victimsOf(c *candidate) []victim {
+	replica := c.replica
+	victims := make([]victim, 0, len(replica.Holdings))
 	for _, name := range slices.Sorted(maps.Keys(replica.Holdings)) {
 		need := p.byName[name]
-		if unloading(replica, name) {
+		if isUnloading(replica, name) {
 			continue
 		}
 		if need == nil {
-			all = append(all, victim{name: name, memory: math.Inf(1)}) // not declared any more: it goes first
+			victims = append(victims, victim{name: name, memory: math.Inf(1)}) // not declared any more: it goes first
 			continue
 		}
-		reload := one.reloadTime(need)
+		reload := c.reloadTime(need)
 		if p.Now.Sub(replica.LoadedAt[name]) < reload {
 			continue
 		}
-		all = append(all, victim{
+		victims = append(victims, victim{
 			name: name, memory: need.model.MemoryMB + float64(len(replica.Holdings[name]))*need.model.AdapterMemoryMB,
 			worth: p.worthOf(need, reload), running: need.running,
 		})
 	}
-	slices.SortStableFunc(all, func(a, b victim) int { return cmp.Compare(a.worth, b.worth) })
-	return all
+	slices.SortStableFunc(victims, func(a, b victim) int { return cmp.Compare(a.worth, b.worth) })
+	return victims
 }
 
 // reloadTime returns how long it takes to load a model again that is on the place now.
-func (p *place) reloadTime(need *modelNeed) time.Duration {
-	if need.model.DiskLoad > 0 && slices.Contains(p.replica.OnDisk, need.model.Name) {
+func (c *candidate) reloadTime(need *modelNeed) time.Duration {
+	if need.model.DiskLoad > 0 && slices.Contains(c.replica.OnDisk, need.model.Name) {
 		return need.model.DiskLoad
 	}
 	return need.model.StoreLoad
@@ -190,17 +190,17 @@
 
 // evict picks the models that are worth least and whose unloading frees enough
 // memory; enough is false if none do.
-func (p *place) evict(missing float64) (victims []victim, enough bool) {
-	for index, one := range p.victims {
+func (c *candidate) chooseVictims(missing float64) (victims []victim, enough bool) {
+	for index, v := range c.victims {
 		// One that alone frees enough is better than several.
-		if one.memory >= missing {
-			return p.victims[index : index+1], true
+		if v.memory >= missing {
+			return c.victims[index : index+1], true
 		}
 	}
 	freed := 0.0
-	for index, one := range p.victims {
-		if freed += one.memory; freed >= missing {
-			return p.victims[:index+1], true
+	for index, v := range c.victims {
+		if freed += v.memory; freed >= missing {
+			return c.victims[:index+1], true
 		}
 	}
 	return nil, false
@@ -215,16 +215,16 @@
 			continue
 		}
 		for model, adapters := range replica.Holdings {
-			if !p.counts(replica, model) {
+			if !p.isServing(replica, model) {
 				continue
 			}
 			for _, adapter := range adapters {
-				if target := (fleet.Target{Model: model, Adapter: adapter}); replica.underWay(target) == nil {
+				if target := (fleet.Target{Model: model, Adapter: adapter}); replica.pending(target) == nil {
 					copies[target]++
 				}
 			}
 		}
-		for _, order := range replica.UnderWay {
+		for _, order := range replica.Pending {
 			if order.Verb == Load && !order.ForModel() {
 				copies[order.Target]++
 			}
@@ -233,7 +233,7 @@
 	return copies
 }
 
-// askedFor returns the demand for a target of the service.
-func (p *planner) askedFor(target fleet.Target) Demand {
+// demandFor returns the demand for a target of the service.
+func (p *planner) demandFor(target fleet.Target) Demand {
 	return p.Demand[demand.Key{Service: p.service, Target: target}]
 }
--- a/loading/search_test.go
+++ b/loading/search_test.go
@@ -28,9 +28,9 @@
 	return fmt.Sprintf("m%d", rapid.IntRange(0, drawnModels).Draw(t, label)) // the last is not declared
 }
 
-func drawNames(t *rapid.T, most int, label string) []string {
-	drawn := make([]string, 0, most)
-	for range rapid.IntRange(0, most).Draw(t, label+" count") {
+func drawNames(t *rapid.T, maxCount int, label string) []string {
+	drawn := make([]string, 0, maxCount)
+	for range rapid.IntRange(0, maxCount).Draw(t, label+" count") {
 		if name := drawName(t, label); !slices.Contains(drawn, name) {
 			drawn = append(drawn, name)
 		}
@@ -45,14 +45,14 @@
 	switch rapid.IntRange(0, 4).Draw(t, "state") {
 	case 0:
 		target := fleet.Target{Model: drawName(t, "loading")}
-		drawn.Took(Order{Verb: Load, Target: target, Takes: time.Duration(rapid.IntRange(0, 4).Draw(t, "takes")) * second}, start)
+		drawn.MarkAccepted(Order{Verb: Load, Target: target, ExpectedDuration: time.Duration(rapid.IntRange(0, 4).Draw(t, "takes")) * second}, startTime)
 	case 1:
 		held := drawNames(t, 1, "unloading")
 		if len(held) > 0 {
-			drawn.Took(Order{Verb: Unload, Target: fleet.Target{Model: held[0]}, Takes: unloadTime, RoomFor: drawName(t, "room for")}, start)
+			drawn.MarkAccepted(Order{Verb: Unload, Target: fleet.Target{Model: held[0]}, ExpectedDuration: unloadTime, RoomFor: drawName(t, "room for")}, startTime)
 		}
 	case 2:
-		drawn.PromisedTo, drawn.PromisedUntil = drawName(t, "promised"), start.Add(second)
+		drawn.ReservedFor, drawn.ReservedUntil = drawName(t, "promised"), startTime.Add(second)
 	}
 	return drawn
 }
@@ -73,39 +73,39 @@
 	engine := drawEngine(t)
 	asked := map[demand.Key]Demand{}
 	for rank := range drawnModels {
-		asked[key(fmt.Sprintf("m%d", rank), "")] = Demand{PerSecond: float64(rapid.IntRange(0, 6).Draw(t, "rate")), Waiting: rapid.IntRange(0, 2).Draw(t, "waiting"), LastUsed: start}
+		asked[key(fmt.Sprintf("m%d", rank), "")] = Demand{PerSecond: float64(rapid.IntRange(0, 6).Draw(t, "rate")), Waiting: rapid.IntRange(0, 2).Draw(t, "waiting"), LastUsed: startTime}
 	}
 	var replicas []*Replica
 	for number := range rapid.IntRange(1, 8).Draw(t, "replicas") {
 		replicas = append(replicas, drawReplica(t, number))
 	}
 	made := &planner{Snapshot: snapshot(asked, replicas...), service: "press", engine: engine}
-	made.Now = start.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "now")) * second / 2)
+	made.Now = startTime.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "now")) * second / 2)
 	made.prepare()
 	return made
 }
 
-// plainSource looks a model's weights up on the replica itself.
-func plainSource(one *place, need *modelNeed) source {
+// referenceSource looks a model's weights up on the replica itself.
+func referenceSource(c *candidate, need *modelNeed) source {
 	switch model := need.model; {
-	case slices.Contains(one.replica.InMemory, model.Name) && model.MemoryLoad > 0:
+	case slices.Contains(c.replica.InMemory, model.Name) && model.MemoryLoad > 0:
 		return source{FromMemory, model.MemoryLoad}
-	case slices.Contains(one.replica.OnDisk, model.Name) && model.DiskLoad > 0:
+	case slices.Contains(c.replica.OnDisk, model.Name) && model.DiskLoad > 0:
 		return source{FromDisk, model.DiskLoad}
 	}
 	return need.fromStore()
 }
 
-// plainBestSpot looks at every place and leaves nothing out for its cost.
-func plainBestSpot(p *planner, need *modelNeed, value float64, fromStore bool) (best spot, found bool) {
-	for _, candidate := range p.places {
-		from := plainSource(candidate, need)
+// referenceBestPlacement looks at every place and leaves nothing out for its cost.
+func referenceBestPlacement(p *planner, need *modelNeed, maxEvictionWorth float64, fromStore bool) (best placement, found bool) {
+	for _, candidate := range p.candidates {
+		from := referenceSource(candidate, need)
 		if _, held := candidate.replica.Holdings[need.model.Name]; held || from.origin == FromStore && !fromStore {
 			continue
 		}
-		made, possible := spotOn(candidate, need, value, from)
-		if possible && candidate.promised == need.model.Name && len(made.victims) == 0 {
-			made.waits = candidate.freeIn > 0
+		made, possible := placementOn(candidate, need, maxEvictionWorth, from)
+		if possible && candidate.reserved == need.model.Name && len(made.victims) == 0 {
+			made.mustWait = candidate.freeIn > 0
 			return made, true
 		}
 		if possible && (!found || made.cost < best.cost) {
@@ -116,60 +116,60 @@
 }
 
 // The choice of a place leaves out what cannot be best, and nothing else.
-func TestTheBoundedSearchFindsWhatThePlainOneDoes(t *testing.T) {
+func TestPrunedSearchMatchesTheFullSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		planner := drawPlanner(t)
 		for _, need := range planner.models {
-			value := float64(rapid.IntRange(0, 20).Draw(t, "value"))
+			maxEvictionWorth := float64(rapid.IntRange(0, 20).Draw(t, "value"))
 			for _, fromStore := range []bool{false, true} {
-				wanted, possible := plainBestSpot(planner, need, value, fromStore)
-				best, found := planner.bestSpot(need, value, fromStore)
+				expected, possible := referenceBestPlacement(planner, need, maxEvictionWorth, fromStore)
+				best, found := planner.bestPlacement(need, maxEvictionWorth, fromStore)
 				require.Equal(t, possible, found)
-				require.Equal(t, wanted, best)
+				require.Equal(t, expected, best)
 			}
 		}
 	})
 }
 
 // The lists by model name the same places as the replicas do.
-func TestTheListsByModelAgreeWithTheReplicas(t *testing.T) {
+func TestModelIndexMatchesTheReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		planner := drawPlanner(t)
 		for _, need := range planner.models {
 			name := need.model.Name
-			var holders, promisers []*place
-			cached, kept := false, false
-			for _, one := range planner.places {
-				_, held := one.replica.Holdings[name]
+			var holders, reservedOn []*candidate
+			cached, elsewhere := false, false
+			for _, c := range planner.candidates {
+				_, held := c.replica.Holdings[name]
 				if held {
-					holders = append(holders, one)
+					holders = append(holders, c)
 				}
-				if one.promised == name {
-					promisers = append(promisers, one)
+				if c.reserved == name {
+					reservedOn = append(reservedOn, c)
 				}
-				onWay := slices.ContainsFunc(one.replica.UnderWay, func(order UnderWay) bool { return order.Verb == Load && order.Target.Model == name })
-				cached = cached || held || onWay || slices.Contains(one.replica.InMemory, name) || slices.Contains(one.replica.OnDisk, name)
-				kept = kept || !held && plainSource(one, need).origin != FromStore
-				require.Equal(t, plainSource(one, need), need.sourceOn(one))
+				isPending := slices.ContainsFunc(c.replica.Pending, func(order Pending) bool { return order.Verb == Load && order.Target.Model == name })
+				cached = cached || held || isPending || slices.Contains(c.replica.InMemory, name) || slices.Contains(c.replica.OnDisk, name)
+				elsewhere = elsewhere || !held && referenceSource(c, need).origin != FromStore
+				require.Equal(t, referenceSource(c, need), need.sourceOn(c))
 			}
 			require.Equal(t, holders, need.holders)
-			require.Equal(t, promisers, need.promisers)
+			require.Equal(t, reservedOn, need.reservedOn)
 			require.Equal(t, cached, need.cached)
-			require.Equal(t, kept, need.keptElsewhere())
+			require.Equal(t, elsewhere, need.cachedElsewhere())
 		}
 	})
 }
 
 // A place that is left out for its least cost must not cost less.
-func TestTheLeastCostOfAPlaceIsABound(t *testing.T) {
+func TestMinCostIsALowerBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		planner := drawPlanner(t)
 		for _, need := range planner.models {
-			for _, one := range planner.places {
-				from := plainSource(one, need)
-				made, possible := spotOn(one, need, float64(rapid.IntRange(0, 20).Draw(t, "value")), from)
+			for _, c := range planner.candidates {
+				from := referenceSource(c, need)
+				made, possible := placementOn(c, need, float64(rapid.IntRange(0, 20).Draw(t, "value")), from)
 				if possible {
-					require.LessOrEqual(t, one.leastCost(need, from), made.cost)
+					require.LessOrEqual(t, c.minCost(need, from), made.cost)
 				}
 			}
 		}
--- a/loading/state.go
+++ b/loading/state.go
@@ -10,139 +10,139 @@
 
 // Report is a replica's own word on itself, as it stood a moment earlier.
 type Report struct {
-	Born     int64 // Unix ms of its start; zero if it does not say
-	Sequence int64
-	Busy     bool // a model is being loaded or unloaded
-	Holdings fleet.Holdings
-	Coming   []fleet.Target // adapters on their way
-	InMemory []string
-	OnDisk   []string
+	Born            int64 // Unix ms of its start; zero if it does not say
+	Sequence        int64
+	Busy            bool // a model is being loaded or unloaded
+	Holdings        fleet.Holdings
+	LoadingAdapters []fleet.Target // adapters on their way
+	InMemory        []string
+	OnDisk          []string
 }
 
 const (
 	// settleTime is how long an order that left no trace in a report is believed to
 	// be under way.
-	settleTime = 600 * time.Millisecond
-	// refusedPause keeps orders back after a replica refused one.
-	refusedPause = 150 * time.Millisecond
+	unconfirmedOrderTTL = 600 * time.Millisecond
+	// refusalBackoff keeps orders back after a replica refused one.
+	refusalBackoff = 150 * time.Millisecond
 )
 
 // Took takes in that the replica accepted an order.
-func (r *Replica) Took(order Order, now time.Time) {
-	r.endUnloads(now)
+func (r *Replica) MarkAccepted(order Order, now time.Time) {
+	r.completeUnloads(now)
 	r.Sequence = order.Sequence + 1
-	r.UnderWay = slices.DeleteFunc(r.UnderWay, func(one UnderWay) bool { return one.is(order) })
-	r.UnderWay = append(r.UnderWay, UnderWay{Order: order, Since: now})
-	r.promise(order, now)
+	r.Pending = slices.DeleteFunc(r.Pending, func(one Pending) bool { return one.sameAs(order) })
+	r.Pending = append(r.Pending, Pending{Order: order, Since: now})
+	r.reserveRoom(order, now)
 }
 
-// WithCall returns the replica as it may be once a call on its way has been
+// WithPendingCall returns the replica as it may be once a call on its way has been
 // answered: the order counts as under way, and no other can be given.
-func (r *Replica) WithCall(order *Order, now, blockedUntil time.Time) *Replica {
-	calling := *r
-	calling.BlockedUntil = blockedUntil
+func (r *Replica) WithPendingCall(order *Order, now, blockedUntil time.Time) *Replica {
+	pending := *r
+	pending.BlockedUntil = blockedUntil
 	if order != nil {
-		calling.UnderWay = append(slices.Clone(r.UnderWay), UnderWay{Order: *order, Since: now})
+		pending.Pending = append(slices.Clone(r.Pending), Pending{Order: *order, Since: now})
 	}
-	return &calling
+	return &pending
 }
 
 // promise notes for which model room is made, or that it was used.
-func (r *Replica) promise(order Order, now time.Time) {
+func (r *Replica) reserveRoom(order Order, now time.Time) {
 	if order.RoomFor != "" {
-		r.PromisedTo, r.PromisedUntil = order.RoomFor, now.Add(promiseTime)
-	} else if order.Verb == Load && order.Target.Model == r.PromisedTo {
-		r.PromisedTo = ""
+		r.ReservedFor, r.ReservedUntil = order.RoomFor, now.Add(roomReservationTime)
+	} else if order.Verb == Load && order.Target.Model == r.ReservedFor {
+		r.ReservedFor = ""
 	}
 }
 
-// promiseTime is how long room that was made for a model is kept for it.
-const promiseTime = 3 * time.Second
+// roomReservationTime is how long room that was made for a model is kept for it.
+const roomReservationTime = 3 * time.Second
 
 // Did takes in that the replica answered that an order needs nothing more: what is
 // to be loaded is there, or an adapter was unloaded at once.
-func (r *Replica) Did(order Order, now time.Time) {
+func (r *Replica) MarkDone(order Order, now time.Time) {
 	if order.Verb == Unload {
 		r.Sequence = order.Sequence + 1
 	}
 	if order.ForModel() {
-		r.endUnloads(now)
-		r.Ended(order, now)
+		r.completeUnloads(now)
+		r.CompleteOrder(order, now)
 		return
 	}
-	r.apply(order)
+	r.applyOrder(order)
 }
 
 // Doubt takes in that an order was refused or got no answer, so that the replica's
 // own word must be heard before the next.
-func (r *Replica) Doubt(now time.Time) {
-	r.Known, r.Assumed = false, false
-	r.BlockedUntil = now.Add(refusedPause)
+func (r *Replica) MarkUnverified(now time.Time) {
+	r.Verified, r.Assumed = false, false
+	r.BlockedUntil = now.Add(refusalBackoff)
 }
 
 // Lost takes in that the address belongs to another replica, or that nothing listens
 // there: the registry will say so.
-func (r *Replica) Lost(now time.Time) {
-	r.Known, r.Assumed = false, false
-	r.BlockedUntil = now.Add(lostPause)
+func (r *Replica) MarkUnreachable(now time.Time) {
+	r.Verified, r.Assumed = false, false
+	r.BlockedUntil = now.Add(unreachableBackoff)
 }
 
-// lostPause keeps orders and questions back from a replica that is not there.
-const lostPause = 1500 * time.Millisecond
+// unreachableBackoff keeps orders and questions back from a replica that is not there.
+const unreachableBackoff = 1500 * time.Millisecond
 
 // Restarted takes in that the replica has started again under its id, at a moment by its own clock: it is
 // empty, knows no order, and its own word must be heard before the next.
-func (r *Replica) Restarted(born int64) {
+func (r *Replica) MarkRestarted(startedUnixMs int64) {
 	if r.Born != 0 {
-		r.Known, r.Assumed = false, false
-		r.Sequence, r.Holdings, r.UnderWay, r.InMemory = 0, nil, nil, nil
-		r.PromisedTo, r.LoadedAt, r.ReadAgainAt = "", nil, time.Time{}
+		r.Verified, r.Assumed = false, false
+		r.Sequence, r.Holdings, r.Pending, r.InMemory = 0, nil, nil, nil
+		r.ReservedFor, r.LoadedAt, r.ReportDueAt = "", nil, time.Time{}
 	}
-	r.Born = born
+	r.Born = startedUnixMs
 }
 
 // Hear takes in a replica's report and tells whether it changed what is known.
-func (r *Replica) Hear(report Report, now time.Time) bool {
+func (r *Replica) ApplyReport(report Report, now time.Time) bool {
 	switch {
 	case report.Born != 0 && report.Born < r.Born:
 		return false // of an earlier incarnation
 	case report.Born > r.Born:
-		r.Restarted(report.Born)
-	case report.Sequence < r.Sequence && r.Known:
+		r.MarkRestarted(report.Born)
+	case report.Sequence < r.Sequence && r.Verified:
 		return false // from before the last order
 	}
-	if r.olderThanAnswers(report, now) {
+	if r.predatesResponses(report, now) {
 		return false
 	}
-	r.ReadAgainAt, r.Assumed = time.Time{}, false
-	changed := report.Sequence != r.Sequence || !r.Known
+	r.ReportDueAt, r.Assumed = time.Time{}, false
+	changed := report.Sequence != r.Sequence || !r.Verified
 	changed = changed || !slices.Equal(r.InMemory, report.InMemory) || !slices.Equal(r.OnDisk, report.OnDisk)
 	r.InMemory, r.OnDisk = report.InMemory, report.OnDisk
 	if report.Sequence != r.Sequence {
 		// Others gave orders, or one of ours was carried out late.
-		r.UnderWay = nil
+		r.Pending = nil
 	}
-	changed = r.adopt(report.Holdings, now) || changed
+	changed = r.replaceHoldings(report.Holdings, now) || changed
 	r.Sequence = report.Sequence
-	before := len(r.UnderWay)
-	r.UnderWay = slices.DeleteFunc(r.UnderWay, func(order UnderWay) bool { return r.ended(order, report, now) })
+	before := len(r.Pending)
+	r.Pending = slices.DeleteFunc(r.Pending, func(order Pending) bool { return r.orderEnded(order, report, now) })
 	// A load that is not known is charged by giving no order until it has ended.
-	r.Known = !report.Busy || r.busy()
-	for _, coming := range report.Coming {
-		if r.underWay(coming) == nil {
-			r.UnderWay = append(r.UnderWay, UnderWay{Order: Order{ReplicaID: r.ID, Verb: Load, Target: coming, Takes: adapterTime}, Since: now})
+	r.Verified = !report.Busy || r.busy()
+	for _, adapter := range report.LoadingAdapters {
+		if r.pending(adapter) == nil {
+			r.Pending = append(r.Pending, Pending{Order: Order{ReplicaID: r.ID, Verb: Load, Target: adapter, ExpectedDuration: adapterLoadTime}, Since: now})
 		}
 	}
-	return changed || before != len(r.UnderWay)
+	return changed || before != len(r.Pending)
 }
 
 // adopt replaces the holdings and notes when models came.
-func (r *Replica) adopt(holdings fleet.Holdings, now time.Time) bool {
+func (r *Replica) replaceHoldings(holdings fleet.Holdings, now time.Time) bool {
 	if r.LoadedAt == nil {
 		r.LoadedAt = map[string]time.Time{}
 	}
 	for model := range holdings {
-		if _, held := r.Holdings[model]; !held && r.Known {
+		if _, held := r.Holdings[model]; !held && r.Verified {
 			r.LoadedAt[model] = now
 		}
 	}
@@ -157,19 +157,19 @@
 }
 
 // ended tells whether a report shows that an order is no longer under way.
-func (r *Replica) ended(order UnderWay, report Report, now time.Time) bool {
+func (r *Replica) orderEnded(order Pending, report Report, now time.Time) bool {
 	done := report.Holdings.Has(order.Target) == (order.Verb == Load)
 	switch {
 	case order.ForModel():
-		return done && !report.Busy || !report.Busy && now.Sub(order.Since) > settleTime
+		return done && !report.Busy || !report.Busy && now.Sub(order.Since) > unconfirmedOrderTTL
 	case done:
 		return true
 	}
-	return !slices.Contains(report.Coming, order.Target) && now.Sub(order.Since) > settleTime
+	return !slices.Contains(report.LoadingAdapters, order.Target) && now.Sub(order.Since) > unconfirmedOrderTTL
 }
 
 // apply changes the holdings as an order that was carried out does.
-func (r *Replica) apply(order Order) {
+func (r *Replica) applyOrder(order Order) {
 	holdings := maps.Clone(r.Holdings)
 	if holdings == nil {
 		holdings = fleet.Holdings{}
@@ -195,18 +195,18 @@
 	if r.Assumed {
 		return time.Time{}
 	}
-	if !r.Known {
+	if !r.Verified {
 		return r.BlockedUntil
 	}
-	next := r.ReadAgainAt
-	for _, order := range r.UnderWay {
+	next := r.ReportDueAt
+	for _, order := range r.Pending {
 		at := order.ReadyAt()
 		switch {
 		case !order.ForModel():
-		case order.Verb == Load && order.Asked < mostAsked:
-			at = order.askAt()
-		case order.Verb == Unload && order.Asked == 0:
-			at = at.Add(triedWithin) // the next order tells
+		case order.Verb == Load && order.Probes < maxProbes:
+			at = order.probeAt()
+		case order.Verb == Unload && order.Probes == 0:
+			at = at.Add(unloadReportDelay) // the next order tells
 		}
 		if next.IsZero() || at.Before(next) {
 			next = at
@@ -219,15 +219,15 @@
 // time, over all replicas.
 type StoreWindow struct {
 	Length time.Duration
-	Most   int
+	Max    int
 	starts []time.Time
 }
 
 // Allowed returns how many loads may begin now.
 func (w *StoreWindow) Allowed(now time.Time) int {
 	w.starts = slices.DeleteFunc(w.starts, func(start time.Time) bool { return now.Sub(start) > w.Length })
-	return max(0, w.Most-len(w.starts))
+	return max(0, w.Max-len(w.starts))
 }
 
 // Began counts a load.
-func (w *StoreWindow) Began(now time.Time) { w.starts = append(w.starts, now) }
+func (w *StoreWindow) RecordStart(now time.Time) { w.starts = append(w.starts, now) }
--- a/node/node.go
+++ b/node/node.go
@@ -127,7 +127,7 @@
 	quotas      *limiter.Client
 	quarantine  *quarantine.Guard
 	election    *election.Election
-	holder      *loader.Holder
+	holder      *loader.Leader
 	follower    *loader.Follower
 	replicas    *replicaKnowledge
 	peers       *transport.Server
@@ -220,25 +220,25 @@
 	n.registryLog = &registryLog{log: n.log, leading: n.mirror.Leading, now: time.Now}
 	n.election = election.New(election.Config{
 		Key: n.config.TermKey, Daemon: n.config.ID, Address: n.config.PeerAddress, TTL: n.config.LeaseTime,
-		Informed: func() bool { return n.holder.Informed() }, Delay: n.termDelay,
+		HasLeaderHistory: func() bool { return n.holder.HasLeaderHistory() }, Delay: n.termDelay,
 		Now: boottime.Now, Written: n.mirror.Hurry, // other daemons hear of it from this one
 	}, adapters.Store, n.log)
-	n.holder = &loader.Holder{
+	n.holder = &loader.Leader{
 		Daemon: n.config.ID, Fleet: n.fleet, Table: n.routes, Replicas: replicas.Orders, Election: n.election,
 		Limits: n.config.LoadLimits, Metrics: loader.NewMetrics(n.metrics), Log: n.log, FirstStart: n.config.FirstStart,
-		TermDelay: n.config.TermDelay, Address: n.config.PeerAddress, TooLarge: n.mirror.TooLarge, KnowsReplicas: func() bool { return n.replicas.all() },
-		Expected: requests.Daemons,
+		TermDelay: n.config.TermDelay, Address: n.config.PeerAddress, TooManyReplicas: n.mirror.TooManyReplicas, KnowsReplicas: func() bool { return n.replicas.all() },
+		ExpectedDaemons: requests.Daemons,
 	}
 	n.holder.Prepare()
 	n.replicas = newReplicaKnowledge(n)
-	n.follower = &loader.Follower{Daemon: n.config.ID, Demand: tracker, Fleet: n.fleet, Holder: n.holder, Log: n.log, Daemons: requests.ShareRetries,
-		TermDelay: n.config.TermDelay, KnowsReplicas: n.replicas.all, Directories: n.replicas.setDirectories, Address: n.config.PeerAddress, Zone: n.config.Zone}
+	n.follower = &loader.Follower{Daemon: n.config.ID, Demand: tracker, Fleet: n.fleet, Leader: n.holder, Log: n.log, Daemons: requests.ShareRetries,
+		TermDelay: n.config.TermDelay, KnowsReplicas: n.replicas.all, SetDirectories: n.replicas.setDirectories, Address: n.config.PeerAddress, Zone: n.config.Zone}
 	n.follower.Prepare()
 	requests.OrdersGiven = n.follower.Attached
-	n.election.Listen(func(holder election.Holder) {
-		n.follower.HolderChanged(holder)
+	n.election.Listen(func(holder election.Leader) {
+		n.follower.LeaderChanged(holder)
 		if holder.Daemon != n.config.ID {
-			n.holder.OtherHeld()
+			n.holder.ObserveOtherLeader()
 		}
 		n.mirror.Lead(holder.Daemon == n.config.ID)
 		n.holder.Wake()
@@ -250,12 +250,12 @@
 	n.quarantine.Prepare()
 	requests.Quarantine = n.quarantine
 	n.follow(adapters)
-	n.quotas = &limiter.Client{Bounds: n.config.Quotas, Holder: n.election.HolderAddress, Needed: n.needsQuotas, Now: boottime.Now,
+	n.quotas = &limiter.Client{Bounds: n.config.Quotas, Leader: n.election.HolderAddress, Needed: n.needsQuotas, Now: boottime.Now,
 		Daemons: requests.Daemons, Count: newPermitCounts(n.metrics), Log: n.log}
 	n.quotas.Prepare()
 	requests.Limits, requests.Permits = n.quotas, n.quotas
 	n.quarantine.Turns = &replicaTurns{fleet: n.fleet, quotas: n.quotas}
-	n.limits = &limiter.Server{Bounds: n.config.Quotas, Table: n.routes, Term: n.election.Term, First: n.holder.FirstOfAll, Now: boottime.Now,
+	n.limits = &limiter.Server{Bounds: n.config.Quotas, Table: n.routes, Term: n.election.Term, First: n.holder.FirstTerm, Now: boottime.Now,
 		Reached: n.holder.Reached, LimitOf: n.fleet.LimitOf, Log: n.log}
 	n.holder.Turns = n.limits
 	subscriber := &records.Subscriber{Daemon: n.config.ID, Mirror: n.mirror, Source: n.recordSource, Deputy: n.deputySource, Seeds: n.replicas.recordPeers, Log: n.log}
--- a/node/notices.go
+++ b/node/notices.go
@@ -27,7 +27,7 @@
 	if change, news := n.fleet.HearLimit(notice, now); news {
 		n.notices.limits.Inc()
 		n.noticeEntry(notice).WithFields(logrus.Fields{logging.Limit: change.PerSecond, logging.LimitBefore: change.Before}).Info(logging.MessageReplicaLimit)
-		n.follower.LimitHeard()
+		n.follower.LimitReported()
 		n.holder.RegistryChanged(notice.Replica)
 	}
 	if !notice.Leaving && notice.Rest == 0 {
--- a/records/bulk.go
+++ b/records/bulk.go
@@ -59,7 +59,7 @@
 }
 
 // TooLarge tells whether there are too many records for every daemon to know them all.
-func (m *Mirror) TooLarge() bool {
+func (m *Mirror) TooManyReplicas() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.tooLarge
--- a/records/bulk_test.go
+++ b/records/bulk_test.go
@@ -91,7 +91,7 @@
 	source.replace(append(bulkOf(3, 5), kv.Pair{Key: "config", Value: []byte("1"), ModRevision: 4}), 10, true)
 	require.False(t, feed.viewFor(view{}, false).without, "few replicas: all are told of all")
 	source.apply([]kv.Event{put(testBulk+"more", "ready", 11), put("config", "2", 12)}, 12)
-	require.True(t, source.TooLarge())
+	require.True(t, source.TooManyReplicas())
 
 	peer := feed.viewFor(view{revision: 10}, false)
 	update, changed := source.since(peer)
--- a/records/feed.go
+++ b/records/feed.go
@@ -93,7 +93,7 @@
 // viewFor returns what a peer is told of from now on. One that is told of the bulk again gets all
 // records.
 func (f *Feed) viewFor(peer view, all bool) view {
-	without := f.Mirror.TooLarge() && !all
+	without := f.Mirror.TooManyReplicas() && !all
 	if peer.without && !without {
 		peer.revision = 0
 	}
