--- a/loader/attach.go
+++ b/loader/attach.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// minViewInterval gathers changes that come together into one view; the more daemons
-	// hear it, the longer.
+	// minViewInterval batches changes into one view; viewIntervalPerDaemon lengthens the interval with each
+	// daemon that receives views.
 	minViewInterval       = 5 * time.Millisecond
 	viewIntervalPerDaemon = 100 * time.Microsecond
 )
 
 const (
-	// beatPause is the longest time between two messages of a stream, in either direction.
+	// heartbeatInterval is the longest time between two messages of a stream, in either direction.
 	heartbeatInterval = 2 * time.Second
-	// silentTime is how long nothing comes on a stream before it counts as broken: connections
-	// may fall silent without a reset, while new ones work.
+	// silenceTimeout is the time without a message after which a stream counts as broken. A connection may
+	// stop delivering data without a reset.
 	silenceTimeout = 5 * time.Second
 )
 
-// watchdog reports a failure once nothing was heard for a while.
+// watchdog reports a failure when no message was received within silenceTimeout.
 type watchdog struct{ timer *time.Timer }
 
 func newWatchdog(failed chan<- error) watchdog {
 	return watchdog{time.AfterFunc(silenceTimeout, func() {
 		select {
 		case failed <- errStreamSilent:
-		default: // another failure is known
+		default: // another failure was reported first
 		}
 	})}
 }
@@ -46,7 +46,7 @@
 	return minViewInterval + time.Duration(daemons)*viewIntervalPerDaemon
 }
 
-// Attach serves one daemon's stream. It implements rpc.DRPCLoadsServer.
+// Attach serves the stream of one daemon. It implements rpc.DRPCLoadsServer.
 func (l *Leader) Attach(stream rpc.DRPCLoads_AttachStream) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -75,11 +75,11 @@
 	return l.sendViews(stream, daemonID, failed)
 }
 
-var errStreamSilent = errors.New("nothing was heard on the stream for too long")
+var errStreamSilent = errors.New("stream timed out: no message received")
 
-var errTermEnded = errors.New("the term of the holder of load orders is over")
+var errTermEnded = errors.New("the leader's term has ended")
 
-// join counts an attached daemon; the function returned ends it.
+// addStream counts a daemon's stream; the returned function removes it.
 func (l *Leader) addStream(daemonID string) func() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -97,43 +97,42 @@
 	}
 }
 
-// begin forgets what a daemon said on an earlier stream, perhaps as an earlier process:
-// the first message of a stream names all that there is. Counts of arrivals stay, so
-// that only newer ones are added to the rates.
+// clearReported discards what a daemon reported on an earlier stream, since the first message of a stream is
+// complete. It keeps the arrival counts, so that only newer arrivals are added to the rates.
 func (l *Leader) clearReported(daemonID string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.daemons[daemonID]
-	if known == nil {
+	state := l.daemons[daemonID]
+	if state == nil {
 		return
 	}
-	clear(known.running)
-	for key, count := range known.counts {
-		known.counts[key] = demand.Count{Arrivals: count.Arrivals}
+	clear(state.running)
+	for key, count := range state.counts {
+		state.counts[key] = demand.Count{Arrivals: count.Arrivals}
 	}
 }
 
-// report takes in a daemon's demand.
+// applyDemand records a daemon's report.
 func (l *Leader) applyDemand(message *rpc.LoadsDemand) {
 	now := time.Now()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.daemons[message.GetDaemonId()]
-	if known == nil {
-		known = &daemonState{counts: map[demand.Key]demand.Count{}, running: map[string]uint32{}}
-		l.daemons[message.GetDaemonId()] = known
+	state := l.daemons[message.GetDaemonId()]
+	if state == nil {
+		state = &daemonState{counts: map[demand.Key]demand.Count{}, running: map[string]uint32{}}
+		l.daemons[message.GetDaemonId()] = state
 	}
-	known.detachedAt = time.Time{}
-	l.applyLeaving(message, now)
+	state.detachedAt = time.Time{}
+	l.applyDraining(message, now)
 	l.applyLimits(message, now)
-	if message.GetKnowsReplicas() && !known.knowsReplicas {
-		l.directories.wake() // the daemon's stream is told what is loaded from now on
+	if message.GetKnowsReplicas() && !state.knowsReplicas {
+		l.directories.wake() // from now on, the daemon receives the loads of all replicas
 	}
-	known.knowsReplicas = message.GetKnowsReplicas()
+	state.knowsReplicas = message.GetKnowsReplicas()
 	for _, entry := range message.GetRunning() {
-		known.running[entry.GetReplicaId()] = entry.GetRequests()
+		state.running[entry.GetReplicaId()] = entry.GetRequests()
 		if entry.GetRequests() == 0 {
-			delete(known.running, entry.GetReplicaId())
+			delete(state.running, entry.GetReplicaId())
 		}
 	}
 	if len(message.GetKeys()) > 0 {
@@ -141,18 +140,18 @@
 	}
 	for _, entry := range message.GetKeys() {
 		key := demand.Key{Service: entry.GetService(), Target: fleet.Target{Model: entry.GetModel(), Adapter: entry.GetAdapter()}}
-		before, reportedBefore := known.counts[key]
+		before, reportedBefore := state.counts[key]
 		count := demand.Count{Arrivals: entry.GetArrivals(), Waiting: int(entry.GetWaiting()), Running: int(entry.GetRunning())}
 		if count.Waiting > 0 {
 			count.WaitingSince = now.Add(-time.Duration(entry.GetWaitingMs()) * time.Millisecond)
 		}
-		known.counts[key] = count
+		state.counts[key] = count
 		arrivals := l.rates[key]
 		if arrivals == nil {
 			arrivals = &arrivalRate{}
 			l.rates[key] = arrivals
 		}
-		// What a daemon counted before it attached came some time ago.
+		// Arrivals from before the daemon attached are too old for the rate.
 		if reportedBefore && count.Arrivals >= before.Arrivals {
 			arrivals.add(count.Arrivals-before.Arrivals, now)
 		} else if count.Waiting+count.Running > 0 {
@@ -161,16 +160,15 @@
 	}
 }
 
-// told is what a stream has told its daemon.
+// sentState is what the leader has sent on a stream.
 type sentState struct {
-	version     uint64 // of what is loaded; zero: nothing yet
+	version     uint64 // of the replicas' loads; zero: none sent yet
 	term        int64
-	directories uint64 // version of the list of directories
+	directories uint64 // version of the directory list
 }
 
-// tell sends what is loaded and how many requests run on each replica, first all and
-// then each change. Daemons that do not know all replicas are told of the term and of the
-// directories only.
+// sendViews sends the loaded models and the running requests of each replica: first all of them, then each
+// change. Daemons without replica records receive only the term and the directory list.
 func (l *Leader) sendViews(stream rpc.DRPCLoads_AttachStream, daemonID string, failed <-chan error) error {
 	var sentState sentState
 	heartbeat := time.NewTicker(heartbeatInterval)
@@ -205,14 +203,14 @@
 	return len(view.GetReplicas())+len(view.GetRunning())+len(view.GetLeaving())+len(view.GetLimits())+len(view.GetPacked()) > 0 || view.GetDirectories() != nil
 }
 
-// pendingViews are the messages that a daemon gets now, and when there may be more.
+// pendingViews are the messages to send to a daemon now, and when to look for more.
 type pendingViews struct {
 	messages []*rpc.LoadsView
 	changed  <-chan struct{}
 	delay    time.Duration
 }
 
-// nextViews returns what a daemon is to be told, and notes it as told.
+// nextViews returns the messages that a daemon has not received yet, and marks them as sent.
 func (l *Leader) nextViews(sentState *sentState, daemonID string, now time.Time) (pendingViews, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -236,26 +234,26 @@
 	return next, nil
 }
 
-// isTold tells whether a daemon is told what is loaded on each replica; the mutex is held.
+// receivesLoads reports whether a daemon receives the loads of each replica. The caller holds the mutex.
 func (l *Leader) receivesLoads(daemonID string) bool {
-	known := l.daemons[daemonID]
-	return known == nil || known.knowsReplicas
+	state := l.daemons[daemonID]
+	return state == nil || state.knowsReplicas
 }
 
-// view makes the message of what changed after a version; the mutex is held. Daemons
-// that heard the same share it.
+// view returns the message with all changes after a version. Daemons at the same version share it. The caller
+// holds the mutex.
 func (l *Leader) view(after uint64, now time.Time) *rpc.LoadsView {
-	if known := l.views[after]; known != nil {
-		return known
+	if shared := l.views[after]; shared != nil {
+		return shared
 	}
-	view := &rpc.LoadsView{Fence: l.fence, Daemons: uint32(l.attached), Running: l.runningView(after), Leaving: l.leavingView(after), Limits: l.limitsView(after, now)}
+	view := &rpc.LoadsView{Fence: l.fence, Daemons: uint32(l.attached), Running: l.runningView(after), Leaving: l.drainingView(after), Limits: l.limitsView(after, now)}
 	for _, id := range l.loadChanges.after(after) {
 		if state := l.states[id]; state != nil && state.Verified {
 			view.Replicas = append(view.Replicas, replicaView(state, now))
 		}
 	}
 	packed := view.Pack()
-	if len(view.GetLimits()) == 0 { // ages of limits are told as of now
+	if len(view.GetLimits()) == 0 { // limits carry their age, so such a view cannot be reused
 		l.views[after] = packed
 	}
 	return packed
--- a/loader/attach_test.go
+++ b/loader/attach_test.go
@@ -37,14 +37,14 @@
 		}
 		return sent
 	}
-	require.Empty(t, report("a", 3), "less than a sixteenth of the places")
+	require.Empty(t, report("a", 3), "a change below one step is not sent")
 	require.Equal(t, uint32(3), leader.requestTotals.total["r1"])
 	require.Equal(t, map[string]uint32{"r1": 5}, report("b", 2))
 	require.Empty(t, report("a", 4))
 	require.Equal(t, map[string]uint32{"r1": 11}, report("a", 9))
 	require.Equal(t, map[string]uint32{"r1": 2}, report("a", 0))
-	require.Equal(t, map[string]uint32{"r1": 0}, report("b", 0), "an empty replica is always told")
-	require.Len(t, leader.view(0, now).GetRunning(), 1, "a daemon that joins hears all")
+	require.Equal(t, map[string]uint32{"r1": 0}, report("b", 0), "a count of zero is always sent")
+	require.Len(t, leader.view(0, now).GetRunning(), 1, "a new stream receives all counts")
 }
 
 func TestViewsAreSharedBetweenDaemonsAtTheSameVersion(t *testing.T) {
@@ -68,7 +68,7 @@
 	require.LessOrEqual(t, len(changes.entries), 2*3+maxStaleEntries+1)
 }
 
-// A daemon that was killed has no requests left, whatever its earlier process said.
+// A daemon may have been killed and restarted, so its earlier requests must not count.
 func TestFirstMessageOfAStreamReplacesEarlierReports(t *testing.T) {
 	leader := &Leader{Fleet: emptyFleet()}
 	leader.Prepare()
@@ -86,5 +86,5 @@
 	report.Keys[0].Arrivals = 21
 	leader.applyDemand(report)
 	after := leader.rates[demand.Key{Service: "press", Target: fleet.Target{Model: "m1"}}].perSecond
-	require.InDelta(t, 1/rateWindow.Seconds(), after-before, 0.01, "what arrived before is not counted again")
+	require.InDelta(t, 1/rateWindow.Seconds(), after-before, 0.01, "earlier arrivals are not counted again")
 }
--- a/loader/demand.go
+++ b/loader/demand.go
@@ -8,19 +8,19 @@
 	"github.com/finchspoke/finchspoke/loading"
 )
 
-// daemonState is the last report of one daemon.
+// daemonState is what a daemon last reported.
 type daemonState struct {
 	counts        map[demand.Key]demand.Count
 	running       map[string]uint32 // requests by replica
 	detachedAt    time.Time         // zero while attached
-	termDelay     time.Duration     // before it campaigns for the term; zero if not known
-	attachedAt    time.Time         // when its present stream began
-	address       string            // where daemons reach it
+	termDelay     time.Duration     // wait before it campaigns for the term; zero if unknown
+	attachedAt    time.Time         // start of its current stream
+	address       string            // address for connections from other daemons
 	zone          string
-	knowsReplicas bool // all replicas
+	knowsReplicas bool // whether it has the records of all replicas
 }
 
-// rate is a moving average of arrivals.
+// arrivalRate is an exponentially decaying average of arrivals.
 type arrivalRate struct {
 	perSecond float64
 	updatedAt time.Time
@@ -40,7 +40,7 @@
 	r.updatedAt = now
 }
 
-// totalDemand sums the demand of all daemons; the mutex is held.
+// totalDemand sums the demand of all daemons. The caller holds the mutex.
 func (l *Leader) totalDemand(now time.Time) map[demand.Key]loading.Demand {
 	total := map[demand.Key]loading.Demand{}
 	for key, arrivals := range l.rates {
--- a/loader/directories.go
+++ b/loader/directories.go
@@ -12,46 +12,45 @@
 )
 
 const (
-	// maxDirectories is how many daemons at most know all replicas for the others, beside the
-	// holder. Each costs the holder a stream of all that changes; ten serve a hundred daemons each at
-	// 985, and two are in each of five zones.
+	// maxDirectories is the largest number of directories besides the leader. The leader sends every change
+	// to each of them.
 	maxDirectories = 10
-	// daemonsPerDirectory is how many daemons there are for each directory in a smaller fleet.
+	// daemonsPerDirectory sets the number of directories in a fleet too small for maxDirectories.
 	daemonsPerDirectory = 8
-	// directoriesInterval is the time between looks whether the list is to change.
+	// directoriesInterval is the time between two checks of the directory list.
 	directoriesInterval = 250 * time.Millisecond
-	// minTermAgeForDirectories is how old a term is at least before directories are named, and maxAttachWait how old at
-	// most: until then daemons attach, and the directories of the last holder go on.
+	// minTermAgeForDirectories and maxAttachWait bound how long a new leader waits for daemons to attach
+	// before it chooses directories. Meanwhile, the directories of the earlier leader continue.
 	minTermAgeForDirectories = time.Second
 	maxAttachWait            = 4 * time.Second
-	// directoryReadyTimeout is how long directories that are named have to learn of all replicas before those
-	// that are ready are asked alone: a single one would get the streams of all.
+	// directoryReadyTimeout is how long newly chosen directories may take to load all replica records. Until
+	// then, the list is not switched to a minority that is ready, which would have to serve all daemons.
 	directoryReadyTimeout = 3 * time.Second
 )
 
-// directories are the daemons that know all replicas for the others. The list is empty where every
-// daemon knows them.
+// directories are the daemons that know all replicas and answer for the other daemons. The list is empty if
+// every daemon knows all replicas.
 type directories struct {
-	chosen    map[string]bool // by daemon
-	addresses []string        // of those that are ready; the holder's own while none is
+	chosen    map[string]bool // by daemon ID
+	addresses []string        // of the directories that are ready; the leader's own if none is
 	version   uint64
-	changed   chan struct{} // closed at the next version, or term
+	changed   chan struct{} // closed at the next version or term
 	checkedAt time.Time
-	chosenAt  time.Time // when the daemons were last chosen
+	chosenAt  time.Time // time of the last change of chosen
 }
 
 func newDirectories(version uint64) directories {
 	return directories{chosen: map[string]bool{}, version: version, changed: make(chan struct{})}
 }
 
-// wake wakes the streams to daemons that are told of the directories only.
+// wake wakes the streams to daemons that receive only the directory list.
 func (d *directories) wake() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// refreshDirectories names directories where there are too many replicas for every daemon to know
-// them; the mutex is held.
+// refreshDirectories chooses directories if there are too many replicas for every daemon to know all of them.
+// The caller holds the mutex.
 func (l *Leader) refreshDirectories(now time.Time) {
 	if l.TooManyReplicas == nil || now.Sub(l.directories.checkedAt) < directoriesInterval || !l.termSettled(now) {
 		return
@@ -63,8 +62,8 @@
 	}
 	var addresses []string
 	for id := range chosen {
-		if known := l.daemons[id]; known.knowsReplicas {
-			addresses = append(addresses, known.address)
+		if state := l.daemons[id]; state.knowsReplicas {
+			addresses = append(addresses, state.address)
 		}
 	}
 	if l.TooManyReplicas() && len(addresses) == 0 {
@@ -99,12 +98,12 @@
 	return true
 }
 
-// termSettled tells whether the term is old enough for directories to be named: most of the daemons
-// that the last holder had have attached. The mutex is held.
+// termSettled reports whether directories may be chosen: the term has a minimum age, and most daemons of the
+// earlier leader have attached. The caller holds the mutex.
 func (l *Leader) termSettled(now time.Time) bool {
 	age := now.Sub(l.handovers.termStart)
 	if l.FirstStart && !l.otherLeaderObserved.Load() {
-		return true // there was no holder before
+		return true // there was no earlier leader
 	}
 	if age < minTermAgeForDirectories || age >= maxAttachWait || l.ExpectedDaemons == nil {
 		return age >= minTermAgeForDirectories
@@ -112,10 +111,10 @@
 	return 2*l.attached >= l.ExpectedDaemons()
 }
 
-// decided tells whether the list was made in this term.
+// decided reports whether the list was made in this term.
 func (d *directories) decided() bool { return !d.checkedAt.IsZero() }
 
-// listeners returns how many daemons are told what is loaded on each replica; the mutex is held.
+// loadReceivers returns how many daemons receive the loads of each replica. The caller holds the mutex.
 func (l *Leader) loadReceivers() int {
 	if l.TooManyReplicas == nil || !l.TooManyReplicas() {
 		return l.attached
@@ -123,12 +122,12 @@
 	return len(l.directories.chosen) + 1
 }
 
-// chooseDirectories picks the daemons that know all replicas: those that were picked before, those
-// that know them already, then the strongest, spread over the zones. The mutex is held.
+// chooseDirectories chooses the daemons that serve as directories, spread over the zones. It prefers current
+// directories, then strong machines, then daemons with all replica records. The caller holds the mutex.
 func (l *Leader) chooseDirectories() map[string]bool {
 	var eligible []string
-	for id, known := range l.daemons {
-		if id != l.Daemon && known.address != "" && known.detachedAt.IsZero() {
+	for id, state := range l.daemons {
+		if id != l.Daemon && state.address != "" && state.detachedAt.IsZero() {
 			eligible = append(eligible, id)
 		}
 	}
@@ -140,7 +139,7 @@
 	})
 	chosen, countByZone := map[string]bool{}, map[string]int{}
 	desired := min(maxDirectories, max(1, l.attached/daemonsPerDirectory))
-	for maxPerZone := 1; maxPerZone <= desired; maxPerZone++ { // of one zone
+	for maxPerZone := 1; maxPerZone <= desired; maxPerZone++ {
 		for _, id := range eligible {
 			zone := l.daemons[id].zone
 			if len(chosen) < desired && !chosen[id] && countByZone[zone] < maxPerZone {
--- a/loader/directories_test.go
+++ b/loader/directories_test.go
@@ -15,7 +15,7 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// largeFleet is a holder before so many replicas that not every daemon knows them.
+// largeFleet is a leader of so many replicas that not every daemon knows all of them.
 type largeFleet struct {
 	*Leader
 	isLarge bool
@@ -38,7 +38,7 @@
 	return f
 }
 
-// attach lets a daemon attach.
+// attach attaches a daemon.
 func (f *largeFleet) attach(daemon, zone string, delay time.Duration, knows bool) {
 	message := &rpc.LoadsDemand{DaemonId: daemon, Address: daemon + ":1", Zone: zone, TermDelayMs: delay.Milliseconds(), KnowsReplicas: knows}
 	f.addStream(daemon)
@@ -46,12 +46,12 @@
 	f.recordDaemon(message)
 }
 
-// learn tells that a daemon knows all replicas now.
+// reportKnowsReplicas reports that a daemon has all replica records.
 func (f *largeFleet) reportKnowsReplicas(daemon string) {
 	f.applyDemand(&rpc.LoadsDemand{DaemonId: daemon, KnowsReplicas: true})
 }
 
-// refresh lets some time pass and looks again.
+// refresh advances the clock and refreshes the directories.
 func (f *largeFleet) refresh(after time.Duration) {
 	f.now = f.now.Add(after)
 	f.refreshDirectories(f.now)
@@ -61,21 +61,21 @@
 	fleet := newLargeFleet(400)
 	fleet.refresh(minTermAgeForDirectories)
 	require.Len(t, fleet.directories.chosen, maxDirectories)
-	inZone := map[string]int{}
+	countByZone := map[string]int{}
 	for id := range fleet.directories.chosen {
-		known := fleet.daemons[id]
-		require.Equal(t, 75*time.Millisecond, known.termDelay)
-		inZone[known.zone]++
+		state := fleet.daemons[id]
+		require.Equal(t, 75*time.Millisecond, state.termDelay)
+		countByZone[state.zone]++
 	}
-	require.Equal(t, map[string]int{"a": 2, "b": 2, "c": 2, "d": 2, "e": 2}, inZone)
-	require.Empty(t, fleet.directories.addresses, "the holder is asked until they know all")
+	require.Equal(t, map[string]int{"a": 2, "b": 2, "c": 2, "d": 2, "e": 2}, countByZone)
+	require.Empty(t, fleet.directories.addresses, "the list stays empty until the directories are ready")
 
 	first := true
 	for id := range fleet.directories.chosen {
 		fleet.reportKnowsReplicas(id)
 		if first {
 			fleet.refresh(directoriesInterval)
-			require.Empty(t, fleet.directories.addresses, "a single one would get the streams of all")
+			require.Empty(t, fleet.directories.addresses, "a single ready directory is not listed alone")
 			first = false
 		}
 	}
@@ -84,15 +84,15 @@
 	require.Len(t, fleet.directories.addresses, maxDirectories)
 	require.Equal(t, before, fleet.directories.chosen)
 
-	// One is lost; another takes its place, the rest go on.
-	lost := ""
+	// A lost directory is replaced; the others stay.
+	lostID := ""
 	for id := range before {
-		lost = id
+		lostID = id
 	}
-	fleet.daemons[lost].detachedAt = fleet.now
+	fleet.daemons[lostID].detachedAt = fleet.now
 	fleet.refresh(directoriesInterval)
 	require.Len(t, fleet.directories.chosen, maxDirectories)
-	require.NotContains(t, fleet.directories.chosen, lost)
+	require.NotContains(t, fleet.directories.chosen, lostID)
 	require.Len(t, fleet.directories.addresses, maxDirectories-1)
 
 	fleet.isLarge = false
@@ -106,13 +106,13 @@
 	fleet.reportKnowsReplicas("d0")
 	fleet.reportKnowsReplicas("d40")
 	fleet.refresh(0)
-	require.False(t, fleet.directories.decided(), "not all have attached")
+	require.False(t, fleet.directories.decided(), "too few daemons are attached")
 	fleet.refresh(minTermAgeForDirectories)
 	require.True(t, fleet.directories.chosen["d0"])
 	require.True(t, fleet.directories.chosen["d40"])
 }
 
-// 985 daemons that are told of 10,000 replicas are ten million messages.
+// Sending every replica to every daemon would not scale.
 func TestDaemonWithoutReplicaRecordsReceivesOnlyDirectories(t *testing.T) {
 	fleet := newLargeFleet(20)
 	fleet.refresh(minTermAgeForDirectories)
@@ -137,7 +137,7 @@
 	fleet.markChanged("r1")
 	select {
 	case <-first.changed:
-		t.Fatal("a replica's change wakes the streams of all daemons")
+		t.Fatal("a replica's change woke the stream of a daemon without replica records")
 	case <-mine.changed:
 	}
 	next, err := fleet.nextViews(&sentToOther, "d1", fleet.now)
@@ -148,7 +148,7 @@
 	require.NoError(t, err)
 	require.Len(t, mine.messages[0].GetReplicas(), 1)
 
-	// It knows all replicas from now on: then it is told of each from the beginning.
+	// Once it has all replica records, it receives the loads of every replica.
 	fleet.reportKnowsReplicas("d1")
 	<-next.changed
 	next, err = fleet.nextViews(&sentToOther, "d1", fleet.now)
@@ -156,7 +156,7 @@
 	require.Len(t, next.messages[0].GetReplicas(), 1)
 }
 
-// reportingReplicas tell what they hold, and count how often they are asked.
+// reportingReplicas report their registry records, and record which of them were asked.
 type reportingReplicas struct {
 	recordingReplicas
 	reports chan string
@@ -167,19 +167,18 @@
 	return loading.Report{Sequence: 4, Holdings: replica.Holdings}, nil
 }
 
-// received returns what comes on a channel within a second.
+// receive returns a value from a channel, and fails if none comes within a second.
 func receive[T any](t *testing.T, from <-chan T) (value T) {
 	t.Helper()
 	select {
 	case value = <-from:
 	case <-time.After(time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("nothing received within a second")
 	}
 	return value
 }
 
-// A term before 10,000 replicas began with a connection to each, for a report that the first orders
-// did not need; a process may have 4,100.
+// Connecting to every replica at the start of a term could exhaust the connections of the process.
 func TestReportIsFetchedOnlyBeforeAReplicasFirstOrder(t *testing.T) {
 	log := discardLog()
 	campaign := electedLeader(t, log)
@@ -201,12 +200,12 @@
 		leader.Fleet.Put(fleet.Entry{ID: id, Service: "press", Address: id + ":1", Holdings: fleet.Holdings{"m1": nil}}, time.Now())
 	}
 	leader.runRound(t.Context(), time.Now())
-	require.Empty(t, replicas.reports, "nothing is asked for")
+	require.Empty(t, replicas.reports, "no report is fetched without demand")
 
 	leader.applyDemand(&rpc.LoadsDemand{DaemonId: "d2", Keys: []*rpc.TargetLoadDemand{{Service: "press", Model: "m2", Arrivals: 1, Waiting: 1}}})
 	leader.runRound(t.Context(), time.Now())
 	replicaID := receive(t, replicas.reports)
-	require.Empty(t, replicas.orders, "its own word first")
+	require.Empty(t, replicas.orders, "the report comes before the first order")
 	require.Eventually(t, func() bool {
 		leader.mutex.Lock()
 		defer leader.mutex.Unlock()
@@ -215,6 +214,6 @@
 	leader.runRound(t.Context(), time.Now())
 	order := receive(t, replicas.orders)
 	require.Equal(t, replicaID, order.ReplicaID)
-	require.EqualValues(t, 4, order.Sequence, "bound to the orders that it has taken")
+	require.EqualValues(t, 4, order.Sequence, "the order states the number of orders taken")
 	require.Empty(t, replicas.reports)
 }
--- a/loader/follower.go
+++ b/loader/follower.go
@@ -19,28 +19,28 @@
 )
 
 const (
-	// reportInterval is the time between reports of demand that has changed.
+	// reportInterval is the time between reports of changed demand.
 	reportInterval = 300 * time.Millisecond
-	// urgentPause gathers requests that begin to wait together.
+	// urgentDelay batches requests that begin to wait at about the same time.
 	urgentDelay   = 3 * time.Millisecond
 	reattachDelay = 200 * time.Millisecond
 )
 
-// Follower keeps one stream to the holder of load orders. It is a suture service.
+// Follower keeps one stream to the leader, on which it reports demand and receives the loads of replicas. It
+// is a suture service.
 type Follower struct {
 	Daemon string
 	Demand *demand.Tracker
 	Fleet  *fleet.Directory
-	Leader *Leader // of this daemon, told of orders that others gave
-	// Daemons is told how many daemons are attached to the holder.
+	Leader *Leader // of this daemon; it is notified of orders by other leaders
+	// Daemons receives the number of daemons that are attached to the leader.
 	Daemons func(int)
-	// KnowsReplicas tells whether this daemon knows all replicas, and is told what is loaded on each;
-	// nil: it does.
+	// KnowsReplicas reports whether this daemon knows all replicas and so receives their loads; nil: always.
 	KnowsReplicas func() bool
-	// Directories is told whether this daemon is to know all replicas for others, and which daemons
-	// do; nil: nobody is.
+	// SetDirectories receives whether this daemon is a directory, and the addresses of all directories;
+	// optional.
 	SetDirectories func(serve bool, addresses []string)
-	// Address is where daemons reach this one, and Zone where it is.
+	// Address is where other daemons reach this one; Zone is the zone of its machine.
 	Address, Zone string
 	// TermDelay is how long this daemon waits before it campaigns for the term.
 	TermDelay time.Duration
@@ -48,22 +48,22 @@
 	mutex     sync.Mutex
 	current   election.Leader
 	changed   chan struct{}
-	urgent    chan struct{} // holds an element while there is something to be told at once
+	urgent    chan struct{} // holds an element while a report should be sent at once
 	attached  atomic.Bool
 }
 
-// Attached tells whether a holder of load orders hears of this daemon's demand.
+// Attached reports whether a leader receives this daemon's demand.
 func (f *Follower) Attached() bool { return f.attached.Load() }
 
-// Prepare makes the follower ready for use.
+// Prepare initializes the follower; it must be called before any other method.
 func (f *Follower) Prepare() { f.changed, f.urgent = make(chan struct{}), make(chan struct{}, 1) }
 
-// LeaderChanged takes in who holds the orders now.
+// LeaderChanged makes the follower attach to a newly elected leader.
 func (f *Follower) LeaderChanged(leader election.Leader) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	// A record that went away leaves the last holder in place: while the service
-	// that keeps the record is down, the holder goes on.
+	// While the key-value service is down, the record of the leader may be missing although the leader
+	// continues.
 	if leader.Nonce == "" || leader.Nonce == f.current.Nonce {
 		return
 	}
@@ -102,9 +102,9 @@
 	return ctx.Err()
 }
 
-var errLeaderChanged = errors.New("the holder changed")
+var errLeaderChanged = errors.New("the leader changed")
 
-// attach keeps a stream to a holder until it breaks or another holder is known.
+// attach keeps a stream to a leader until it breaks or another leader is elected.
 func (f *Follower) attach(ctx context.Context, leader election.Leader, changed <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -115,9 +115,9 @@
 	defer func() { _ = conn.Close() }()
 	stream, err := rpc.NewDRPCLoadsClient(conn).Attach(ctx)
 	if err != nil {
-		return errors.Wrap(err, "attach to the holder of load orders")
+		return errors.Wrap(err, "attach to the leader")
 	}
-	sent := &sentReport{counts: map[demand.Key]demand.Count{}, running: map[string]uint32{}, leaving: map[fleet.Incarnation]bool{}, limits: map[fleet.Incarnation]float64{}}
+	sent := &sentReport{counts: map[demand.Key]demand.Count{}, running: map[string]uint32{}, draining: map[fleet.Incarnation]bool{}, limits: map[fleet.Incarnation]float64{}}
 	first := f.report(sent, time.Now())
 	first.TermDelayMs, first.Address, first.Zone = f.TermDelay.Milliseconds(), f.Address, f.Zone
 	if err := stream.Send(first); err != nil {
@@ -163,33 +163,33 @@
 	return len(message.GetKeys())+len(message.GetRunning())+len(message.GetLeaving())+len(message.GetLimits()) > 0
 }
 
-// reported is what a holder was told on one stream.
+// sentReport is what the follower has sent to the leader on one stream.
 type sentReport struct {
 	counts        map[demand.Key]demand.Count
-	mutex         sync.Mutex                 // guards running and limits, which the listener uses too
+	mutex         sync.Mutex                 // guards running and limits, which the receiving goroutine uses too
 	running       map[string]uint32          // requests of this daemon by replica
-	knowsReplicas bool                       // all replicas; used by the sender only
-	leaving       map[fleet.Incarnation]bool // used by the sender only
+	knowsReplicas bool                       // used only by the sending goroutine
+	draining      map[fleet.Incarnation]bool // used only by the sending goroutine
 	limits        map[fleet.Incarnation]float64
 }
 
-// learns notes whether this daemon knows all replicas, and tells whether that is news.
+// updateKnowsReplicas records whether this daemon knows all replicas, and returns whether that changed.
 func (r *sentReport) updateKnowsReplicas(knowsReplicas bool) bool {
 	changed := r.knowsReplicas != knowsReplicas
 	r.knowsReplicas = knowsReplicas
 	return changed
 }
 
-// runningOn returns what was told of a replica.
+// runningOn returns the number of running requests last reported for a replica.
 func (r *sentReport) runningOn(replica string) uint32 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.running[replica]
 }
 
-// message makes a report of what differs from what was sent.
+// report returns a report of all changes since the last one.
 func (f *Follower) report(sent *sentReport, now time.Time) *rpc.LoadsDemand {
-	report := &rpc.LoadsDemand{DaemonId: f.Daemon, KnowsReplicas: f.knowsReplicas(), Leaving: f.newLeaving(sent), Limits: f.newLimits(sent, now)}
+	report := &rpc.LoadsDemand{DaemonId: f.Daemon, KnowsReplicas: f.knowsReplicas(), Leaving: f.newDraining(sent), Limits: f.newLimits(sent, now)}
 	for key, count := range f.Demand.Counts() {
 		if key.Target.Model == "" || sent.counts[key] == count {
 			continue
@@ -213,7 +213,7 @@
 	return now.Sub(count.WaitingSince).Milliseconds()
 }
 
-// listen takes in what the holder tells.
+// receiveViews applies the leader's messages until the stream fails.
 func (f *Follower) receiveViews(stream rpc.DRPCLoads_AttachClient, sent *sentReport, silence watchdog) error {
 	for {
 		message, err := stream.Recv()
@@ -226,7 +226,7 @@
 			return err
 		}
 		now := time.Now()
-		// A daemon that is not told what is loaded does not know when the last order was given.
+		// A daemon that does not receive loads cannot tell when the last order was given; any message counts.
 		if view.GetFence() > 0 && (len(view.GetReplicas()) > 0 || !f.knowsReplicas()) {
 			f.Leader.ObserveOrder(now)
 		}
--- a/loader/handover.go
+++ b/loader/handover.go
@@ -6,15 +6,14 @@
 	"github.com/finchspoke/finchspoke/election"
 )
 
-// recentOrders remembers when each replica was last given an order, by this daemon or by
-// the holders before it, so that the next holder keeps its distance from each replica's
-// last order and need not wait for all of them.
+// recentOrders records when each replica last received an order from this daemon or from earlier leaders.
+// With it, the next leader keeps the term gap for each replica instead of for all of them.
 type recentOrders struct {
 	own       map[string]time.Time
-	inherited map[string]time.Time // of the holders before, as handed over
+	inherited map[string]time.Time // from earlier leaders, as handed over
 }
 
-// note takes in that this daemon gave a replica an order.
+// record sets the time of this daemon's last order to a replica.
 func (r *recentOrders) record(replica string, at time.Time) {
 	if r.own == nil {
 		r.own = map[string]time.Time{}
@@ -22,14 +21,14 @@
 	r.own[replica] = at
 }
 
-// forget drops a replica that is gone.
+// forget drops a replica that was removed.
 func (r *recentOrders) forget(replica string) {
 	delete(r.own, replica)
 	delete(r.inherited, replica)
 }
 
-// termGapUntil returns until when a replica gets no order of this daemon, since one of the
-// holders before it gave one; zero if none did lately.
+// termGapUntil returns the time until which this daemon must not give a replica orders, because an earlier
+// leader did; zero if there is no such time.
 func (r *recentOrders) termGapUntil(replica string, termGap time.Duration) time.Time {
 	if last, known := r.inherited[replica]; known {
 		return last.Add(termGap)
@@ -37,12 +36,12 @@
 	return time.Time{}
 }
 
-// ages returns how long ago, in ms, each replica got an order of any holder, for orders
-// younger than oldest. One that may still be on its way counts as given now.
+// ages returns the milliseconds since each replica's last order by any leader, for orders younger than
+// maxAge. An order that may still be in flight has age zero.
 func (r *recentOrders) ages(now time.Time, maxAge time.Duration) map[string]int64 {
 	ages := map[string]int64{}
 	keepNewest := func(replica string, age time.Duration) {
-		if before, known := ages[replica]; age < maxAge && (!known || age.Milliseconds() < before) {
+		if previous, known := ages[replica]; age < maxAge && (!known || age.Milliseconds() < previous) {
 			ages[replica] = max(0, age.Milliseconds())
 		}
 	}
@@ -59,8 +58,8 @@
 	return ages
 }
 
-// Handover returns what the next holder must know of this daemon's orders. It is asked once
-// this daemon's term is given up, so that no order follows.
+// Handover returns what the next leader must know of this daemon's orders. It is called once this daemon has
+// given up the term, so that no order follows.
 func (l *Leader) Handover() election.Handover {
 	now := time.Now()
 	l.mutex.Lock()
--- a/loader/handover_test.go
+++ b/loader/handover_test.go
@@ -14,36 +14,35 @@
 	"github.com/finchspoke/finchspoke/routing"
 )
 
-// A holder that stops names every replica that any holder gave an order to within the
-// distance that holders keep, and the next holds orders to these alone back.
+// The next leader must keep the term gap for exactly the replicas with recent orders by any leader.
 func TestHandoverListsRecentlyOrderedReplicas(t *testing.T) {
 	const termGap = 3 * time.Second
 	now := time.Unix(1_000_000, 0)
 	orders := recentOrders{inherited: map[string]time.Time{
-		"inherited": now.Add(-2 * time.Second), "long ago": now.Add(-termGap), "both": now.Add(-2 * time.Second),
+		"inherited": now.Add(-2 * time.Second), "expired": now.Add(-termGap), "both": now.Add(-2 * time.Second),
 	}}
 	orders.record("both", now.Add(-time.Second))
 	orders.record("own", now.Add(-2500*time.Millisecond))
-	orders.record("old", now.Add(-4*time.Second))
-	orders.record("on its way", now.Add(-orderTimeout/2))
-	require.Equal(t, map[string]int64{"inherited": 2000, "both": 1000, "own": 2500, "on its way": 0}, orders.ages(now, termGap))
+	orders.record("own expired", now.Add(-4*time.Second))
+	orders.record("in flight", now.Add(-orderTimeout/2))
+	require.Equal(t, map[string]int64{"inherited": 2000, "both": 1000, "own": 2500, "in flight": 0}, orders.ages(now, termGap))
 
 	require.Equal(t, now.Add(time.Second), orders.termGapUntil("inherited", termGap))
-	require.Zero(t, orders.termGapUntil("own", termGap), "this daemon's own orders need no distance from its own")
+	require.Zero(t, orders.termGapUntil("own", termGap), "no term gap after this daemon's own orders")
 }
 
-// A holder that was itself waiting for its distance hands over what is left of the wait.
+// A leader that still waits for its own term gap hands over the rest of the wait.
 func TestHandoverIncludesRemainingWait(t *testing.T) {
 	leader := &Leader{Fleet: emptyFleet(), Limits: Limits{TermGap: 3 * time.Second}}
 	leader.Prepare()
 	leader.reset(5, time.Now().Add(2*time.Second))
-	leader.beginTerm(0, time.Now()) // its term is given up
+	leader.beginTerm(0, time.Now()) // the term is given up
 	handover := leader.Handover()
 	require.InDelta(t, 2000, handover.WaitMs, 200)
 	require.Empty(t, handover.LastOrderMs)
 }
 
-// revisingStore gives every lease and every term, each record at the next revision of an era.
+// revisingStore grants every lease and every term, each record at the next revision of an era.
 type revisingStore struct {
 	grantingStore
 	revision *atomic.Int64
@@ -57,8 +56,8 @@
 	return kv.TxnResult{Succeeded: true, Revision: s.revision.Add(1)}, nil
 }
 
-// A restore of the service may take a term away before its holder may give orders. The term that it takes up
-// again keeps the distance from the holder before, as the one that was lost.
+// A restore of the store may revoke a term before its leader may give orders. When the leader reclaims the
+// term, the term gap after the earlier leader still applies.
 func TestReclaimedTermKeepsTheEarlierTermGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const termGap = 3 * time.Second
@@ -91,11 +90,11 @@
 		campaign.Observe(kv.Event{Pair: kv.Pair{Key: "term", ModRevision: kv.RevisionIn(2, 1)}, Deleted: true, Restored: true})
 		synctest.Wait()
 		leader.runRound(t.Context(), time.Now())
-		require.False(t, leader.ordersFrom.After(time.Now()), "no distance is left to keep")
+		require.False(t, leader.ordersFrom.After(time.Now()), "the term gap has passed")
 	})
 }
 
-// After a loss of all daemons nobody knows when the last order was given.
+// After all daemons were lost, none of them knows when the last order was given.
 func TestStartedDaemonSkipsTermGapOnlyIfFencesAreChecked(t *testing.T) {
 	const termGap = 3 * time.Second
 	for name, example := range map[string]struct {
@@ -103,11 +102,11 @@
 		age     time.Duration
 		waits   bool
 	}{
-		"just started":          {true, time.Second, false},
-		"up for a while":        {true, 2 * time.Second, true},
-		"fences not checked":    {false, time.Second, true},
-		"at the allowed age":    {true, termGap / 2, true},
-		"before the age passes": {true, termGap/2 - time.Millisecond, false},
+		"just started":             {true, time.Second, false},
+		"running for a while":      {true, 2 * time.Second, true},
+		"fences not checked":       {false, time.Second, true},
+		"at the age limit":         {true, termGap / 2, true},
+		"just below the age limit": {true, termGap/2 - time.Millisecond, false},
 	} {
 		leader := &Leader{Fleet: emptyFleet(), Limits: Limits{TermGap: termGap, FencesChecked: example.checked}, Election: election.New(election.Config{}, nil, nil)}
 		leader.Prepare()
--- a/loader/holder.go
+++ b/loader/holder.go
@@ -1,7 +1,6 @@
-// Package loader carries out load decisions where replicas take orders one by one.
-// The daemon that holds the term (package election) hears the demand of all
-// daemons, decides with package loading, gives the orders, and tells all daemons
-// what is loaded.
+// Package loader carries out load decisions where replicas take orders one at a time. The daemon that holds
+// the term (package election) is the leader: it collects the demand of all daemons, decides with package
+// loading, sends load orders to the replicas and publishes the loads to all daemons.
 package loader
 
 import (
@@ -21,82 +20,80 @@
 	"github.com/finchspoke/finchspoke/sleep"
 )
 
-// Answer is what a replica says to an order.
+// OrderResponse is a replica's response to a load order.
 type OrderResponse uint8
 
-// The answers.
+// The responses.
 const (
-	// Accepted means that the order is being carried out.
+	// Accepted means that the replica is carrying out the order.
 	Accepted OrderResponse = iota
-	// Done means that nothing more is needed.
+	// Done means that the replica has nothing to do, or has finished already.
 	Done
-	// Refused means that another order is under way, or that the replica has taken
-	// another number of orders than the order says.
+	// Refused means that another order is pending, or that the replica has taken a different number of orders
+	// than the order states.
 	Refused
-	// Fenced means that the replica has seen a higher fence.
+	// Fenced means that the replica has received a higher fencing token.
 	Fenced
-	// Gone means that the address belongs to another replica now.
+	// Gone means that the address now belongs to another replica.
 	Gone
 )
 
 var responseNames = [...]string{"accepted", "done", "refused", "fenced", "gone"}
 
-// String returns the answer's name in logs.
+// String returns the response's name for logs.
 func (r OrderResponse) String() string { return responseNames[r] }
 
-// Replicas is the protocol by which replicas take orders.
+// Replicas is the client for load orders to replicas.
 type Replicas interface {
-	// Order sends an order. An error means that the replica may or may not have
-	// taken it.
-	Order(ctx context.Context, replica fleet.Entry, order loading.Order, holder string, fence int64) (OrderResponse, error)
-	// Report asks a replica for its state.
+	// Order sends a load order. After an error, the replica may or may not have taken it.
+	Order(ctx context.Context, replica fleet.Entry, order loading.Order, leader string, fence int64) (OrderResponse, error)
+	// Report fetches a replica's state.
 	Report(ctx context.Context, replica fleet.Entry) (loading.Report, error)
 }
 
-// Limits bound the loads from the weight store over all replicas: in any Window at
-// most PerSecond x Window x Slack + Extra may begin.
+// Limits bound the loads from the weight store over all replicas: within any Window, at most PerSecond x
+// Window x Slack + Extra loads may start.
 type Limits struct {
 	Window time.Duration
 	Slack  float64
 	Extra  int
-	// TermGap is the least time between the orders of two holders.
+	// TermGap is the least time between the orders of two leaders.
 	TermGap time.Duration
-	// FencesChecked tells that replicas refuse orders under a fence lower than one seen.
+	// FencesChecked is whether replicas refuse orders with an outdated fencing token.
 	FencesChecked bool
 }
 
 const (
-	// tick is the time between decisions when nothing happens.
+	// roundInterval is the longest time between two rounds of decisions.
 	roundInterval = 250 * time.Millisecond
-	// minRoundInterval is the least time between two rounds that nothing woke.
+	// minRoundInterval is the least time to a round that was scheduled.
 	minRoundInterval = 5 * time.Millisecond
-	// roundCooldownFactor is how long the holder rests after a round, in times of what the round took:
-	// on a small machine with many replicas rounds would follow each other without end, and
-	// answers and reports would wait.
+	// roundCooldownFactor is the pause after a round, as a multiple of the round's duration. It leaves
+	// processor time for responses and reports.
 	roundCooldownFactor = 4
-	// settleTime is how long no replica came that was not known before it is thought that
-	// all are known: they enter the registry one after the other.
+	// registrySettleTime is how long no new replica must have appeared before the registry counts as
+	// complete.
 	registrySettleTime = 2 * time.Second
-	// orderTimeout bounds an order, which a replica answers before it carries it out.
+	// orderTimeout bounds the call for an order; replicas respond before they carry it out.
 	orderTimeout = 300 * time.Millisecond
-	// reportTimeout bounds a report.
+	// reportTimeout bounds the call for a report.
 	reportTimeout = 700 * time.Millisecond
-	// pollPause is the time between reports of a replica that is being watched.
+	// pollInterval is the least time between two reports of a replica.
 	pollInterval = 90 * time.Millisecond
-	// rateWindow is the time constant over which arrivals are averaged.
+	// rateWindow is the time constant of the average of arrivals.
 	rateWindow = 4 * time.Second
-	// storeShare is the share of the allowed loads that one term uses, so that the
-	// loads of two terms together stay below.
+	// storeShare is the share of the allowed loads that one leader uses, so that two consecutive leaders
+	// together stay within the limit.
 	storeShare = 0.7
-	// forgetAfter is how long the demand of a daemon that is not attached counts.
+	// detachedDemandTTL is how long the demand of a detached daemon counts.
 	detachedDemandTTL = 5 * time.Second
-	// freshShareOfTermGap is the share of the distance between two holders up to which a process counts
-	// as just started.
+	// freshShareOfTermGap is the age up to which a process counts as just started, as a share of the term
+	// gap.
 	freshShareOfTermGap = 0.5
 )
 
-// Holder is the state of a term. It exists in every daemon and works in the one
-// that holds the term.
+// Leader decides on loads and sends the load orders. Every daemon has one, which is active only while the
+// daemon holds the term.
 type Leader struct {
 	Daemon   string
 	Fleet    *fleet.Directory
@@ -106,60 +103,58 @@
 	Limits   Limits
 	Metrics  *Metrics
 	Log      logrus.FieldLogger
-	// FirstStart tells that no holder can have been at work before.
+	// FirstStart is whether the system starts for the first time, so that there was no earlier leader.
 	FirstStart bool
-	// Address is where daemons reach this one.
+	// Address is where other daemons reach this one.
 	Address string
-	// TooLarge tells whether there are too many replicas for every daemon to know them all, and
-	// KnowsReplicas whether this one does; nil: never, and always.
+	// TooManyReplicas reports whether there are too many replicas for every daemon to know all of them (nil:
+	// never), and KnowsReplicas whether this daemon knows all of them (nil: always).
 	TooManyReplicas func() bool
 	KnowsReplicas   func() bool
-	// Expected returns how many daemons were attached to the last holder; nil: not known.
+	// ExpectedDaemons returns how many daemons were attached to the earlier leader; nil: unknown.
 	ExpectedDaemons func() int
-	// TermDelay is how long this daemon waits before it campaigns for the term: the stronger
-	// its machine, the shorter.
+	// TermDelay is how long this daemon waits before it campaigns for the term; stronger machines wait less.
 	TermDelay time.Duration
-	// Turns hands out turns at replicas with a limit; nil: none has one.
+	// Turns makes reservations for messages to replicas with a request limit; nil: no replica has one.
 	Turns Turns
 
 	started             time.Time
-	otherLeaderObserved atomic.Bool // another daemon is known to have held the term, or this one before
+	otherLeaderObserved atomic.Bool // another daemon has held the term
 
 	mutex      sync.Mutex
-	fence      int64 // of the term that the state belongs to; zero without one
+	fence      int64 // fencing token of the current term; zero while not leading
 	ordersFrom time.Time
 	states     map[string]*loading.Replica
-	ids        []string // of the states, sorted; nil: to be sorted again
-	// registry holds what changed there since the last round.
+	ids        []string // sorted keys of states; nil: to be sorted again
+	// changedReplicas are the registry changes since the last round.
 	changedReplicas registryChanges
-	// calling holds the replicas with a call on its way: the order, or nil if a
-	// report is asked for.
-	inFlight       map[string]*loading.Order
-	polledAt       map[string]time.Time // when each was last asked for its report
-	storeWindow    loading.StoreWindow
-	fetches        loading.Fetches
-	daemons        map[string]*daemonState
-	rates          map[demand.Key]*arrivalRate
-	newReplicaAt   time.Time // when a replica was last seen for the first time
-	attached       int
-	maxAttached    int
-	attachment     attachment
-	directories    directories
-	version        uint64
-	loadChanges    *changeLog // of each replica's state
-	requestTotals  *requestCounts
-	leavingChanges *changeLog // of replicas that said to any daemon that they leave
-	limitChanges   *sentLimits
-	views          map[uint64]*rpc.LoadsView // of the present version, by the version that a daemon heard
-	changed        chan struct{}
-	wake           chan struct{}
-	nextRoundAt    time.Time // when to look again; zero: at the next tick
-	lastOrderAt    time.Time // of any holder, as far as this daemon has heard
-	orderTimes     recentOrders
-	handovers      handoverPlan
+	// inFlight holds the replicas with a call in flight: the order, or nil for a report or a probe.
+	inFlight        map[string]*loading.Order
+	polledAt        map[string]time.Time // when each report was last requested
+	storeWindow     loading.StoreWindow
+	fetches         loading.Fetches
+	daemons         map[string]*daemonState
+	rates           map[demand.Key]*arrivalRate
+	newReplicaAt    time.Time // when a new replica last appeared
+	attached        int
+	maxAttached     int
+	attachment      attachment
+	directories     directories
+	version         uint64
+	loadChanges     *changeLog // changes of replicas' loads
+	requestTotals   *requestCounts
+	drainingChanges *changeLog // replicas that any daemon reported as draining
+	limitChanges    *sentLimits
+	views           map[uint64]*rpc.LoadsView // of the current version, by the version that the receiver has
+	changed         chan struct{}
+	wake            chan struct{}
+	nextRoundAt     time.Time // time of the next scheduled round; zero: none
+	lastOrderAt     time.Time // by any leader, as far as this daemon knows
+	orderTimes      recentOrders
+	handovers       handoverPlan
 }
 
-// Prepare makes the holder ready for use.
+// Prepare initializes the leader; it must be called before any other method.
 func (l *Leader) Prepare() {
 	l.started = time.Now()
 	l.wake = make(chan struct{}, 1)
@@ -170,8 +165,7 @@
 	l.reset(0, time.Time{})
 }
 
-// reset forgets what an earlier term knew of the replicas; the mutex is held, or
-// nobody else has the holder yet.
+// reset discards the state of an earlier term. The caller holds the mutex, except during initialization.
 func (l *Leader) reset(fence int64, ordersFrom time.Time) {
 	l.fence, l.ordersFrom = fence, ordersFrom
 	l.states, l.ids = map[string]*loading.Replica{}, nil
@@ -185,11 +179,11 @@
 	l.directories.wake()
 	l.directories = newDirectories(l.directories.version)
 	l.publishChange()
-	l.resetLeaving()
+	l.resetDraining()
 	l.resetLimits()
 }
 
-// notify wakes the streams that tell daemons what is loaded; the mutex is held.
+// publishChange wakes the streams that send views to daemons. The caller holds the mutex.
 func (l *Leader) publishChange() {
 	l.version++
 	l.views = map[uint64]*rpc.LoadsView{}
@@ -197,7 +191,7 @@
 	l.changed = make(chan struct{})
 }
 
-// Wake makes the holder decide soon.
+// Wake starts a round of decisions soon.
 func (l *Leader) Wake() {
 	select {
 	case l.wake <- struct{}{}:
@@ -225,7 +219,7 @@
 	return ctx.Err()
 }
 
-// untilNextRound returns how long the holder may rest when nothing wakes it.
+// untilNextRound returns the time to the next round if nothing wakes the leader earlier.
 func (l *Leader) untilNextRound(now time.Time) time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -235,9 +229,9 @@
 	return min(roundInterval, max(minRoundInterval, l.nextRoundAt.Sub(now)))
 }
 
-// turn is one round of decisions.
+// runRound runs one round of decisions.
 func (l *Leader) runRound(ctx context.Context, now time.Time) {
-	fence, standing := l.Election.Term()
+	fence, status := l.Election.Term()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.nextRoundAt = time.Time{}
@@ -248,18 +242,18 @@
 	if fence == 0 || l.Table.Current() == nil {
 		return
 	}
-	if standing == election.Sure {
+	if status == election.Sure {
 		l.refreshDirectories(now)
 	}
 	if l.KnowsReplicas != nil && !l.KnowsReplicas() {
-		return // their records are being read
+		return // the replica records are still loading
 	}
 	l.refreshStates(now)
 	l.refreshRunning(now)
-	if !l.mayGiveOrders(standing, now) {
+	if !l.mayGiveOrders(status, now) {
 		return
 	}
-	if l.handovers.mayHandOver(now) && standing == election.Sure && l.hasStrongerDaemon(now) && l.Election.Yielding() {
+	if l.handovers.mayHandOver(now) && status == election.Sure && l.hasStrongerDaemon(now) && l.Election.Yielding() {
 		l.handOver(ctx, now)
 		return
 	}
@@ -272,10 +266,10 @@
 	}
 }
 
-// beginTerm starts a term, or ends one; the mutex is held.
+// beginTerm begins a term, or ends it if fence is zero. The caller holds the mutex.
 func (l *Leader) beginTerm(fence int64, now time.Time) {
 	if fence == 0 {
-		l.reset(fence, l.ordersFrom) // what is handed over stays known
+		l.reset(fence, l.ordersFrom) // Handover still needs ordersFrom
 		return
 	}
 	ordersFrom := now
@@ -286,7 +280,7 @@
 	}
 	switch {
 	case reclaimed && l.ordersFrom.After(now):
-		ordersFrom = l.ordersFrom // the distance that this daemon's term before was to keep
+		ordersFrom = l.ordersFrom // the term gap that this daemon's earlier term had to keep
 	case reclaimed:
 	case inherited != nil:
 		ordersFrom = inherited.Begins
@@ -305,41 +299,39 @@
 	}
 }
 
-// justStarted tells whether this process is so young that it need not keep a distance from
-// holders it knows nothing of: it gave no order that theirs could have come between, and the
-// replicas refuse what an earlier holder may still send. After a loss of all daemons the first
-// orders went out three seconds later than they could.
+// justStarted reports whether the process is too young for its orders to mix with those of an unknown earlier
+// leader, whose late orders the replicas refuse. It then skips the term gap.
 func (l *Leader) justStarted(now time.Time) bool {
 	return l.Limits.FencesChecked && now.Sub(l.started) < time.Duration(freshShareOfTermGap*float64(l.Limits.TermGap))
 }
 
-// ObserveOrder notes that a holder of orders was at work just now, which a later
-// holder has to keep a distance from.
+// ObserveOrder records that another leader was active just now; a later leader must keep the term gap from
+// that time.
 func (l *Leader) ObserveOrder(now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.lastOrderAt = now
 }
 
-// FirstTerm tells that no holder can have been at work before this daemon's term: the whole
-// system has just started, and none was heard of.
+// FirstTerm reports whether no other daemon can have led before: the system starts for the first time, and no
+// other leader was observed.
 func (l *Leader) FirstTerm() bool { return l.FirstStart && !l.otherLeaderObserved.Load() }
 
-// ObserveOtherLeader notes that another daemon held the term.
+// ObserveOtherLeader records that another daemon held the term.
 func (l *Leader) ObserveOtherLeader() { l.otherLeaderObserved.Store(true) }
 
-// Informed tells whether this daemon has heard from a holder of orders.
+// HasLeaderHistory reports whether this daemon knows when the last order was given, or that there was none.
 func (l *Leader) HasLeaderHistory() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.FirstStart || !l.lastOrderAt.IsZero()
 }
 
-// mayGiveOrders tells whether orders may be given: under a lease that holds, or while
-// the service is silent and most daemons are still attached, so that no other
-// holder can be at work; the mutex is held.
-func (l *Leader) mayGiveOrders(standing election.Standing, now time.Time) bool {
-	switch standing {
+// mayGiveOrders reports whether the leader may give orders: its lease is valid, or the key-value service is
+// unreachable but most daemons are still attached, so that no other leader can be active. The caller holds
+// the mutex.
+func (l *Leader) mayGiveOrders(status election.Standing, now time.Time) bool {
+	switch status {
 	case election.Sure:
 		return true
 	case election.Blind:
@@ -348,7 +340,7 @@
 	return false
 }
 
-// refreshStates takes in what the registry says of replicas that changed there; the mutex is held.
+// refreshStates applies registry changes to the states. The caller holds the mutex.
 func (l *Leader) refreshStates(now time.Time) {
 	table := l.Table.Current()
 	changed, all := l.changedReplicas.take(table)
@@ -366,7 +358,7 @@
 	}
 }
 
-// refreshState takes in what the registry says of a replica; the mutex is held.
+// refreshState applies a replica's registry record to its state. The caller holds the mutex.
 func (l *Leader) refreshState(id string, table *routing.Table, now time.Time) {
 	entry, listed := l.Fleet.Entry(id)
 	service := table.Service(entry.Service)
@@ -381,7 +373,7 @@
 	}
 	state := l.states[id]
 	if state == nil {
-		// From the first report on the replica's own word tells what it holds and keeps.
+		// The registry record counts until the replica's first report.
 		state = &loading.Replica{ID: entry.ID, Born: entry.Born, Service: entry.Service, Zone: entry.Zone, Slots: entry.Slots, Holdings: entry.Holdings, InMemory: entry.InMemory, OnDisk: entry.OnDisk,
 			TermGapUntil: l.orderTimes.termGapUntil(entry.ID, l.Limits.TermGap)}
 		l.states[id] = state
@@ -404,7 +396,7 @@
 	state.PerSecond = l.Fleet.LimitOf(id)
 }
 
-// snapshot joins what is known into the input of a decision; the mutex is held.
+// snapshot assembles the input of a decision. The caller holds the mutex.
 func (l *Leader) snapshot(now time.Time) loading.Snapshot {
 	snapshot := loading.Snapshot{Now: now, Services: map[string]*routing.Engine{}, Demand: l.totalDemand(now)}
 	perSecond, maxStoreLoad := 0.0, time.Duration(0)
--- a/loader/holder_test.go
+++ b/loader/holder_test.go
@@ -19,7 +19,7 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// grantingStore gives every lease and every term.
+// grantingStore grants every lease and every term.
 type grantingStore struct{ kv.LeaseStore }
 
 func (grantingStore) GrantLease(context.Context, time.Duration) (kv.LeaseID, error) {
@@ -32,34 +32,34 @@
 
 func (grantingStore) KeepLease(context.Context, kv.LeaseID) error { return nil }
 
-// silentReplicas answer nothing.
+// silentReplicas never respond.
 type silentReplicas struct{}
 
 func (silentReplicas) Order(context.Context, fleet.Entry, loading.Order, string, int64) (OrderResponse, error) {
-	return 0, errors.New("no answer")
+	return 0, errors.New("no response")
 }
 
 func (silentReplicas) Report(context.Context, fleet.Entry) (loading.Report, error) {
-	return loading.Report{}, errors.New("no answer")
+	return loading.Report{}, errors.New("no response")
 }
 
-// discarding returns a log without output: answers and the election are logged after a test's end, too.
+// discardLog returns a logger without output, since background goroutines may log after the end of a test.
 func discardLog() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-// emptyFleet returns a directory without replicas that breaks ties in the same way each time.
+// emptyFleet returns a directory without replicas and with deterministic tie-breaking.
 func emptyFleet() *fleet.Directory { return fleet.NewDirectory("a", func() float64 { return 0 }) }
 
-// elected returns an election in which this daemon has just taken the term.
+// electedLeader returns an election in which this daemon has just won the term.
 func electedLeader(t *testing.T, log logrus.FieldLogger) *election.Election {
 	t.Helper()
 	campaign := election.New(election.Config{Key: "term", Daemon: "d1", Address: "a:1", TTL: 3 * time.Second}, grantingStore{}, log)
 	began := make(chan struct{})
-	campaign.Listen(func(holder election.Leader) {
-		if holder.Nonce != "" {
+	campaign.Listen(func(leader election.Leader) {
+		if leader.Nonce != "" {
 			close(began)
 		}
 	})
@@ -69,8 +69,7 @@
 	return campaign
 }
 
-// A term can begin before any routing table is known: the store answers the
-// campaign before the operator has written one.
+// A term can begin before the operator has written a routing table.
 func TestRoundWithoutRoutingTableDoesNothing(t *testing.T) {
 	log := discardLog()
 	campaign := electedLeader(t, log)
@@ -82,7 +81,7 @@
 	require.NotPanics(t, func() { leader.runRound(t.Context(), time.Now()) })
 }
 
-// recordingReplicas count the orders that they get; each says that the order is done.
+// recordingReplicas record their orders and respond that each is done.
 type recordingReplicas struct {
 	silentReplicas
 	orders chan loading.Order
@@ -93,8 +92,7 @@
 	return Done, nil
 }
 
-// Replicas that check no fence obey a holder of an ended term: asking them whether a load
-// has ended is an order too, and is given in a term only.
+// Replicas that do not check fencing tokens would take a probe of a former leader as an order.
 func TestProbesAreSentOnlyDuringTheTerm(t *testing.T) {
 	log := discardLog()
 	campaign := electedLeader(t, log)
@@ -121,12 +119,12 @@
 	leader.fence = fence
 	leader.states["r1"] = underWay()
 	leader.runRound(t.Context(), time.Now())
-	require.Equal(t, "m1", (<-replicas.orders).Target.Model, "asked in the term")
+	require.Equal(t, "m1", (<-replicas.orders).Target.Model, "the probe is sent during the term")
 	require.Eventually(t, func() bool {
 		leader.mutex.Lock()
 		defer leader.mutex.Unlock()
 		return leader.states["r1"].Holdings.Has(fleet.Target{Model: "m1"})
-	}, time.Second, time.Millisecond, "done tells that it is loaded")
+	}, time.Second, time.Millisecond, "a probe that is answered with done completes the load")
 
 	leader.states["r1"] = underWay()
 	campaign.Deposed("a test")
@@ -134,7 +132,7 @@
 	require.Empty(t, replicas.orders)
 }
 
-// leaderWithDemand returns a holder that is to load a model, with the replicas that hear its orders.
+// leaderWithDemand returns a leader whose demand requires a load, and the replicas that receive its orders.
 func leaderWithDemand(t *testing.T) (*Leader, reportingReplicas) {
 	t.Helper()
 	log := discardLog()
@@ -153,7 +151,7 @@
 	return leader, replicas
 }
 
-// A replica that asked this daemon for rest wants neither orders nor questions of it.
+// A replica that asked for a back-off must receive neither orders nor probes.
 func TestReplicaBackingOffGetsNoMessages(t *testing.T) {
 	const backoff = 3 * time.Second
 	leader, replicas := leaderWithDemand(t)
@@ -163,7 +161,7 @@
 
 	leader.Fleet.Hear(fleet.Notice{Replica: "r1", Rest: backoff}, now)
 	leader.runRound(t.Context(), now)
-	require.Empty(t, leader.inFlight, "not asked for its state")
+	require.Empty(t, leader.inFlight, "no report is requested during the back-off")
 	leader.runRound(t.Context(), now.Add(backoff))
 	require.Equal(t, "r1", receive(t, replicas.reports))
 	require.Eventually(t, func() bool {
@@ -175,7 +173,7 @@
 	leader.Fleet.Hear(fleet.Notice{Replica: "r1", Rest: backoff}, now.Add(backoff))
 	leader.RegistryChanged("r1")
 	leader.runRound(t.Context(), now.Add(backoff))
-	require.Empty(t, leader.inFlight, "no order")
+	require.Empty(t, leader.inFlight, "no order is sent during the back-off")
 	leader.runRound(t.Context(), now.Add(2*backoff))
 	require.Equal(t, "m1", receive(t, replicas.orders).Target.Model)
 }
--- a/loader/leaving.go
+++ b/loader/leaving.go
@@ -10,16 +10,15 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// applyLeaving takes in which replicas said to a daemon that they leave; the mutex is held.
-//
-// The holder has to know, or it counts the copies on a leaving replica while the registry is silent: a
-// model with one copy was served elsewhere after 2.5 s, and after 0.25 s since it is told. The other
-// daemons have to know, or they go on to send requests there.
-func (l *Leader) applyLeaving(message *rpc.LoadsDemand, now time.Time) {
+// applyDraining records and relays which replicas a daemon reported as draining. The leader can then replace
+// their copies, and daemons stop sending requests there, before the registry changes. The caller holds the
+// mutex.
+func (l *Leader) applyDraining(message *rpc.LoadsDemand, now time.Time) {
 	var changed []string
 	for _, incarnation := range incarnationsOf(message.GetLeaving()) {
-		// This daemon's own requests may have told its directory before.
-		if isNew := l.Fleet.TellLeaving(incarnation, now); isNew || !l.leavingChanges.has(incarnation.ID) {
+		// The leader's own daemon shares its directory, so the record may not be new there although it was
+		// not relayed yet.
+		if isNew := l.Fleet.TellLeaving(incarnation, now); isNew || !l.drainingChanges.has(incarnation.ID) {
 			changed = append(changed, incarnation.ID)
 		}
 	}
@@ -28,37 +27,37 @@
 	}
 	l.publishChange()
 	for _, id := range changed {
-		l.leavingChanges.mark(id, l.version)
+		l.drainingChanges.mark(id, l.version)
 		l.changedReplicas.add(id)
 	}
 	l.Wake()
 	l.Log.WithFields(logrus.Fields{logging.Replica: changed, logging.Source: message.GetDaemonId(), logging.Fence: l.fence}).Info(logging.MessageLeavingTold)
 }
 
-// resetLeaving begins a term with the replicas that are known to leave; the mutex is held.
-func (l *Leader) resetLeaving() {
-	l.leavingChanges = newChangeLog()
+// resetDraining begins a term with the replicas known to be draining. The caller holds the mutex.
+func (l *Leader) resetDraining() {
+	l.drainingChanges = newChangeLog()
 	for _, incarnation := range l.Fleet.Leaving() {
-		l.leavingChanges.mark(incarnation.ID, l.version)
+		l.drainingChanges.mark(incarnation.ID, l.version)
 	}
 }
 
-// leavingView lists the replicas of which it came after a version that they leave; the mutex is held.
-func (l *Leader) leavingView(after uint64) (view []*rpc.ReplicaIncarnation) {
-	for _, id := range l.leavingChanges.after(after) {
-		if incarnation, isLeaving := l.Fleet.Leaves(id); isLeaving {
+// drainingView lists the replicas reported as draining after a version. The caller holds the mutex.
+func (l *Leader) drainingView(after uint64) (view []*rpc.ReplicaIncarnation) {
+	for _, id := range l.drainingChanges.after(after) {
+		if incarnation, draining := l.Fleet.Leaves(id); draining {
 			view = append(view, rpc.IncarnationMessage(incarnation))
 		}
 	}
 	return view
 }
 
-// newLeaving returns the replicas that said to this daemon that they leave and of which the holder has
-// not been told on this stream.
-func (f *Follower) newLeaving(sent *sentReport) (messages []*rpc.ReplicaIncarnation) {
+// newDraining returns the replicas that reported to this daemon that they are draining and that were not yet
+// sent on this stream.
+func (f *Follower) newDraining(sent *sentReport) (messages []*rpc.ReplicaIncarnation) {
 	for _, incarnation := range f.Fleet.LeavingHere() {
-		if !sent.leaving[incarnation] {
-			sent.leaving[incarnation] = true
+		if !sent.draining[incarnation] {
+			sent.draining[incarnation] = true
 			messages = append(messages, rpc.IncarnationMessage(incarnation))
 		}
 	}
--- a/loader/limits.go
+++ b/loader/limits.go
@@ -10,11 +10,9 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// applyLimits takes in what replicas said to a daemon of their limits; the mutex is held.
-//
-// The other daemons have to know, or each would send what it had sent before until it met an answer that
-// names the limit. What this daemon's own requests heard comes by its own stream, as from any other; its
-// directory then knows it before, so what counts as news is what the others were told last.
+// applyLimits records and relays replicas' request limits that a daemon reported. A limit is new if it
+// differs from the one last sent; the directory may already have it from this daemon's own requests. The
+// caller holds the mutex.
 func (l *Leader) applyLimits(message *rpc.LoadsDemand, now time.Time) {
 	var changed []fleet.ReplicaLimit
 	for _, message := range message.GetLimits() {
@@ -37,7 +35,7 @@
 	l.Wake()
 }
 
-// sentLimits are the limits that the daemons were told in a term.
+// sentLimits are the request limits that were sent to daemons in a term.
 type sentLimits struct {
 	*changeLog
 	lastSent map[fleet.Incarnation]float64
@@ -47,19 +45,19 @@
 	return &sentLimits{newChangeLog(), map[fleet.Incarnation]float64{}}
 }
 
-// tell notes that a limit is told in a version.
+// markSent records that a limit is part of a version.
 func (l *sentLimits) markSent(limit fleet.ReplicaLimit, version uint64) {
 	l.mark(limit.ID, version)
 	l.lastSent[limit.Incarnation] = limit.PerSecond
 }
 
-// isTold tells whether the daemons were last told the same.
+// isCurrent reports whether a limit is the one that was last sent.
 func (l *sentLimits) isCurrent(limit fleet.ReplicaLimit) bool {
 	perSecond, known := l.lastSent[limit.Incarnation]
 	return known && perSecond == limit.PerSecond
 }
 
-// resetLimits begins a term with the limits that are known; the mutex is held.
+// resetLimits begins a term with the limits known so far. The caller holds the mutex.
 func (l *Leader) resetLimits() {
 	l.limitChanges = newSentLimits()
 	for _, limit := range l.Fleet.WordsOfLimits(false) {
@@ -67,8 +65,7 @@
 	}
 }
 
-// limitsView lists the replicas of whose limits it came after a version that they changed; the mutex is
-// held.
+// limitsView lists the limits that changed after a version. The caller holds the mutex.
 func (l *Leader) limitsView(after uint64, now time.Time) (view []*rpc.ReplicaLimit) {
 	for _, id := range l.limitChanges.after(after) {
 		if limit, known := l.Fleet.WordOfLimit(id); known {
@@ -78,8 +75,8 @@
 	return view
 }
 
-// LimitHeard makes the follower tell at once what a replica said to this daemon of its limit: until all
-// daemons know it, they go on as before.
+// LimitReported makes the follower send its report at once, after a replica reported a request limit to this
+// daemon. Other daemons exceed the limit until they know it.
 func (f *Follower) LimitReported() {
 	select {
 	case f.urgent <- struct{}{}:
@@ -87,8 +84,8 @@
 	}
 }
 
-// newLimits returns what replicas said to this daemon of their limits and the holder has not been told
-// on this stream, or has told otherwise since.
+// newLimits returns the limits that replicas reported to this daemon and that differ from those last sent or
+// received on this stream.
 func (f *Follower) newLimits(sent *sentReport, now time.Time) (messages []*rpc.ReplicaLimit) {
 	observed := f.Fleet.WordsOfLimits(true)
 	sent.mutex.Lock()
@@ -102,7 +99,7 @@
 	return messages
 }
 
-// applyLimits takes in the holder's word of replicas' limits.
+// applyLimits records the limits received from the leader.
 func (f *Follower) applyLimits(messages []*rpc.ReplicaLimit, sent *sentReport, now time.Time) {
 	for _, message := range messages {
 		limit := message.Word(now)
--- a/loader/limits_test.go
+++ b/loader/limits_test.go
@@ -10,11 +10,11 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// limitsByReplica are the limits by a message.
+// limitsByReplica returns the limits in messages by replica.
 func limitsByReplica(messages []*rpc.ReplicaLimit) map[string]float64 {
 	limits := map[string]float64{}
-	for _, one := range messages {
-		limits[one.GetReplica().GetReplicaId()] = one.GetPerSecond()
+	for _, message := range messages {
+		limits[message.GetReplica().GetReplicaId()] = message.GetPerSecond()
 	}
 	return limits
 }
@@ -31,7 +31,7 @@
 
 func TestReportedLimitIsRelayedOnce(t *testing.T) {
 	now := time.Now()
-	leader := leaderWithReplicas(now)
+	leader := leaderOfTwoReplicas(now)
 	before := leader.version
 	reported := rpc.LimitMessage(fleet.ReplicaLimit{Incarnation: fleet.Incarnation{ID: "r1"}, PerSecond: 2, HeardAt: now}, now)
 	leader.applyDemand(&rpc.LoadsDemand{DaemonId: "d1", Limits: []*rpc.ReplicaLimit{reported}})
@@ -39,46 +39,47 @@
 	require.Equal(t, map[string]float64{"r1": 2}, limitsByReplica(leader.view(before, now).GetLimits()))
 	sentVersion := leader.version
 	require.Empty(t, leader.view(sentVersion, now).GetLimits())
-	require.Equal(t, map[string]float64{"r1": 2}, limitsByReplica(leader.view(0, now).GetLimits()), "a daemon that attaches hears of all")
+	require.Equal(t, map[string]float64{"r1": 2}, limitsByReplica(leader.view(0, now).GetLimits()), "a new stream receives all limits")
 
-	require.InDelta(t, 60_000, leader.view(0, now.Add(time.Minute)).GetLimits()[0].GetAgeMs(), 5_000, "and of its age, which is as of now")
+	require.InDelta(t, 60_000, leader.view(0, now.Add(time.Minute)).GetLimits()[0].GetAgeMs(), 5_000, "the age is computed when it is sent")
 
 	leader.reset(7, now)
-	require.Equal(t, map[string]float64{"r1": 2}, limitsByReplica(leader.view(0, now).GetLimits()), "the next term too")
+	require.Equal(t, map[string]float64{"r1": 2}, limitsByReplica(leader.view(0, now).GetLimits()), "also in the next term")
 
-	listening, sent := limitFollower(leaderWithReplicas(now).Fleet)
-	listening.applyLimits(leader.view(0, now).GetLimits(), sent, now)
-	require.Equal(t, 2.0, listening.Fleet.LimitOf("r1"))
-	require.Empty(t, listening.newLimits(sent, now), "it was said to another daemon")
+	receiver, sent := limitFollower(leaderOfTwoReplicas(now).Fleet)
+	receiver.applyLimits(leader.view(0, now).GetLimits(), sent, now)
+	require.Equal(t, 2.0, receiver.Fleet.LimitOf("r1"))
+	require.Empty(t, receiver.newLimits(sent, now), "received limits are not sent back")
 }
 
-// The holder's own requests hear of it as well; its directory then knows before any stream tells.
+// The leader's daemon records it in the shared directory before any stream reports it.
 func TestLimitObservedByTheLeaderIsRelayed(t *testing.T) {
 	now := time.Now()
-	leader := leaderWithReplicas(now)
+	leader := leaderOfTwoReplicas(now)
 	leader.Fleet.HearLimit(limitNotice("r1", 2), now)
 	follower, sent := limitFollower(leader.Fleet)
 	leader.applyDemand(&rpc.LoadsDemand{DaemonId: "self", Limits: follower.newLimits(sent, now)})
 	require.Equal(t, map[string]float64{"r1": 2}, limitsByReplica(leader.view(0, now).GetLimits()))
-	require.Empty(t, follower.newLimits(sent, now), "once on a stream")
+	require.Empty(t, follower.newLimits(sent, now), "sent once per stream")
 
 	for _, perSecond := range []float64{5, 1} {
 		sentVersion := leader.version
 		leader.Fleet.HearLimit(limitNotice("r1", perSecond), now)
 		leader.applyDemand(&rpc.LoadsDemand{DaemonId: "self", Limits: follower.newLimits(sent, now)})
-		require.Equal(t, map[string]float64{"r1": perSecond}, limitsByReplica(leader.view(sentVersion, now).GetLimits()), "each change")
+		require.Equal(t, map[string]float64{"r1": perSecond}, limitsByReplica(leader.view(sentVersion, now).GetLimits()), "every change is relayed")
 	}
 }
 
-// A word that crosses a later one is followed by that one again, so that all end with the later.
+// If an older limit arrives after a newer one was sent, the newer one is sent again, so that all daemons end
+// with it.
 func TestNewerLimitIsSentAgainAfterAnOlderOneIsReceived(t *testing.T) {
 	now := time.Now()
-	follower, sent := limitFollower(leaderWithReplicas(now).Fleet)
+	follower, sent := limitFollower(leaderOfTwoReplicas(now).Fleet)
 	follower.Fleet.HearLimit(limitNotice("r1", 2), now)
 	require.Len(t, follower.newLimits(sent, now), 1)
 	lifted := rpc.LimitMessage(fleet.ReplicaLimit{Incarnation: fleet.Incarnation{ID: "r1"}, HeardAt: now.Add(-time.Second)}, now)
 	follower.applyLimits([]*rpc.ReplicaLimit{lifted}, sent, now)
-	require.Equal(t, 2.0, follower.Fleet.LimitOf("r1"), "it was said before")
+	require.Equal(t, 2.0, follower.Fleet.LimitOf("r1"), "the received limit is older")
 	require.Equal(t, map[string]float64{"r1": 2}, limitsByReplica(follower.newLimits(sent, now)))
 }
 
--- a/loader/metrics.go
+++ b/loader/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/finchspoke/finchspoke/loading"
 )
 
-// Metrics are the counters of load orders.
+// Metrics are the counters of load orders and loads.
 type Metrics struct {
 	orders *prometheus.CounterVec
 	loads  *prometheus.CounterVec
@@ -15,16 +15,15 @@
 // NewMetrics registers the metrics.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	created := &Metrics{orders: prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "finchspoke_load_orders_total", Help: "Orders given to replicas, by verb and outcome.",
+		Name: "finchspoke_load_orders_total", Help: "Load orders sent to replicas, by verb and outcome.",
 	}, []string{"verb", "outcome"})}
 	created.loads = prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "finchspoke_loads_begun_total", Help: "Loads of models and adapters that replicas have begun, by what is loaded and from where.",
+		Name: "finchspoke_loads_begun_total", Help: "Loads that replicas have started, by kind (model or adapter) and source of the weights.",
 	}, []string{"what", "source"})
 	registerer.MustRegister(created.orders, created.loads)
 	return created
 }
 
-// begun counts a load that a replica has begun.
 func (m *Metrics) countLoad(order loading.Order) {
 	if order.Verb != loading.Load {
 		return
--- a/loader/orders.go
+++ b/loader/orders.go
@@ -13,10 +13,11 @@
 	"github.com/finchspoke/finchspoke/logging"
 )
 
-// give sends an order; the mutex is held. The answer is taken in later.
+// giveOrder sends an order if the replica's state is verified, and requests its report otherwise. The caller
+// holds the mutex.
 func (l *Leader) giveOrder(ctx context.Context, order loading.Order, now time.Time) {
 	if state := l.states[order.ReplicaID]; state != nil && !state.Verified {
-		l.requestReport(ctx, order.ReplicaID, now) // its own word first; the next round decides by it
+		l.requestReport(ctx, order.ReplicaID, now) // the next round decides with the report
 		return
 	}
 	entry, found := l.Fleet.Entry(order.ReplicaID)
@@ -32,10 +33,10 @@
 	l.sendOrder(ctx, entry, order, l.fence, l.applyResponse)
 }
 
-// responseHandler takes in what a replica said to an order.
+// responseHandler applies a replica's response to an order. The caller holds the mutex.
 type responseHandler func(state *loading.Replica, order loading.Order, answer OrderResponse, err error, now time.Time)
 
-// send sends an order; apply gets the answer, under the mutex.
+// sendOrder sends an order in the background and passes the response to handle, which runs under the mutex.
 func (l *Leader) sendOrder(ctx context.Context, entry fleet.Entry, order loading.Order, fence int64, handle responseHandler) {
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -45,11 +46,11 @@
 	}()
 }
 
-// answered takes in what a replica said to an order.
+// handleResponse passes a response to its handler, unless the term has ended since.
 func (l *Leader) handleResponse(order loading.Order, fence int64, response OrderResponse, err error, handle responseHandler) {
 	now := time.Now()
 	l.mutex.Lock()
-	l.orderTimes.record(order.ReplicaID, now) // it may have reached the replica as late as this
+	l.orderTimes.record(order.ReplicaID, now) // the order may have reached the replica as late as now
 	if fence == l.fence {
 		delete(l.inFlight, order.ReplicaID)
 		if state := l.states[order.ReplicaID]; state != nil {
@@ -83,7 +84,7 @@
 	}
 }
 
-// touch marks a replica's state as changed; the mutex is held.
+// markChanged publishes a change of a replica's state. The caller holds the mutex.
 func (l *Leader) markChanged(id string) {
 	l.publishChange()
 	l.loadChanges.mark(id, l.version)
@@ -104,8 +105,8 @@
 	entry.WithField(logging.Outcome, outcome).Info(logging.MessageLoadOrder)
 }
 
-// checkReplicas asks for the reports of replicas of which more must be known; the
-// mutex is held.
+// checkReplicas requests reports of, or sends probes to, the replicas whose next check is due. The caller
+// holds the mutex.
 func (l *Leader) checkReplicas(ctx context.Context, now time.Time) {
 	for id, state := range l.states {
 		dueAt := state.NextCheck(now)
@@ -129,8 +130,8 @@
 	}
 }
 
-// ask gives an order again that should have been carried out, to learn whether it was; the
-// mutex is held.
+// sendProbe repeats an order that should have been carried out, to find out whether it was. The caller holds
+// the mutex.
 func (l *Leader) sendProbe(ctx context.Context, order loading.Order, now time.Time) {
 	entry, found := l.Fleet.Entry(order.ReplicaID)
 	if !found || !l.reserveMessage(l.states[order.ReplicaID], now) {
@@ -142,23 +143,23 @@
 	l.sendOrder(ctx, entry, order, l.fence, l.applyProbeResponse)
 }
 
-// applyProbeResponse takes in the answer to an order that was given before; the mutex is held.
+// applyProbeResponse applies the response to a probe. The caller holds the mutex.
 func (l *Leader) applyProbeResponse(state *loading.Replica, order loading.Order, response OrderResponse, err error, now time.Time) {
 	if err == nil && (response == Accepted || response == Refused) {
-		state.MarkUnfinished(now) // accepted says that it is being carried out
+		state.MarkUnfinished(now) // the order is still being carried out
 		return
 	}
 	l.applyResponse(state, order, response, err, now)
 }
 
-// due notes a moment at which the holder has to look again; the mutex is held.
+// scheduleRound schedules a round of decisions. The caller holds the mutex.
 func (l *Leader) scheduleRound(at time.Time) {
 	if l.nextRoundAt.IsZero() || at.Before(l.nextRoundAt) {
 		l.nextRoundAt = at
 	}
 }
 
-// check asks a replica for its report; the mutex is held.
+// requestReport fetches a replica's report in the background. The caller holds the mutex.
 func (l *Leader) requestReport(ctx context.Context, id string, now time.Time) {
 	entry, found := l.Fleet.Entry(id)
 	if !found || !l.reserveMessage(l.states[id], now) {
@@ -175,7 +176,7 @@
 	}()
 }
 
-// heard takes in a replica's report.
+// applyReport applies a replica's report to its state.
 func (l *Leader) applyReport(id string, fence int64, report loading.Report, err error) {
 	now := time.Now()
 	l.mutex.Lock()
@@ -190,7 +191,7 @@
 	}
 	if err != nil {
 		if state.Verified {
-			l.polledAt[id] = now.Add(pollInterval) // ask less often where nothing answers
+			l.polledAt[id] = now.Add(pollInterval) // wait longer before polling an unresponsive replica again
 		} else {
 			state.MarkUnreachable(now)
 		}
--- a/loader/reach.go
+++ b/loader/reach.go
@@ -6,49 +6,48 @@
 	"time"
 )
 
-// detachedCountTTL is how long daemons that were attached and are not any more count as cut off: they use their
-// own parts of replicas' limits. After it they are thought to be gone for good.
+// detachedCountTTL is how long detached daemons count as disconnected, during which they use their local
+// share of replicas' limits. After that they count as removed.
 const detachedCountTTL = 30 * time.Second
 
-// reach is which share of the daemons is attached to the holder. The share may be read without the
-// holder's mutex.
+// attachment tracks the share of the daemons that is attached to the leader. The share may be read without
+// the leader's mutex.
 type attachment struct {
-	streams    map[string]int // of each daemon: one that started again may have two for a while
-	maxDaemons int            // daemons lately
-	maxSeenAt  time.Time      // when they were last as many
+	streams    map[string]int // by daemon; a restarted one may briefly have two
+	maxDaemons int            // recent maximum of attached daemons
+	maxSeenAt  time.Time      // when that many were last attached
 	share      atomic.Uint64
 }
 
-// join and leave take in that a stream of a daemon begins and ends.
-func (r *attachment) addStream(daemon string) {
-	if r.streams == nil {
-		r.streams = map[string]int{}
+// addStream counts a stream of a daemon.
+func (a *attachment) addStream(daemon string) {
+	if a.streams == nil {
+		a.streams = map[string]int{}
 	}
-	r.streams[daemon]++
+	a.streams[daemon]++
 }
 
-func (r *attachment) removeStream(daemon string) {
-	if r.streams[daemon]--; r.streams[daemon] <= 0 {
-		delete(r.streams, daemon)
+func (a *attachment) removeStream(daemon string) {
+	if a.streams[daemon]--; a.streams[daemon] <= 0 {
+		delete(a.streams, daemon)
 	}
 }
 
-// note works out the share.
-func (r *attachment) updateShare(now time.Time) {
-	attached := len(r.streams)
-	if attached >= r.maxDaemons || now.Sub(r.maxSeenAt) > detachedCountTTL {
-		r.maxDaemons, r.maxSeenAt = attached, now
+// updateShare recomputes the share.
+func (a *attachment) updateShare(now time.Time) {
+	attached := len(a.streams)
+	if attached >= a.maxDaemons || now.Sub(a.maxSeenAt) > detachedCountTTL {
+		a.maxDaemons, a.maxSeenAt = attached, now
 	}
-	r.share.Store(math.Float64bits(float64(attached) / float64(max(1, r.maxDaemons))))
+	a.share.Store(math.Float64bits(float64(attached) / float64(max(1, a.maxDaemons))))
 }
 
-// expect takes in how many daemons the last holder had.
-func (r *attachment) expect(daemons int, now time.Time) {
-	if daemons > r.maxDaemons {
-		r.maxDaemons, r.maxSeenAt = daemons, now
+// expect sets the number of daemons that the earlier leader had, if it is the larger one.
+func (a *attachment) expect(daemons int, now time.Time) {
+	if daemons > a.maxDaemons {
+		a.maxDaemons, a.maxSeenAt = daemons, now
 	}
 }
 
-// Reached returns which share of the daemons is attached to this one, the holder of load orders, as of
-// its last round of decisions.
+// Reached returns the share of the daemons that was attached to this leader in its last round.
 func (l *Leader) Reached() float64 { return math.Float64frombits(l.attachment.share.Load()) }
--- a/loader/registry.go
+++ b/loader/registry.go
@@ -6,16 +6,16 @@
 	"github.com/finchspoke/finchspoke/routing"
 )
 
-// registryChanges gathers which replicas changed in the registry between two rounds of decisions,
-// so that a round costs what has changed and not a look at all replicas: 3 ms and 1.5 MB at 10,000.
+// registryChanges collects the replicas that changed in the registry since the last round, so that the cost
+// of a round depends on the changes and not on the number of replicas.
 type registryChanges struct {
 	mutex      sync.Mutex
 	changed    map[string]struct{}
-	allChanged bool           // all are to be looked at
-	table      *routing.Table // by which they were looked at last
+	allChanged bool           // every replica may have changed
+	table      *routing.Table // routing table of the last round
 }
 
-// note takes in that a replica changed.
+// add records that a replica changed.
 func (r *registryChanges) add(id string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -25,15 +25,15 @@
 	r.changed[id] = struct{}{}
 }
 
-// all makes the next round look at all replicas.
+// markAll records that every replica may have changed.
 func (r *registryChanges) markAll() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.allChanged = true
 }
 
-// take returns the replicas to be looked at, or that all are, and begins anew. Another table may
-// declare other services.
+// take returns and clears the changed replicas. All count as changed if the routing table is new, since it
+// may declare other services.
 func (r *registryChanges) take(table *routing.Table) (changed map[string]struct{}, all bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -42,7 +42,7 @@
 	return changed, all
 }
 
-// RegistryChanged takes in that a replica changed in the registry; empty: that all may have.
+// RegistryChanged records that a replica changed in the registry; empty: all of them may have.
 func (l *Leader) RegistryChanged(replica string) {
 	if replica == "" {
 		l.changedReplicas.markAll()
--- a/loader/running.go
+++ b/loader/running.go
@@ -7,22 +7,21 @@
 )
 
 const (
-	// minRunningInterval is the least time between two words of how many requests run
-	// on each replica; runningIntervalPerDaemon is added for each daemon that hears them.
+	// minRunningInterval is the least time between two updates of the running requests;
+	// runningIntervalPerDaemon is added for each daemon that receives them.
 	minRunningInterval       = 350 * time.Millisecond
 	runningIntervalPerDaemon = time.Millisecond
-	// runningStepsPerReplica is in how many steps the places of a replica are told: smaller
-	// changes are not worth a message to all daemons.
+	// A change of running requests is sent only if it is at least a step, which is 1/runningStepsPerReplica
+	// of the replica's slots and at least minRunningStep.
 	runningStepsPerReplica = 16
 	minRunningStep         = 2
 )
 
-// requestCounts sums the requests of all daemons on each replica, and keeps what was
-// last told of them.
+// requestCounts sums the running requests of all daemons by replica, and keeps the sums that were last sent.
 type requestCounts struct {
 	total    map[string]uint32
 	sent     map[string]uint32
-	changed  *changeLog // of what is told
+	changed  *changeLog // changes of sent
 	summedAt time.Time
 }
 
@@ -30,13 +29,13 @@
 	return &requestCounts{total: map[string]uint32{}, sent: map[string]uint32{}, changed: newChangeLog()}
 }
 
-// due tells whether it is time to sum again, for so many daemons.
+// due reports whether it is time to sum again for a number of receiving daemons.
 func (r *requestCounts) due(now time.Time, daemons int) bool {
 	return now.Sub(r.summedAt) >= minRunningInterval+time.Duration(daemons)*runningIntervalPerDaemon
 }
 
-// sum adds up what the daemons reported, and returns the replicas of which others
-// have to be told. slots returns the places of a replica.
+// sum adds up the reported requests and returns the replicas whose sums must be sent. slots returns the
+// number of slots of a replica.
 func (r *requestCounts) sum(now time.Time, daemons map[string]*daemonState, slots func(replica string) int) []string {
 	r.summedAt = now
 	r.total = make(map[string]uint32, len(r.total))
@@ -48,8 +47,8 @@
 	return updateSent(r.sent, r.total, func(replica string) int { return max(minRunningStep, slots(replica)/runningStepsPerReplica) })
 }
 
-// updateSent returns the replicas whose number differs from the one told by a step at
-// least, or that have none any more, and notes their numbers as told.
+// updateSent copies to sent each count that changed by at least a step or to none, and returns the replicas
+// concerned.
 func updateSent(sent, current map[string]uint32, step func(replica string) int) []string {
 	var changed []string
 	for replica := range sent {
@@ -68,13 +67,11 @@
 	return changed
 }
 
-// changedRunning makes the messages of all numbers that differ from those told, and
-// notes them as told.
+// changedRunning returns messages for all counts that differ from the sent ones, and marks them as sent.
 func changedRunning(sent, current map[string]uint32) []*rpc.ReplicaRunning {
 	return runningMessages(updateSent(sent, current, func(string) int { return 1 }), sent)
 }
 
-// runningMessages makes the messages of some replicas' numbers.
 func runningMessages(replicas []string, counts map[string]uint32) []*rpc.ReplicaRunning {
 	messages := make([]*rpc.ReplicaRunning, 0, len(replicas))
 	for _, replica := range replicas {
@@ -83,7 +80,7 @@
 	return messages
 }
 
-// refreshRunning sums the requests on replicas when it is time to; the mutex is held.
+// refreshRunning sums the running requests if it is time to. The caller holds the mutex.
 func (l *Leader) refreshRunning(now time.Time) {
 	if !l.requestTotals.due(now, l.loadReceivers()) {
 		return
@@ -103,7 +100,7 @@
 	}
 }
 
-// runningView lists what changed after a version; the mutex is held.
+// runningView lists the counts that changed after a version. The caller holds the mutex.
 func (l *Leader) runningView(after uint64) []*rpc.ReplicaRunning {
 	return runningMessages(l.requestTotals.changed.after(after), l.requestTotals.sent)
 }
--- a/loader/silence_test.go
+++ b/loader/silence_test.go
@@ -17,7 +17,7 @@
 	"github.com/finchspoke/finchspoke/transport"
 )
 
-// Open connections may fall silent for good, without a reset, while new ones work.
+// An open connection may stop delivering data without a reset while new connections work.
 func TestSilentStreamToTheLeaderIsReplaced(t *testing.T) {
 	t.Parallel()
 	leader := &Leader{Fleet: emptyFleet()}
@@ -40,8 +40,8 @@
 	follower.LeaderChanged(election.Leader{Daemon: "b", Address: proxy.Address(), Nonce: "n", Fence: 1})
 	go func() { _ = follower.Serve(ctx) }()
 	require.Eventually(t, follower.Attached, time.Second, time.Millisecond)
-	// The follower is attached once it has sent its first message. The proxy silences the connections that it
-	// has taken, so the message must have come through it.
+	// The follower is attached once it has sent its first message. The proxy silences only open connections,
+	// so wait until the message has passed through it.
 	require.Eventually(t, func() bool { return attachedTo(leader) == 1 }, time.Second, time.Millisecond)
 	proxy.SilenceOpen()
 	silenced := time.Now()
@@ -51,10 +51,10 @@
 	require.Contains(t, logHook.AllEntries()[1].Data["cause"], errStreamSilent.Error())
 
 	time.Sleep(silenceTimeout + time.Second)
-	require.True(t, follower.Attached(), "a quiet stream is kept by its beats")
+	require.True(t, follower.Attached(), "heartbeats keep an idle stream attached")
 }
 
-// attachedTo returns how many daemons a holder has a stream of.
+// attachedTo returns the number of streams to a leader.
 func attachedTo(leader *Leader) int {
 	leader.mutex.Lock()
 	defer leader.mutex.Unlock()
--- a/loader/touches.go
+++ b/loader/touches.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// touches remembers in which version each replica last changed, so that what changed
-// after a version is found without a look at all replicas.
+// changeLog records the version in which each replica last changed. The changes after a version are found
+// without a scan of all replicas.
 type changeLog struct {
 	versions map[string]uint64
-	entries  []changeEntry // in the order of versions
+	entries  []changeEntry // sorted by version
 }
 
 type changeEntry struct {
@@ -14,30 +14,30 @@
 	version uint64
 }
 
-// maxStaleEntries is how many outdated entries the log may hold beyond the replicas.
+// maxStaleEntries is the number of outdated entries that the log may hold beyond the number of replicas.
 const maxStaleEntries = 256
 
 func newChangeLog() *changeLog { return &changeLog{versions: map[string]uint64{}} }
 
-// mark notes that a replica changed in a version, the highest so far.
-func (t *changeLog) mark(replica string, version uint64) {
-	t.versions[replica] = version
-	t.entries = append(t.entries, changeEntry{replica, version})
-	if len(t.entries) > 2*len(t.versions)+maxStaleEntries {
-		t.entries = slices.DeleteFunc(t.entries, func(entry changeEntry) bool { return t.versions[entry.replica] != entry.version })
+// mark records that a replica changed in a version, which must not be lower than earlier ones.
+func (c *changeLog) mark(replica string, version uint64) {
+	c.versions[replica] = version
+	c.entries = append(c.entries, changeEntry{replica, version})
+	if len(c.entries) > 2*len(c.versions)+maxStaleEntries {
+		c.entries = slices.DeleteFunc(c.entries, func(entry changeEntry) bool { return c.versions[entry.replica] != entry.version })
 	}
 }
 
-// has tells whether a replica was ever marked.
-func (t *changeLog) has(replica string) bool { return t.versions[replica] > 0 }
+// has reports whether a replica was ever marked.
+func (c *changeLog) has(replica string) bool { return c.versions[replica] > 0 }
 
-// after lists the replicas that last changed after a version, each once.
-func (t *changeLog) after(version uint64) []string {
+// after lists each replica that last changed after a version once.
+func (c *changeLog) after(version uint64) []string {
 	var changed []string
-	for index := len(t.entries) - 1; index >= 0 && t.entries[index].version > version; index-- {
-		entry := t.entries[index]
-		// A replica may be marked twice in one version; both entries are then alike.
-		if t.versions[entry.replica] == entry.version && !slices.Contains(changed[max(0, len(changed)-1):], entry.replica) {
+	for index := len(c.entries) - 1; index >= 0 && c.entries[index].version > version; index-- {
+		entry := c.entries[index]
+		// A replica may be marked twice in one version; list it once.
+		if c.versions[entry.replica] == entry.version && !slices.Contains(changed[max(0, len(changed)-1):], entry.replica) {
 			changed = append(changed, entry.replica)
 		}
 	}
--- a/loader/turns.go
+++ b/loader/turns.go
@@ -7,19 +7,17 @@
 	"github.com/finchspoke/finchspoke/permit"
 )
 
-// Turns hands out turns at replicas that named a limit.
+// Turns makes reservations for messages to replicas with a request limit.
 type Turns interface {
-	// Begin begins a term.
+	// BeginTerm begins a term with no reservations.
 	BeginTerm()
-	// TryReserve takes a turn if one is free now, or tells when to ask again.
-	TryReserve(ask permit.Ask) (taken bool, retryIn time.Duration)
+	// TryReserve makes a reservation if one is available now, and otherwise returns when to retry.
+	TryReserve(request permit.Ask) (granted bool, retryIn time.Duration)
 }
 
-// reserveMessage tells whether an order or a question may go to a replica now; the mutex is held.
-//
-// Orders and questions are messages as requests are: a replica that took one a second got two orders and
-// a question beside nine requests in 4 s. They come after all requests, and a look for the end of a load
-// each 90 ms would use up the limit by itself. What is held back is looked at again when there is a turn.
+// reserveMessage reports whether an order or probe may be sent to a replica now. It counts towards the
+// replica's request limit, with the lowest priority; if no reservation is available, a round is scheduled for
+// when one may be. The caller holds the mutex.
 func (l *Leader) reserveMessage(state *loading.Replica, now time.Time) bool {
 	if state == nil || state.PerSecond == 0 || l.Turns == nil {
 		return true
--- a/loader/turns_test.go
+++ b/loader/turns_test.go
@@ -12,7 +12,7 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// reservationBook is a book of the holder's own.
+// reservationBook makes reservations in a local book.
 type reservationBook struct {
 	book  *permit.Book
 	now   time.Time
@@ -26,8 +26,7 @@
 	return answer.Granted, answer.RetryIn
 }
 
-// Orders and questions are messages as requests are: a replica that takes one in five seconds gets no more
-// of them either.
+// Orders and probes count towards a replica's request limit.
 func TestMessagesToALimitedReplicaNeedReservations(t *testing.T) {
 	const pause = 5 * time.Second
 	leader, replicas := leaderWithDemand(t)
@@ -40,14 +39,14 @@
 
 	leader.runRound(t.Context(), now)
 	require.Equal(t, 1, reservations.terms)
-	require.Equal(t, "r1", receive(t, replicas.reports), "the first turn")
+	require.Equal(t, "r1", receive(t, replicas.reports), "the first reservation")
 	require.Eventually(t, func() bool {
 		leader.mutex.Lock()
 		defer leader.mutex.Unlock()
 		return leader.states["r1"].Verified
 	}, time.Second, time.Millisecond)
 	leader.runRound(t.Context(), now)
-	require.Empty(t, leader.inFlight, "the next is not free")
+	require.Empty(t, leader.inFlight, "no reservation is available yet")
 	reservations.now = now.Add(pause)
 	leader.runRound(t.Context(), reservations.now)
 	require.Equal(t, "m1", receive(t, replicas.orders).Target.Model)
@@ -62,17 +61,17 @@
 		for number := range attached {
 			leader.attachment.addStream(strconv.Itoa(number))
 		}
-		leader.attachment.addStream("0") // it has started again, and its earlier stream still stands
+		leader.attachment.addStream("0") // it restarted, and its earlier stream is still open
 		leader.attachment.updateShare(now.Add(after))
 		return leader.Reached()
 	}
 	require.Equal(t, 1.0, updateShare(9, 0))
-	require.Equal(t, 1.0/3, updateShare(3, time.Second), "the others may be cut off")
+	require.Equal(t, 1.0/3, updateShare(3, time.Second), "the other daemons may be disconnected")
 	require.Equal(t, 1.0, updateShare(9, 2*time.Second))
 	require.InDelta(t, 8.0/9, updateShare(8, 3*time.Second), 1e-9)
-	require.Equal(t, 1.0, updateShare(8, 3*time.Second+detachedCountTTL), "it is gone for good")
+	require.Equal(t, 1.0, updateShare(8, 3*time.Second+detachedCountTTL), "the detached daemon no longer counts")
 	leader.attachment.expect(16, now.Add(time.Hour))
-	require.Equal(t, 0.5, updateShare(8, time.Hour+time.Second), "the last holder had more")
+	require.Equal(t, 0.5, updateShare(8, time.Hour+time.Second), "the earlier leader had more daemons")
 	leader.attachment.removeStream("0")
 	require.Len(t, leader.attachment.streams, 8)
 	leader.attachment.removeStream("0")
--- a/loader/yield_test.go
+++ b/loader/yield_test.go
@@ -7,8 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Seen on a drawn day of Nitra large (fresh-3090): a machine with a quarter of the strongest
-// ones' processor held the term to the end of the day.
+// A weak machine must not keep the term while a much stronger one is attached.
 func TestTermIsHandedOverOnlyToAMuchStrongerMachine(t *testing.T) {
 	const own = 400 * time.Millisecond
 	now := time.Unix(1_000_000, 0)
@@ -17,19 +16,19 @@
 		other    daemonState
 		stronger bool
 	}{
-		"much stronger":   {daemonState{termDelay: own / 4, attachedAt: longAgo}, true},
-		"hardly stronger": {daemonState{termDelay: own * 3 / 4, attachedAt: longAgo}, false},
-		"alike":           {daemonState{termDelay: own, attachedAt: longAgo}, false},
-		"not known":       {daemonState{attachedAt: longAgo}, false},
-		"just attached":   {daemonState{termDelay: own / 4, attachedAt: now}, false},
-		"detached":        {daemonState{termDelay: own / 4, attachedAt: longAgo, detachedAt: now}, false},
+		"much stronger":     {daemonState{termDelay: own / 4, attachedAt: longAgo}, true},
+		"slightly stronger": {daemonState{termDelay: own * 3 / 4, attachedAt: longAgo}, false},
+		"equally strong":    {daemonState{termDelay: own, attachedAt: longAgo}, false},
+		"unknown strength":  {daemonState{attachedAt: longAgo}, false},
+		"just attached":     {daemonState{termDelay: own / 4, attachedAt: now}, false},
+		"detached":          {daemonState{termDelay: own / 4, attachedAt: longAgo, detachedAt: now}, false},
 	} {
 		leader := &Leader{Daemon: "own", TermDelay: own, daemons: map[string]*daemonState{"other": &example.other}}
 		require.Equal(t, example.stronger, leader.hasStrongerDaemon(now), name)
 	}
 }
 
-// A strong daemon that is attached but does not reach the key-value service takes no term.
+// A strong daemon that is attached may be unable to reach the key-value service and so never take the term.
 func TestUnclaimedHandoversBackOff(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	plan := handoverPlan{}
@@ -43,6 +42,6 @@
 	require.False(t, plan.mayHandOver(now.Add(minTermAgeForHandover)))
 	require.True(t, plan.mayHandOver(now.Add(handoverBackoffFactor*minTermAgeForHandover)))
 	now = now.Add(time.Hour)
-	plan.termBegan(now) // another held it in between
+	plan.termBegan(now) // another daemon held the term in between
 	require.True(t, plan.mayHandOver(now.Add(minTermAgeForHandover)))
 }
