--- a/loader/yield.go
+++ b/loader/yield.go
@@ -25,7 +25,7 @@
 type handoverPlan struct {
 	termStart    time.Time
 	minTermAge   time.Duration // least age of the term for a handover
-	lastHandover time.Time     // time of the last handover
+	lastHandover time.Time
 }
 
 // termBegan records the start of a term. If it soon follows a handover, no other daemon took the term, and
--- a/loading/adapters.go
+++ b/loading/adapters.go
@@ -11,29 +11,28 @@
 )
 
 const (
-	// adapterLoadTime is how long the load of an adapter takes from the weight store.
+	// adapterLoadTime is the expected duration of loading an adapter.
 	adapterLoadTime = 200 * time.Millisecond
-	// adapterArrivalRatePerCopy is the arrivals a second that one copy of an adapter is
-	// meant for.
+	// adapterArrivalRatePerCopy is the number of arrivals per second that one copy of an adapter should
+	// serve.
 	adapterArrivalRatePerCopy = 3.0
-	// maxPendingAdapters is how many adapters may be on their way to a replica.
+	// maxPendingAdapters bounds the adapter loads pending on one replica.
 	maxPendingAdapters = 4
 )
 
-// loadAdapters gives orders for adapters that requests wait for.
+// loadAdapters orders loads of adapters that are in demand and have too few copies.
 func (p *planner) loadAdapters() {
 	for _, key := range p.adaptersInDemand() {
-		demanded := p.Demand[key]
+		keyDemand := p.Demand[key]
 		copies := p.adapterCopies[key.Target]
-		if copies == 0 && demanded.Waiting > 0 || float64(copies)*adapterArrivalRatePerCopy < demanded.PerSecond {
+		if copies == 0 && keyDemand.Waiting > 0 || float64(copies)*adapterArrivalRatePerCopy < keyDemand.PerSecond {
 			p.loadAdapter(key.Target)
 		}
 	}
 }
 
-// loadAdaptersAhead fills free places with the adapters of busy models and of those
-// to which demand is expected to move: while a replica loads a model, it takes no
-// adapter, and a holder of orders may be missing when one is asked for.
+// loadAdaptersAhead fills free slots with adapters of busy models before they are requested. A replica cannot
+// load an adapter while it loads a model, and at the time of a request there may be no leader.
 func (p *planner) loadAdaptersAhead() {
 	for _, need := range p.models {
 		if need.perSecond < busyRate {
@@ -51,12 +50,11 @@
 	}
 }
 
-// adaptersInDemand lists the service's adapters with demand, those that most wait
-// for first.
+// adaptersInDemand lists the service's adapters with demand, those with the most waiting requests first.
 func (p *planner) adaptersInDemand() []demand.Key {
 	var keys []demand.Key
-	for key, demanded := range p.Demand {
-		if key.Service == p.service && key.Target.Adapter != "" && (demanded.Waiting > 0 || demanded.PerSecond > adapterArrivalRatePerCopy) {
+	for key, keyDemand := range p.Demand {
+		if key.Service == p.service && key.Target.Adapter != "" && (keyDemand.Waiting > 0 || keyDemand.PerSecond > adapterArrivalRatePerCopy) {
 			keys = append(keys, key)
 		}
 	}
@@ -67,8 +65,7 @@
 	return keys
 }
 
-// loadAdapter loads an adapter on the replica that suits it best, or makes a place
-// for it.
+// loadAdapter loads an adapter on the best replica, or unloads an adapter there to free a slot.
 func (p *planner) loadAdapter(target fleet.Target) {
 	best := p.bestAdapterReplica(target)
 	if best == nil {
@@ -83,23 +80,23 @@
 	}
 }
 
-// bestAdapterReplica returns the replica that suits an adapter best, or nil.
+// bestAdapterReplica returns the best replica for an adapter, or nil.
 func (p *planner) bestAdapterReplica(target fleet.Target) *Replica {
 	need := p.byName[target.Model]
 	if need == nil {
-		return nil // not declared any more
+		return nil // no longer declared
 	}
 	if best := p.bestAdapterReplicaAmong(need, target, false); best != nil || !p.anyLimited {
 		return best
 	}
-	return p.bestAdapterReplicaAmong(need, target, true) // each order takes a turn of a request
+	return p.bestAdapterReplicaAmong(need, target, true) // loads there use up the replica's request limit
 }
 
-// bestAdapterReplicaAmong is bestAdapterReplica among the holders with, or without, a limit.
+// bestAdapterReplicaAmong considers only replicas with, or only replicas without, a request limit.
 func (p *planner) bestAdapterReplicaAmong(need *modelNeed, target fleet.Target, limited bool) *Replica {
 	var best *Replica
 	bestUsed, bestScore := 0, uint64(0)
-	for _, candidate := range need.holders {
+	for _, candidate := range need.loadedOn {
 		replica := candidate.replica
 		if candidate.freeIn > 0 || replica.PerSecond > 0 != limited {
 			continue
@@ -110,8 +107,8 @@
 		if replica.Holdings.Has(target) || replica.pending(target) != nil {
 			continue // further copies belong on other replicas
 		}
-		// Full replicas are equal; among the others the emptiest is best, so that
-		// adapters spread. Hashing keeps an adapter where it was before.
+		// Prefer replicas with free slots, the emptiest first, so that adapters spread. Among equal replicas,
+		// rendezvous hashing returns an adapter to where it was before.
 		used := min(usedAdapterSlots(replica), p.engine.AdapterSlots)
 		score := rendezvous.Score(target.Adapter, replica.ID)
 		if best == nil || used < bestUsed || (used == bestUsed && score > bestScore) {
@@ -121,13 +118,13 @@
 	return best
 }
 
-// fitsAdapter tells whether a replica has a place and memory for an adapter.
+// fitsAdapter reports whether a replica has a free slot and enough memory for an adapter.
 func (p *planner) fitsAdapter(replica *Replica, target fleet.Target) bool {
 	memory := p.engine.Models[target.Model].AdapterMemoryMB
 	return usedAdapterSlots(replica) < p.engine.AdapterSlots && p.memoryLeft(replica) >= memory
 }
 
-// usedAdapterSlots counts the adapter places that are taken or may be.
+// usedAdapterSlots counts the adapter slots in use, pending loads included.
 func usedAdapterSlots(replica *Replica) int {
 	count := 0
 	for _, adapters := range replica.Holdings {
@@ -151,8 +148,8 @@
 	return count
 }
 
-// leastUsedAdapter returns the adapter on a replica that is used least: those that
-// nobody runs or waits for first, then those used longest ago.
+// leastUsedAdapter returns the adapter to evict from a replica: one without running requests if possible,
+// then the least recently used. Adapters with waiting requests are not evicted.
 func (p *planner) leastUsedAdapter(replica *Replica) (fleet.Target, bool) {
 	var victim fleet.Target
 	var least Demand
@@ -160,12 +157,12 @@
 	for _, model := range sortedKeys(replica.Holdings) {
 		for _, adapter := range replica.Holdings[model] {
 			target := fleet.Target{Model: model, Adapter: adapter}
-			demanded := p.demandFor(target)
-			if replica.pending(target) != nil || demanded.Waiting > 0 {
+			keyDemand := p.demandFor(target)
+			if replica.pending(target) != nil || keyDemand.Waiting > 0 {
 				continue
 			}
-			if !found || lessUsed(demanded, least) {
-				victim, least, found = target, demanded, true
+			if !found || lessUsed(keyDemand, least) {
+				victim, least, found = target, keyDemand, true
 			}
 		}
 	}
--- a/loading/ask.go
+++ b/loading/ask.go
@@ -6,24 +6,22 @@
 )
 
 const (
-	// probeInterval is the time between two questions whether a load has ended.
+	// probeInterval is the time between two probes of an overdue load.
 	probeInterval = 50 * time.Millisecond
-	// maxProbes is how often a replica is asked before its reports are read instead.
+	// maxProbes is the number of probes after which the replica's report is fetched instead.
 	maxProbes = 4
-	// unloadReportDelay is how long after an unload should have ended its replica's report is
-	// read, where no next order told.
+	// unloadReportDelay is the time from when an unload is due until the replica's report is fetched, unless
+	// the response to another order shows earlier that the unload has ended.
 	unloadReportDelay = 100 * time.Millisecond
-	// reportDelay is how long after an answer the report tells of it, and of the copies of
-	// weights that are kept.
+	// reportDelay is how long a replica's report may lag behind its responses.
 	reportDelay = 600 * time.Millisecond
 )
 
-// reasonProbe is the reason of an order that is given again.
+// reasonProbe is the logged reason of probes.
 const reasonProbe = "whether it has ended"
 
-// Question returns the order to be given again to learn at once, not from a later report,
-// that the load of a model has ended: the replica answers that it holds the model, or
-// that it is busy.
+// ProbeOrder returns an order that probes whether a model load has ended. It repeats the order of the load:
+// the replica responds that the model is loaded, or that it is busy.
 func (r *Replica) ProbeOrder(now time.Time) (Order, bool) {
 	if !r.Verified || now.Before(r.TermGapUntil) {
 		return Order{}, false
@@ -38,14 +36,14 @@
 	return Order{}, false
 }
 
-// probeAt is when the replica should be asked whether the order has ended.
+// probeAt returns when the next probe of the order is due.
 func (o Pending) probeAt() time.Time {
 	return o.ReadyAt().Add(time.Duration(o.Probes) * probeInterval)
 }
 
-// Ended takes in the replica's answer that an order under way has ended.
+// CompleteOrder applies the response that a pending order has ended.
 func (r *Replica) CompleteOrder(order Order, now time.Time) {
-	r.Pending = slices.DeleteFunc(r.Pending, func(one Pending) bool { return one.sameAs(order) })
+	r.Pending = slices.DeleteFunc(r.Pending, func(pending Pending) bool { return pending.sameAs(order) })
 	r.applyOrder(order)
 	r.ReportDueAt = now.Add(reportDelay)
 	if order.Verb == Load && order.ForModel() {
@@ -64,27 +62,26 @@
 	return append(slices.Clone(names), name)
 }
 
-// MarkUnfinished takes in the replica's answer that a model is still being loaded or unloaded.
+// MarkUnfinished applies the response that a model is still being loaded or unloaded.
 func (r *Replica) MarkUnfinished(now time.Time) {
 	for index := range r.Pending {
 		if order := &r.Pending[index]; order.ForModel() && !now.Before(order.ReadyAt()) {
 			if order.Probes++; order.Probes >= maxProbes {
-				r.Verified = false // only its report tells, whatever it says
+				r.Verified = false // only a report can clear this up
 			}
 		}
 	}
 }
 
-// Awaits tells whether the replica has an order for a model under way that should have
-// ended.
+// HasOverdueOrder reports whether an order for a model is pending that should have ended.
 func (r *Replica) HasOverdueOrder(now time.Time) bool {
 	return slices.ContainsFunc(r.Pending, func(order Pending) bool {
 		return order.ForModel() && !now.Before(order.ReadyAt())
 	})
 }
 
-// completeUnloads takes in that unloads have ended, since the replica accepts an order for a
-// model only when none is under way.
+// completeUnloads completes overdue unloads. A replica accepts an order for a model only if no other one is
+// pending.
 func (r *Replica) completeUnloads(now time.Time) {
 	for _, order := range slices.Clone(r.Pending) {
 		if order.isOverdueUnload(now) {
@@ -93,8 +90,8 @@
 	}
 }
 
-// predatesResponses tells whether a report lacks a model of which the replica has said
-// since that it holds it.
+// predatesResponses reports whether a report lacks a model that the replica, in a recent response, said it
+// has loaded.
 func (r *Replica) predatesResponses(report Report, now time.Time) bool {
 	if r.ReportDueAt.IsZero() || now.After(r.ReportDueAt.Add(reportDelay)) {
 		return false
--- a/loading/ask_test.go
+++ b/loading/ask_test.go
@@ -12,13 +12,12 @@
 	return Order{ReplicaID: "r1", Verb: Load, Target: fleet.Target{Model: model}, Origin: FromDisk, ExpectedDuration: second}
 }
 
-// Reports tell of the end of a load some hundred ms late, which was a fifth of the time
-// that each load kept its replica.
+// Reports lag behind the end of a load; a probe finds it at once.
 func TestOverdueLoadIsProbedByRepeatingItsOrder(t *testing.T) {
 	probed := replica("r1", "m0")
 	probed.MarkAccepted(loadFromDisk("m1"), startTime)
 	_, possible := probed.ProbeOrder(startTime.Add(second - 1))
-	require.False(t, possible, "not before it should have ended")
+	require.False(t, possible, "no probe before the load is due")
 	probe, possible := probed.ProbeOrder(startTime.Add(second))
 	require.True(t, possible)
 	require.Equal(t, probed.Sequence, probe.Sequence)
@@ -35,7 +34,7 @@
 	require.Empty(t, probed.Pending)
 	require.Zero(t, probed.freeIn(end))
 	require.Contains(t, probed.OnDisk, "m1")
-	require.Equal(t, end.Add(reportDelay), probed.NextCheck(end), "the report tells which copies are kept")
+	require.Equal(t, end.Add(reportDelay), probed.NextCheck(end), "a report is needed for the cached weights")
 }
 
 func TestReportOlderThanAResponseIsIgnored(t *testing.T) {
@@ -50,12 +49,11 @@
 	require.True(t, probed.NextCheck(end.Add(2*reportDelay)).IsZero())
 }
 
-// Seen in a trial: the replica's count of orders was not what was thought, it refused each
-// question, and its reports were not taken for the rest of the day.
+// If the order counts differ, the replica refuses every probe; only a report can correct the count.
 func TestReportIsFetchedAfterTooManyProbes(t *testing.T) {
 	probed := replica("r1", "m0")
 	probed.MarkAccepted(loadFromDisk("m1"), startTime)
-	probed.Sequence++ // more than the replica has taken
+	probed.Sequence++ // more orders than the replica has taken
 	now := startTime.Add(second)
 	for range maxProbes {
 		probed.MarkUnfinished(now)
@@ -70,18 +68,18 @@
 func TestLoadIsOrderedOnceThePrecedingUnloadIsDue(t *testing.T) {
 	emptied := withDisk(replica("r1", "m1", "m2"), "m5")
 	emptied.MarkAccepted(Order{ReplicaID: "r1", Verb: Unload, Target: fleet.Target{Model: "m1"}, ExpectedDuration: unloadTime, RoomFor: "m5"}, startTime)
-	made := snapshot(oneWaiting("m5", ""), emptied, replica("r2", "m0"))
-	require.Empty(t, decideOnDemand(made))
-	made.Now = startTime.Add(unloadTime)
-	orders := decideOnDemand(made)
+	input := snapshot(oneWaiting("m5", ""), emptied, replica("r2", "m0"))
+	require.Empty(t, decideOnDemand(input))
+	input.Now = startTime.Add(unloadTime)
+	orders := decideOnDemand(input)
 	require.Len(t, orders, 1)
 	require.Equal(t, Load, orders[0].Verb)
 	require.Equal(t, "r1", orders[0].ReplicaID)
 
 	taken := *emptied
-	taken.MarkAccepted(orders[0], made.Now)
-	require.False(t, taken.Holdings.Has(fleet.Target{Model: "m1"}), "it takes a load only after the unload")
+	taken.MarkAccepted(orders[0], input.Now)
+	require.False(t, taken.Holdings.Has(fleet.Target{Model: "m1"}), "an accepted load implies that the unload has ended")
 
-	emptied.MarkUnfinished(made.Now)
-	require.Empty(t, decideOnDemand(made), "runs are still under way there")
+	emptied.MarkUnfinished(input.Now)
+	require.Empty(t, decideOnDemand(input), "the unload has not ended")
 }
--- a/loading/fetch.go
+++ b/loading/fetch.go
@@ -6,27 +6,24 @@
 )
 
 const (
-	// maxBusyShareForPrefetch is the share of a service's replicas that may be busy with orders when
-	// weights are loaded ahead of demand: one that does takes no other order meanwhile.
+	// maxBusyShareForPrefetch bounds the share of a service's replicas that may be busy when weights are
+	// prefetched, since a replica takes no other order during a load.
 	maxBusyShareForPrefetch = 0.5
-	// storeShareForFirstCopies is the share of the loads at once from the weight store that is kept for
-	// first copies while requests wait for them.
+	// storeShareForFirstCopies is the share of the concurrent store loads that is reserved for first copies
+	// while requests wait for them.
 	storeShareForFirstCopies = 0.5
-	// underReplicatedShare is the share of the copies that a model should have below which it is short of
-	// them: with more than every second one missing, those that are there are overrun. Then
-	// several are looked for at once, and loaded from the weight store though a replica keeps
-	// the weights. Above it, both cost models that are asked for rarely their places
-	// (lantern-core, fixed days: 0.712 with all missing copies looked for at once, 0.725
-	// without).
+	// underReplicatedShare is the share of its desired copies below which a model is under-replicated.
+	// Several copies of it are then placed in one decision, from the weight store even if a replica has
+	// cached the weights.
 	underReplicatedShare = 0.5
-	// maxPrefetchEvictionWorth is what may be unloaded to load weights that no replica keeps.
+	// maxPrefetchEvictionWorth bounds the worth of the models that a prefetch may evict.
 	maxPrefetchEvictionWorth = 1.0
 )
 
-// reasonNotCached is the reason of loads ahead of demand.
+// reasonNotCached is the logged reason of prefetches.
 const reasonNotCached = "kept nowhere"
 
-// pendingStoreLoads counts the loads from the weight store under way.
+// pendingStoreLoads counts the pending loads from the weight store.
 func pendingStoreLoads(replicas []*Replica) int {
 	count := 0
 	for _, replica := range replicas {
@@ -39,8 +36,8 @@
 	return count
 }
 
-// mayLoadFromStore tells whether a model may be loaded from the weight store now. Copies beyond the
-// first leave some of it to first copies that requests wait for.
+// mayLoadFromStore reports whether a model may be loaded from the weight store now. Further copies leave a
+// share of the store to first copies with waiting requests.
 func (p *planner) mayLoadFromStore(need *modelNeed) bool {
 	if p.StoreLoadsAllowed <= 0 {
 		return false
@@ -49,13 +46,13 @@
 		return p.storeLoadsPending < p.StoreConcurrency
 	}
 	if need.cachedElsewhere() && !need.isUnderReplicated() {
-		return false // sooner or later a replica that keeps the weights loads them
+		return false // a replica that has cached the weights will load them
 	}
 	reserved := min(p.modelsNeedingStore(), int(storeShareForFirstCopies*float64(p.StoreConcurrency)))
 	return p.storeLoadsPending+reserved < p.StoreConcurrency
 }
 
-// modelsNeedingStore counts the models that requests wait for and that only the weight store has.
+// modelsNeedingStore counts the models that requests wait for and whose weights are only in the weight store.
 func (p *planner) modelsNeedingStore() int {
 	count := 0
 	for _, need := range p.models {
@@ -66,7 +63,7 @@
 	return count
 }
 
-// cachedElsewhere tells whether a replica that does not hold the model keeps its weights.
+// cachedElsewhere reports whether a replica without the model has cached its weights.
 func (n *modelNeed) cachedElsewhere() bool {
 	return slices.ContainsFunc(n.cachedSources, func(cached cachedSource) bool {
 		_, held := cached.candidate.replica.Holdings[n.model.Name]
@@ -74,11 +71,11 @@
 	})
 }
 
-// prefetchModels loads models that no replica keeps, while the weight store has room: a
-// request for one would wait many times longer than for one that is kept.
+// prefetchModels loads models that no replica has cached while the weight store has capacity, because a
+// request for such a model would wait much longer than for a cached one.
 func (p *planner) prefetchModels() {
 	if !p.Settled || !p.allVerified() {
-		return // a replica that is not known yet may keep them
+		return // an unverified replica may have cached them
 	}
 	prefetchesLeft := int(maxBusyShareForPrefetch*float64(len(p.candidates))) - p.busyCandidates()
 	for _, need := range p.uncachedModels() {
@@ -94,12 +91,12 @@
 	}
 }
 
-// allVerified tells whether all replicas of the service were heard, as far as they answer.
+// allVerified reports whether the state of each replica of the service is known.
 func (p *planner) allVerified() bool {
 	return !slices.ContainsFunc(p.candidates, func(c *candidate) bool { return !c.replica.Verified && !c.replica.Assumed })
 }
 
-// uncachedModels lists the models that no replica keeps, those asked for most first.
+// uncachedModels lists the models that no replica has cached, those in the highest demand first.
 func (p *planner) uncachedModels() []*modelNeed {
 	var uncached []*modelNeed
 	for _, need := range p.models {
@@ -113,7 +110,7 @@
 	return uncached
 }
 
-// busyCandidates counts the replicas that carry out an order.
+// busyCandidates counts the replicas that are carrying out an order.
 func (p *planner) busyCandidates() int {
 	count := 0
 	for _, candidate := range p.candidates {
--- a/loading/fetch_test.go
+++ b/loading/fetch_test.go
@@ -10,14 +10,13 @@
 	"github.com/finchspoke/finchspoke/fleet"
 )
 
-// keeping returns a replica that holds models and has others on its disk.
-func withDisk(made *Replica, onDisk ...string) *Replica {
-	made.OnDisk = onDisk
-	return made
+// withDisk returns the replica with models cached on its disk.
+func withDisk(r *Replica, onDisk ...string) *Replica {
+	r.OnDisk = onDisk
+	return r
 }
 
-// Seen on a day of many rare models: a replica that kept the weights took another order
-// for a moment, and they were loaded from the store elsewhere, seven times as long.
+// A load from the store elsewhere takes much longer than waiting for a replica that is briefly busy.
 func TestLoadWaitsForTheReplicaWithCachedWeights(t *testing.T) {
 	withWeights := withDisk(replica("r1", "m0"), "m5")
 	withWeights.MarkAccepted(Order{Verb: Load, Target: fleet.Target{Model: "m1"}, ExpectedDuration: second, Origin: FromDisk}, startTime.Add(-second/2))
@@ -38,15 +37,14 @@
 	require.Equal(t, "r2", orders[0].ReplicaID)
 }
 
-// A call to the only replica with the weights is on its way: the load waits for it.
+// A call to the only replica with the weights is in flight.
 func TestLoadWaitsForAPendingCall(t *testing.T) {
 	withWeights := withDisk(replica("r1"), "m5")
 	calling := withWeights.WithPendingCall(nil, startTime, startTime.Add(250*time.Millisecond))
 	require.Empty(t, decideOnDemand(snapshot(oneWaiting("m5", ""), calling, replica("r2"))))
 }
 
-// Seen on the same days: room had been made for a model, and its load was then meant for
-// another replica that was busy, until requests were given up.
+// Freed memory must be used by its model even if another, busy replica looks cheaper.
 func TestReservedRoomIsUsedByItsModel(t *testing.T) {
 	emptied := withDisk(replica("r1", "m1"), "m5")
 	emptied.ReservedFor, emptied.ReservedUntil = "m5", startTime.Add(second)
@@ -60,8 +58,7 @@
 	require.Equal(t, Load, orders[0].Verb)
 }
 
-// Seen on the same days: each place stayed taken for 4 s after a load of less than one,
-// and loads waited for places.
+// Models with short load times must become evictable soon after their load.
 func TestModelIsEvictableOnceItStayedForItsLoadTime(t *testing.T) {
 	full := withDisk(replica("r1", "m1", "m2"), "m1", "m2", "m5")
 	full.LoadedAt["m1"], full.LoadedAt["m2"] = startTime.Add(-second), startTime.Add(-second)
@@ -81,7 +78,7 @@
 	require.Equal(t, FromStore, orders[0].Origin)
 
 	other.OnDisk = append(other.OnDisk, "m5")
-	require.Empty(t, Decide(snapshot(nil, first, other)), "some replica keeps each")
+	require.Empty(t, Decide(snapshot(nil, first, other)), "all weights are cached on some replica")
 }
 
 func TestNothingIsPrefetchedBeforeAllReplicasAreVerified(t *testing.T) {
@@ -90,14 +87,13 @@
 	require.Empty(t, Decide(snapshot(nil, replica("r1", "m0"), unverified)))
 }
 
-// Seen before traffic: replicas entered the registry within 2 s, and until then models
-// that the last ones kept were loaded from the store, pushing out what others kept.
+// Weights cached on a replica that is not yet in the registry must not be loaded from the store.
 func TestNothingIsPrefetchedWhileTheRegistryFills(t *testing.T) {
-	made := snapshot(nil, replica("r1", "m0"), replica("r2", "m1"))
-	made.Settled = false
-	require.Empty(t, Decide(made))
-	made.Settled = true
-	require.NotEmpty(t, Decide(made))
+	input := snapshot(nil, replica("r1", "m0"), replica("r2", "m1"))
+	input.Settled = false
+	require.Empty(t, Decide(input))
+	input.Settled = true
+	require.NotEmpty(t, Decide(input))
 }
 
 func TestPrefetchesUseAtMostHalfOfTheReplicas(t *testing.T) {
@@ -106,31 +102,31 @@
 }
 
 func TestConcurrentStoreLoadsAreLimited(t *testing.T) {
-	asked := map[demand.Key]Demand{}
+	demands := map[demand.Key]Demand{}
 	for _, model := range []string{"m1", "m2", "m3"} {
-		asked[key(model, "")] = Demand{Waiting: 1, LastUsed: startTime}
+		demands[key(model, "")] = Demand{Waiting: 1, LastUsed: startTime}
 	}
-	made := snapshot(asked, replica("r1"), replica("r2"), replica("r3"))
-	made.StoreConcurrency = 2
-	require.Len(t, Decide(made), 2)
+	input := snapshot(demands, replica("r1"), replica("r2"), replica("r3"))
+	input.StoreConcurrency = 2
+	require.Len(t, Decide(input), 2)
 }
 
 func TestStoreConcurrencyFollowsLoadTimes(t *testing.T) {
-	pace := ConcurrencyEstimate{}
-	require.Equal(t, initialStoreConcurrency, pace.Limit())
+	estimate := ConcurrencyEstimate{}
+	require.Equal(t, initialStoreConcurrency, estimate.Limit())
 	for load, want := range map[time.Duration]int{4 * second: 4, 6 * second: 4, 10 * second: 2, 20 * second: 1, 60 * second: 1} {
 		long := ConcurrencyEstimate{}
 		long.SetLoadTime(load)
 		require.Equal(t, want, long.Limit(), load)
 	}
-	pace.Observe(6*second, 6*second, initialStoreConcurrency)
-	require.Equal(t, initialStoreConcurrency+1, pace.Limit(), "at full speed with as many as allowed: one more")
-	pace.Observe(6*second, 6*second, 1)
-	require.Equal(t, initialStoreConcurrency+1, pace.Limit(), "few under way say nothing")
-	pace.Observe(12*second, 6*second, 4)
-	require.Equal(t, 2, pace.Limit(), "four took twice as long")
-	pace.Observe(60*second, 6*second, 2)
-	require.Equal(t, 1, pace.Limit())
+	estimate.Observe(6*second, 6*second, initialStoreConcurrency)
+	require.Equal(t, initialStoreConcurrency+1, estimate.Limit(), "full speed at the limit raises it by one")
+	estimate.Observe(6*second, 6*second, 1)
+	require.Equal(t, initialStoreConcurrency+1, estimate.Limit(), "loads below the limit do not change it")
+	estimate.Observe(12*second, 6*second, 4)
+	require.Equal(t, 2, estimate.Limit(), "four loads at half speed halve the limit")
+	estimate.Observe(60*second, 6*second, 2)
+	require.Equal(t, 1, estimate.Limit())
 }
 
 func TestFetchesEndWithTheirReplicasReport(t *testing.T) {
@@ -144,45 +140,42 @@
 	loaded.ApplyReport(Report{Sequence: 1, Holdings: fleet.Holdings{"m5": nil}}, startTime.Add(8*second))
 	fetches.Update(loaded, startTime.Add(8*second))
 	require.Empty(t, fetches.pending)
-	require.Equal(t, 1, fetches.Concurrency.Limit(), "one load took twice as long as the catalogue says")
+	require.Equal(t, 1, fetches.Concurrency.Limit(), "a single load took twice its expected time")
 }
 
-// Seen on the same days: the only replica with the weights had just made room for another
-// model, and they were loaded from the store elsewhere.
+// A reservation for another model must not cause a load from the store elsewhere.
 func TestLoadWaitsForAReplicaReservedForAnotherModel(t *testing.T) {
 	withWeights := withDisk(replica("r1", "m4"), "m3", "m5")
 	withWeights.ReservedFor, withWeights.ReservedUntil = "m3", startTime.Add(second)
-	asked := oneWaiting("m5", "")
-	made := snapshot(asked, withWeights, replica("r2", "m0"))
-	for _, model := range made.Services["press"].Models {
+	demands := oneWaiting("m5", "")
+	input := snapshot(demands, withWeights, replica("r2", "m0"))
+	for _, model := range input.Services["press"].Models {
 		model.DiskLoad = second / 2
 	}
-	require.Empty(t, decideOnDemand(made))
+	require.Empty(t, decideOnDemand(input))
 
-	asked[key("m3", "")] = Demand{Waiting: 1, LastUsed: startTime}
-	orders := decideOnDemand(made)
+	demands[key("m3", "")] = Demand{Waiting: 1, LastUsed: startTime}
+	orders := decideOnDemand(input)
 	require.Len(t, orders, 1)
-	require.Equal(t, "m3", orders[0].Target.Model, "the room is used by the model that it was made for")
+	require.Equal(t, "m3", orders[0].Target.Model, "the reserved memory is used by its model")
 }
 
-// Seen on the same days: a further copy of a busy model kept a replica for the 6 s of a
-// load from the store.
+// A load from the store would occupy a replica much longer than a load from cached weights.
 func TestFurtherCopiesPreferCachedWeightsToTheStore(t *testing.T) {
-	asked := map[demand.Key]Demand{key("m5", ""): {PerSecond: 9, Running: 4, LastUsed: startTime}}
+	demands := map[demand.Key]Demand{key("m5", ""): {PerSecond: 9, Running: 4, LastUsed: startTime}}
 	held := withDisk(replica("r1", "m5"), "m5")
 	withWeights := withDisk(replica("r2", "m1"), "m5")
 	withWeights.MarkAccepted(Order{Verb: Load, Target: fleet.Target{Model: "m2"}, ExpectedDuration: 20 * second}, startTime)
-	require.Empty(t, decideOnDemand(snapshot(asked, held, withWeights, replica("r3"))))
+	require.Empty(t, decideOnDemand(snapshot(demands, held, withWeights, replica("r3"))))
 	withWeights.OnDisk = nil
-	orders := decideOnDemand(snapshot(asked, held, withWeights, replica("r3")))
+	orders := decideOnDemand(snapshot(demands, held, withWeights, replica("r3")))
 	require.Len(t, orders, 1)
 	require.Equal(t, "r3", orders[0].ReplicaID)
 }
 
-// What a copy ahead of demand saves is the time of its load: where that is short, it does
-// not push out a model that is asked for now and then.
+// A spare copy saves the time of its load; if that is short, the copy must not evict a model with demand.
 func TestSpareCopyIsWorthItsLoadTime(t *testing.T) {
-	asked := map[demand.Key]Demand{
+	demands := map[demand.Key]Demand{
 		key("m4", ""): {PerSecond: 1.2, Running: 1, LastUsed: startTime},
 		key("m1", ""): {PerSecond: 0.2, LastUsed: startTime}, key("m2", ""): {PerSecond: 0.2, LastUsed: startTime},
 	}
@@ -190,28 +183,28 @@
 		return []*Replica{replica("r1", "m4", "m0"), replica("r2", "m3", "m5"), replica("r3", "m1", "m2")}
 	}
 	slow := others()
-	orders := decideOnDemand(snapshot(asked, slow...))
-	require.NotEmpty(t, orders, "a spare copy takes 4 s")
+	orders := decideOnDemand(snapshot(demands, slow...))
+	require.NotEmpty(t, orders, "a load takes long, so a spare copy is worth an eviction")
 
 	quick := others()
-	for _, one := range quick {
-		withDisk(one, "m0", "m1", "m2", "m3", "m4", "m5")
+	for _, r := range quick {
+		withDisk(r, "m0", "m1", "m2", "m3", "m4", "m5")
 	}
-	made := snapshot(asked, quick...)
-	for _, model := range made.Services["press"].Models {
+	input := snapshot(demands, quick...)
+	for _, model := range input.Services["press"].Models {
 		model.DiskLoad = second / 10
 	}
-	require.Empty(t, decideOnDemand(made))
+	require.Empty(t, decideOnDemand(input))
 }
 
 func TestCatalogueWithoutLoadTimes(t *testing.T) {
 	saturated := replica("r1", "m0")
 	saturated.Slots, saturated.Running = 10, 9
-	made := snapshot(oneWaiting("m5", ""), saturated, replica("r2"))
-	for _, model := range made.Services["press"].Models {
+	input := snapshot(oneWaiting("m5", ""), saturated, replica("r2"))
+	for _, model := range input.Services["press"].Models {
 		model.StoreLoad, model.DiskLoad, model.MemoryLoad = 0, 0, 0
 	}
-	orders := decideOnDemand(made)
+	orders := decideOnDemand(input)
 	require.Len(t, orders, 1)
 	require.Equal(t, "r2", orders[0].ReplicaID)
 }
--- a/loading/limits.go
+++ b/loading/limits.go
@@ -7,20 +7,19 @@
 	"github.com/finchspoke/finchspoke/fleet"
 )
 
-// usableLimitShare is the share of a replica's limit up to which requests for its models may come before
-// further copies are loaded: arrivals are averaged over some seconds, and orders take turns as well.
+// usableLimitShare is the share of a replica's request limit that the demand for its models may use before
+// further copies are loaded. The rest covers load orders and bursts within the averaging time.
 const usableLimitShare = 0.8
 
-// excludeOverLimit works out which models replicas with a limit can't serve all requests for. A replica that takes
-// one request a second is worth one a second, however many places it has. What is left of the limit is for
-// the models that are asked for least, so that few need a further copy. The others' copies count for
-// nothing, until the limit is lifted or others serve them.
+// excludeOverLimit finds the copies that cannot be served within their replica's request limit. The least
+// requested models use the limit first, so that few models need a further copy; the copies of the other
+// models do not count.
 func (p *planner) excludeOverLimit(byName map[string]*modelNeed) {
-	p.overLimit, p.anyLimited = nil, slices.ContainsFunc(p.Replicas, func(one *Replica) bool {
-		return one.Service == p.service && one.PerSecond > 0
+	p.overLimit, p.anyLimited = nil, slices.ContainsFunc(p.Replicas, func(r *Replica) bool {
+		return r.Service == p.service && r.PerSecond > 0
 	})
 	if !p.anyLimited {
-		return // nearly always
+		return // the usual case
 	}
 	p.overLimit = map[*Replica]map[string]bool{}
 	unlimited := p.targetsWithoutLimit()
@@ -31,13 +30,14 @@
 	}
 }
 
-// limitedDemand is how often a model is asked for that only replicas with a limit hold, or adapters of it.
+// limitedDemand is the demand for a model, or for adapters of it, that only replicas with a request limit can
+// serve.
 type limitedDemand struct {
 	name      string
 	perSecond float64
 }
 
-// beyond returns the models that don't fit into a rate, of which those that are asked for least come first.
+// modelsOverLimit reports for each model whether it exceeds a rate that the least requested models use first.
 func modelsOverLimit(perSecond float64, models []limitedDemand) map[string]bool {
 	slices.SortFunc(models, func(a, b limitedDemand) int {
 		return cmp.Or(cmp.Compare(a.perSecond, b.perSecond), cmp.Compare(a.name, b.name))
@@ -50,8 +50,8 @@
 	return overLimit
 }
 
-// limitedDemandOn returns how often the models on a replica are asked for that only it and others with a limit
-// hold.
+// limitedDemandOn returns the demand for a replica's models that only replicas with a request limit can
+// serve.
 func (p *planner) limitedDemandOn(replica *Replica, byName map[string]*modelNeed, unlimited map[fleet.Target]bool) (models []limitedDemand) {
 	for name, adapters := range replica.Holdings {
 		need := byName[name]
@@ -74,7 +74,7 @@
 	return models
 }
 
-// targetsWithoutLimit returns the targets that a replica without a limit holds, and takes requests for.
+// targetsWithoutLimit returns the targets that are loaded on a replica without a request limit.
 func (p *planner) targetsWithoutLimit() map[fleet.Target]bool {
 	held := map[fleet.Target]bool{}
 	for _, replica := range p.Replicas {
@@ -94,7 +94,7 @@
 	return held
 }
 
-// counts tells whether a model on a replica, with its adapters, serves those who ask for it.
+// isServing reports whether a replica can serve the requests for a model that it holds, and for its adapters.
 func (p *planner) isServing(replica *Replica, model string) bool {
 	return replica.Service == p.service && !replica.Draining && !p.overLimit[replica][model]
 }
--- a/loading/loading.go
+++ b/loading/loading.go
@@ -1,11 +1,8 @@
-// Package loading decides, purely, which models and adapters are loaded where the
-// replicas take orders one by one: what is known goes in, the next orders come out.
-// It reads no clock and sends nothing.
+// Package loading decides which models and adapters to load on which replicas, where replicas take orders one
+// at a time. A decision is a pure function of a snapshot; it does no I/O and reads no clock.
 //
-// Every order is bound to the number of orders that its replica has taken, so an
-// order that is carried out late, after others, has no effect. What an order may
-// have begun stays charged to the replica's memory and adapter places until the
-// replica has said otherwise.
+// Every order states the number of orders that its replica has taken, so a late one has no effect. Pending
+// orders are charged to the replica's memory and slots until it reports otherwise.
 package loading
 
 import (
@@ -17,16 +14,16 @@
 	"github.com/finchspoke/finchspoke/routing"
 )
 
-// Verb is what an order does.
+// Verb is the action of an order.
 type Verb uint8
 
-// The verbs.
+// The actions.
 const (
 	Load Verb = iota
 	Unload
 )
 
-// String returns the verb's name in logs.
+// String returns the verb's name for logs.
 func (v Verb) String() string { return [...]string{"load", "unload"}[v] }
 
 // Origin is where the weights of a load come from.
@@ -39,87 +36,83 @@
 	FromMemory
 )
 
-// String returns the origin's name in logs.
+// String returns the origin's name for logs.
 func (o Origin) String() string { return [...]string{"store", "disk", "memory"}[o] }
 
-// Order is one order to a replica.
+// Order is a load order to a replica.
 type Order struct {
 	ReplicaID string
 	Verb      Verb
 	Target    fleet.Target
-	Sequence  int64 // orders that the replica must have taken
+	Sequence  int64 // number of orders that the replica must have taken before
 	Origin    Origin
-	// Takes is how long the order should take to carry out.
+	// ExpectedDuration is how long the replica should take to carry out the order.
 	ExpectedDuration time.Duration
 	Reason           string
-	// RoomFor is the model that an unload makes room for.
+	// RoomFor is the model for which an unload frees memory.
 	RoomFor string
 }
 
-// ForModel tells whether the order concerns a whole model, not an adapter of it.
+// ForModel reports whether the target is a model, not an adapter.
 func (o Order) ForModel() bool { return o.Target.Adapter == "" }
 
-// LoadsFromStore tells whether the order loads a model from the weight store.
+// LoadsFromStore reports whether the order loads a model from the weight store.
 func (o Order) LoadsFromStore() bool { return o.Verb == Load && o.Origin == FromStore && o.ForModel() }
 
-// is tells whether another order does the same to the same target.
+// sameAs reports whether another order has the same verb and target.
 func (o Order) sameAs(other Order) bool { return o.Verb == other.Verb && o.Target == other.Target }
 
-// UnderWay is an order that the replica took, or may have taken, and has not
-// carried out as far as is known.
+// Pending is an order that the replica has taken, or may have taken, and may not have finished.
 type Pending struct {
 	Order
 	Since time.Time
-	// Asked is how often the replica was asked, by an order, whether this one has ended,
-	// and said that it has not.
+	// Probes is how often the replica responded that the order is unfinished after it was due.
 	Probes int
 }
 
-// ReadyAt is when the order should be carried out.
+// ReadyAt returns when the order should be finished.
 func (o Pending) ReadyAt() time.Time { return o.Since.Add(o.ExpectedDuration) }
 
-// Replica is what is known of a replica that loads models.
+// Replica is the known state of a replica that loads models.
 type Replica struct {
 	ID       string
-	Born     int64 // Unix ms of the start of its incarnation; zero if it is not known
+	Born     int64 // start time of its process in Unix ms; zero if unknown
 	Service  string
 	Zone     string
 	Draining bool
-	Slots    int // requests that it runs at once; zero if not known
-	Running  int // requests of all daemons on it, those that wait there included
-	// Known tells whether the replica's own word was heard in this term.
+	Slots    int // requests that it runs at once; zero if unknown
+	Running  int // requests of all daemons, those waiting on the replica included
+	// Verified is whether the state is confirmed by a report from the replica in this term.
 	Verified bool
-	// Assumed tells that the registry's word counts until an order is to be given: the replica's own
-	// is then heard first. Thousands of replicas need not be asked for what they hold when a term
-	// begins; a few of them get an order in it.
+	// Assumed is whether the registry's record is used in place of a report. A report is then fetched only
+	// before the first order, which spares most replicas the call at the start of a term.
 	Assumed  bool
 	Sequence int64
 	Holdings fleet.Holdings
 	InMemory []string
 	OnDisk   []string
 	Pending  []Pending
-	// BlockedUntil keeps orders back after one was refused or got no answer.
+	// BlockedUntil defers orders after one was refused or got no response.
 	BlockedUntil time.Time
-	// TermGapUntil keeps orders back while those of an earlier holder are too recent.
+	// TermGapUntil defers orders until the term gap after the orders of an earlier leader has passed.
 	TermGapUntil time.Time
-	// RestsUntil keeps orders and questions back: the replica asked the daemon that gives them for rest.
+	// RestsUntil defers orders and probes while the replica has asked this daemon to back off.
 	RestsUntil time.Time
-	// PerSecond is the limit that the replica named, in messages a second of all daemons; zero: none.
+	// PerSecond is the replica's request limit for all daemons, in messages per second; zero: no limit.
 	PerSecond float64
-	// ReservedFor is the model for which room was made, until a moment.
+	// ReservedFor is the model for which memory was freed and stays reserved until ReservedUntil.
 	ReservedFor   string
 	ReservedUntil time.Time
-	// LoadedAt is when each model was last seen to come.
+	// LoadedAt is when each model was last observed to appear.
 	LoadedAt map[string]time.Time
-	// ReportDueAt is when the replica's report should be read since it tells what the
-	// answers to orders do not; zero: not needed.
+	// ReportDueAt is when to fetch the report for details that responses to orders lack; zero: not needed.
 	ReportDueAt time.Time
 }
 
-// Incarnation names the process that the state is of.
+// Incarnation identifies the replica's process.
 func (r *Replica) Incarnation() fleet.Incarnation { return fleet.Incarnation{ID: r.ID, Born: r.Born} }
 
-// underWay returns an order that concerns a target.
+// pending returns the pending order for a target, or nil.
 func (r *Replica) pending(target fleet.Target) *Pending {
 	for index := range r.Pending {
 		if r.Pending[index].Target == target {
@@ -129,16 +122,15 @@
 	return nil
 }
 
-// busy tells whether a model is being loaded or unloaded.
+// busy reports whether a model is being loaded or unloaded.
 func (r *Replica) busy() bool {
-	return slices.ContainsFunc(r.Pending, func(one Pending) bool { return one.ForModel() })
+	return slices.ContainsFunc(r.Pending, func(order Pending) bool { return order.ForModel() })
 }
 
-// minBusyTime is the least time after which a replica that has an order under way is
-// thought to take the next.
+// minBusyTime is the least time that a replica with a pending order counts as busy.
 const minBusyTime = 50 * time.Millisecond
 
-// freeIn returns when the replica can take an order for a model; zero: at once.
+// freeIn returns the time until the replica can take an order for a model; zero: now.
 func (r *Replica) freeIn(now time.Time) time.Duration {
 	wait := time.Duration(0)
 	if !r.acceptsOrders(now) {
@@ -152,18 +144,16 @@
 	return wait
 }
 
-// unloaded tells whether the order is an unload that should have ended. The next order
-// may then be tried: a replica that still has one under way refuses it.
+// isOverdueUnload reports whether the order is an unload that should have ended. The next order may then be
+// sent; the replica refuses it if the unload is unfinished.
 func (o Pending) isOverdueUnload(now time.Time) bool {
 	return o.Verb == Unload && o.ForModel() && o.Probes == 0 && !now.Before(o.ReadyAt())
 }
 
-// saturatedShare is the share of a replica's places from which it is no help to a model
-// that needs room.
+// saturatedShare is the share of its slots in use from which a replica counts as saturated.
 const saturatedShare = 0.75
 
-// usage returns the share of the replica's places that is taken; above 1 if requests
-// wait there.
+// utilization returns the share of the replica's slots in use; above 1 if requests wait there.
 func (r *Replica) utilization() float64 {
 	if r.Slots <= 0 {
 		return 0
@@ -171,36 +161,36 @@
 	return float64(r.Running) / float64(r.Slots)
 }
 
-// open tells whether the replica can be given an order now.
+// acceptsOrders reports whether the replica can be given an order now.
 func (r *Replica) acceptsOrders(now time.Time) bool {
 	return (r.Verified || r.Assumed) && !r.Draining && !now.Before(r.BlockedUntil) && !now.Before(r.TermGapUntil) && !now.Before(r.RestsUntil)
 }
 
 // Demand is the demand for a key over all daemons.
 type Demand struct {
-	PerSecond float64 // arrivals, averaged over some seconds
+	PerSecond float64 // average arrivals
 	Waiting   int
 	Running   int
 	LastUsed  time.Time
-	// LongestWait is how long requests have been waiting.
+	// LongestWait is how long the oldest request has been waiting.
 	LongestWait time.Duration
 }
 
-// Snapshot is all that a decision is made from.
+// Snapshot is the input of a decision.
 type Snapshot struct {
 	Now      time.Time
-	Services map[string]*routing.Engine // by name
-	Replicas []*Replica                 // in a fixed order
+	Services map[string]*routing.Engine // by service name
+	Replicas []*Replica                 // in a stable order
 	Demand   map[demand.Key]Demand
-	// StoreLoadsAllowed is how many loads from the weight store may begin now.
+	// StoreLoadsAllowed is how many loads from the weight store may start now.
 	StoreLoadsAllowed int
-	// StoreConcurrency is how many loads from the weight store may be under way together.
+	// StoreConcurrency is how many loads from the weight store may be pending at once.
 	StoreConcurrency int
-	// Settled tells that no replica is thought to be missing from Replicas.
+	// Settled is whether Replicas is believed to be complete.
 	Settled bool
 }
 
-// Decide returns the orders to give now, at most one for each replica.
+// Decide returns the orders to give now, at most one per replica.
 func Decide(snapshot Snapshot) []Order {
 	planner := &planner{Snapshot: snapshot}
 	planner.storeLoadsPending = pendingStoreLoads(snapshot.Replicas)
@@ -215,7 +205,7 @@
 	return planner.orders
 }
 
-// prepare works out, for the service, what the choices among its models and places need.
+// prepare computes the needs of the service's models and the state of its candidates.
 func (p *planner) prepare() {
 	p.capacity = p.capacityPerCopy()
 	p.models = p.modelNeeds()
@@ -231,21 +221,21 @@
 	Snapshot
 	service      string
 	engine       *routing.Engine
-	capacity     copyCapacity // what one copy of a model is meant for
+	capacity     copyCapacity // of one copy of a model
 	models       []*modelNeed
 	byName       map[string]*modelNeed
-	candidates   []*candidate            // of the service
-	candidateFor map[*Replica]*candidate // the same, by replica
-	// spared are the models, by replica, for which its limit is too low.
+	candidates   []*candidate            // replicas of the service
+	candidateFor map[*Replica]*candidate // candidates by replica
+	// overLimit are the models by replica that exceed the replica's request limit.
 	overLimit map[*Replica]map[string]bool
-	// anyLimited tells that a replica of the service has a limit.
+	// anyLimited is whether a replica of the service has a request limit.
 	anyLimited        bool
-	storeLoadsPending int                  // loads from the weight store under way
-	adapterCopies     map[fleet.Target]int // copies of each adapter, those being loaded included
+	storeLoadsPending int                  // pending loads from the weight store
+	adapterCopies     map[fleet.Target]int // copies of each adapter, pending loads included
 	orders            []Order
 }
 
-// give adds an order.
+// addOrder adds an order to the decision.
 func (p *planner) addOrder(replica *Replica, order Order) {
 	order.ReplicaID, order.Sequence = replica.ID, replica.Sequence
 	p.orders = append(p.orders, order)
@@ -255,7 +245,7 @@
 	}
 }
 
-// reservedFor returns the model that room on a replica is kept for, or nothing.
+// reservedFor returns the model for which a replica's memory is reserved, or the empty string.
 func (p *planner) reservedFor(replica *Replica) string {
 	for _, order := range replica.Pending {
 		if order.RoomFor != "" {
--- a/loading/models.go
+++ b/loading/models.go
@@ -8,58 +8,57 @@
 	"github.com/finchspoke/finchspoke/fleet"
 )
 
-// loadMissingCopies gives orders for the copies that are missing.
+// loadMissingCopies orders loads for models with fewer copies than desired.
 func (p *planner) loadMissingCopies() {
 	for _, need := range p.models {
 		if need.copies == 0 && need.waiting == 0 && !need.cached {
-			continue // it is fetched ahead
+			continue // prefetchModels loads it
 		}
 		if need.copies >= need.desired || need.replicasMakingRoom() > 0 {
 			continue
 		}
 		for p.loadModel(need) && need.isUnderReplicated() {
-			continue // the next copy, too
+			continue // place the next copy too
 		}
 	}
 }
 
-// short tells whether so many copies are missing that the next is looked for at once. Copies
-// whose room is made, or that wait for their replica, are on their way.
+// isUnderReplicated reports whether so many copies are missing that the next one is placed at once. Copies
+// that this decision has prepared count as present.
 func (n *modelNeed) isUnderReplicated() bool {
 	return float64(n.copies+n.comingCopies) < underReplicatedShare*float64(n.desired)
 }
 
-// spot is a replica that a model could be loaded on.
+// placement is a candidate for the load of a model, with its cost.
 type placement struct {
 	candidate *candidate
 	source
-	victims  []victim // models to be unloaded first
+	victims  []victim // models to unload first
 	cost     float64  // seconds
-	mustWait bool     // the replica has other orders to carry out first
+	mustWait bool     // the replica must finish other orders first
 }
 
 const (
-	// costEviction is the time that an unload before the load takes.
+	// costEviction is the time for unloading one model before the load.
 	costEviction = 0.3
-	// costSameZone is the cost of a copy in a zone that has one already: replicas of a zone
-	// leave or fail together. On scale-2 of Andina large four of five copies of the most
-	// popular model were in the zone whose replicas were withdrawn. It decides among
-	// sources alike, and not between the disk and the store.
+	// costSameZone is the cost of a second copy in a zone, since the replicas of a zone often fail together.
+	// It is too small to outweigh a load from disk instead of from the store.
 	costSameZone = 0.5
-	// costSharedModel is the cost of each model in use on the same replica, which share
-	// its batch.
+	// costSharedModel is the cost of each other model in use on the replica, with which a copy shares its
+	// batch.
 	costSharedModel = 0.15
-	// costFullReplica is the cost of a replica all of whose places are taken.
+	// costFullReplica is the cost of a replica whose slots are all in use; lower utilization costs
+	// proportionally.
 	costFullReplica = 4.0
-	// costDrainRequests is how long an unload waits for what runs on the model.
+	// costDrainRequests is how long an unload waits for running requests of the model.
 	costDrainRequests = 1.5
-	// costBlockedAdapters is the cost of a load where the only copy of a model with adapters
-	// is in use: no adapter can be loaded there meanwhile. Several copies share it.
+	// costBlockedAdapters is the cost of blocking adapter loads on the only copy of a model in use. Several
+	// copies of the model share it.
 	costBlockedAdapters = 3.0
 )
 
-// loadModel loads one copy of a model, or makes room for it, or waits for a replica that has
-// other orders first. It returns false where no replica comes into question.
+// loadModel loads one copy of a model, frees memory for it, or waits for a busy replica. It returns false if
+// no replica is suitable.
 func (p *planner) loadModel(need *modelNeed) bool {
 	urgent := need.copies == 0 && need.waiting > 0
 	best, found := p.bestPlacement(need, p.valueOfCopy(need, urgent), p.mayLoadFromStore(need))
@@ -68,7 +67,7 @@
 	}
 	need.chosen = append(need.chosen, best.candidate)
 	if best.mustWait {
-		// Waiting for the replica is better than any other.
+		// Waiting for the busy replica is better than using any other one.
 		best.candidate.addQueuedTime(best.loadTime)
 		need.comingCopies++
 		return true
@@ -81,7 +80,7 @@
 	return true
 }
 
-// use gives the order for a load on a spot, or for what must be unloaded first.
+// placeModel orders the load for a placement, or the unload that must come first.
 func (p *planner) placeModel(best placement, need *modelNeed, reason string) {
 	replica := best.candidate.replica
 	if len(best.victims) > 0 {
@@ -99,26 +98,23 @@
 	need.cached = true
 }
 
-// unloadTime is how long an unload takes when nothing runs.
+// unloadTime is the expected duration of unloading a model without running requests.
 const unloadTime = 100 * time.Millisecond
 
-// replicasMakingRoom counts the replicas that are being emptied for the model.
+// replicasMakingRoom counts the replicas that are freeing memory for the model.
 func (n *modelNeed) replicasMakingRoom() int {
 	count := 0
-	for _, one := range n.reservedOn {
-		if one.replica.busy() && one.freeIn > 0 {
+	for _, c := range n.reservedOn {
+		if c.replica.busy() && c.freeIn > 0 {
 			count++
 		}
 	}
 	return count
 }
 
-// bestSpot returns the replica where the model is loaded soonest at the least cost
-// to others, which may have other orders to carry out first. value bounds what may be
-// unloaded for it; fromStore allows loads from the weight store.
-//
-// A replica with a limit comes into question where no other does: each order and question takes a turn of
-// a request.
+// bestPlacement returns the placement with the least cost, which may be on a busy replica. Models worth up to
+// maxEvictionWorth may be evicted; fromStore allows loads from the weight store. Replicas with a request
+// limit are used only if no other is suitable, since orders and probes count towards the limit.
 func (p *planner) bestPlacement(need *modelNeed, maxEvictionWorth float64, fromStore bool) (placement, bool) {
 	best, found := p.search(placementSearch{need: need, maxEvictionWorth: maxEvictionWorth}, fromStore)
 	if !found && p.anyLimited {
@@ -127,7 +123,7 @@
 	return best, found
 }
 
-// search looks through the places for a model.
+// search compares the candidates for a model.
 func (p *planner) search(search placementSearch, fromStore bool) (placement, bool) {
 	need := search.need
 	if !fromStore {
@@ -138,15 +134,15 @@
 		}
 		return search.best, search.found
 	}
-	// All lists follow the order of places, so that one walk joins them.
-	holders, cachedSources := need.holders, need.cachedSources
+	// All lists are in the order of the candidates, so one pass merges them.
+	loadedOn, cachedSources := need.loadedOn, need.cachedSources
 	for _, c := range p.candidates {
 		from := need.fromStore()
 		if len(cachedSources) > 0 && cachedSources[0].candidate == c {
 			from, cachedSources = cachedSources[0].source, cachedSources[1:]
 		}
-		if len(holders) > 0 && holders[0] == c {
-			holders = holders[1:]
+		if len(loadedOn) > 0 && loadedOn[0] == c {
+			loadedOn = loadedOn[1:]
 			continue
 		}
 		search.consider(c, from)
@@ -154,18 +150,18 @@
 	return search.best, search.found
 }
 
-// placementSearch finds the best spot for a model among places that are considered in turn.
+// placementSearch finds the best placement among the candidates that it considers.
 type placementSearch struct {
 	need             *modelNeed
-	maxEvictionWorth float64 // of what may be unloaded
+	maxEvictionWorth float64 // bound on the worth of the evicted models
 	best             placement
 	found            bool
-	foundReserved    bool // best is a place whose room is kept for the model
-	allowLimited     bool // replicas with a limit come into question
+	foundReserved    bool // best is on a candidate reserved for the model
+	allowLimited     bool // consider replicas with a request limit too
 }
 
-// consider compares a place with the best so far. The first whose room is kept for the
-// model, and needs no more of it, is taken.
+// consider compares a candidate with the best placement so far. The first candidate that is reserved for the
+// model and has enough free memory is final.
 func (s *placementSearch) consider(c *candidate, from source) {
 	if slices.Contains(s.need.chosen, c) || c.replica.PerSecond > 0 && !s.allowLimited {
 		return
@@ -185,13 +181,12 @@
 	}
 }
 
-// loadCost returns what a load on the place costs, in seconds, where no other model has a
-// claim on it and nothing has to be unloaded.
+// loadCost returns the cost of a load in seconds, before reservations for other models and evictions.
 func (c *candidate) loadCost(need *modelNeed, from source) float64 {
 	return c.busyFor().Seconds() + from.loadTime.Seconds() + c.sharingCost*need.relativeToStoreLoad(from.loadTime)
 }
 
-// minCost is a lower bound of what a load on the place costs, in seconds.
+// minCost returns a lower bound of the cost of a load, in seconds.
 func (c *candidate) minCost(need *modelNeed, from source) float64 {
 	cost := c.loadCost(need, from)
 	if need.model.MemoryMB > c.memoryLeft && len(c.victims) > 0 {
@@ -200,10 +195,11 @@
 	return cost
 }
 
-// placementOn returns what a load on a place costs, if it is possible and worth it.
+// placementOn returns the placement of a model on a candidate, and whether it is possible within
+// maxEvictionWorth.
 func placementOn(c *candidate, need *modelNeed, maxEvictionWorth float64, from source) (placement, bool) {
 	result := placement{candidate: c, source: from}
-	missing := need.model.MemoryMB - c.memoryLeft
+	missingMB := need.model.MemoryMB - c.memoryLeft
 	result.mustWait = c.busyFor() > 0
 	result.cost = c.loadCost(need, from)
 	if need.zones[c.replica.Zone] {
@@ -213,12 +209,12 @@
 		loadTime := other.sourceOn(c).loadTime
 		result.mustWait = result.mustWait || loadTime > 0
 		result.cost += loadTime.Seconds()
-		missing += other.model.MemoryMB
+		missingMB += other.model.MemoryMB
 	}
-	if missing <= 0 {
+	if missingMB <= 0 {
 		return result, true
 	}
-	victims, enough := c.chooseVictims(missing)
+	victims, enough := c.chooseVictims(missingMB)
 	if !enough {
 		return placement{}, false
 	}
@@ -228,7 +224,7 @@
 	return result, lostWorth < maxEvictionWorth
 }
 
-// evictionCost returns the seconds that unloading models takes, and what they are worth.
+// evictionCost returns the time that the evictions take, in seconds, and the worth of the evicted models.
 func evictionCost(victims []victim) (cost, lostWorth float64) {
 	for _, v := range victims {
 		lostWorth += v.worth
@@ -240,54 +236,51 @@
 	return cost, lostWorth
 }
 
-// memoryLeft returns the memory in MB that nothing holds or may hold. What should have
-// been unloaded counts as free.
+// memoryLeft returns the free memory in MB. Pending loads count as loaded, and overdue unloads as unloaded.
 func (p *planner) memoryLeft(replica *Replica) float64 {
-	left := p.engine.MemoryMB
+	free := p.engine.MemoryMB
 	for model, adapters := range replica.Holdings {
 		if order := replica.pending(fleet.Target{Model: model}); order != nil && order.isOverdueUnload(p.Now) {
 			continue
 		}
-		if known := p.engine.Models[model]; known != nil {
-			left -= known.MemoryMB + float64(len(adapters))*known.AdapterMemoryMB
+		if spec := p.engine.Models[model]; spec != nil {
+			free -= spec.MemoryMB + float64(len(adapters))*spec.AdapterMemoryMB
 		}
 	}
 	for _, order := range replica.Pending {
-		known := p.engine.Models[order.Target.Model]
-		if order.Verb != Load || known == nil || replica.Holdings.Has(order.Target) {
+		spec := p.engine.Models[order.Target.Model]
+		if order.Verb != Load || spec == nil || replica.Holdings.Has(order.Target) {
 			continue
 		}
 		if order.ForModel() {
-			left -= known.MemoryMB
+			free -= spec.MemoryMB
 		} else {
-			left -= known.AdapterMemoryMB
+			free -= spec.AdapterMemoryMB
 		}
 	}
-	return left
+	return free
 }
 
 const (
-	// worthUnused is the worth of the last copy of a model that nobody asked for
-	// yet.
+	// worthUnused is the base worth of a copy that is not surplus.
 	worthUnused = 0.4
-	// worthInUse is the worth of a copy that requests wait for or run on.
+	// worthInUse is the additional worth of a copy with running or waiting requests.
 	worthInUse = 6.0
-	// worthAdapters is the worth of the last copy of a model that has adapters,
-	// since models that are adapted are asked for in many ways.
+	// worthAdapters is the additional worth of a copy of a model with adapters, which serves demand of many
+	// kinds.
 	worthAdapters = 2.0
-	// worthSpareCopy is the worth of the second copy of a busy model, were it loaded from the
-	// weight store: the loss of one replica must not take the model away.
+	// worthSpareCopy is the worth of the second copy of a busy model if it comes from the weight store. It
+	// keeps the model available if a replica is lost.
 	worthSpareCopy = 4.0
-	// worthFirstCopy and worthPerWaiting are the worth of a copy that requests wait for: in
-	// itself, and for each of them.
+	// worthFirstCopy is the worth of the first copy of a model that requests wait for, and worthPerWaiting
+	// the additional worth for each waiting request.
 	worthFirstCopy  = 3.0
 	worthPerWaiting = 1.5
-	// worthSurplus is the worth of a copy beyond the number wanted.
+	// worthSurplus is the base worth of a copy beyond the desired number.
 	worthSurplus = 0.1
 )
 
-// worthOf returns what a copy of a model is worth, in seconds that may be spent on
-// keeping it.
+// worthOf returns the worth of keeping a copy of a model, in seconds of load time.
 func (p *planner) worthOf(need *modelNeed, reload time.Duration) float64 {
 	if need.loaded > max(1, need.desired) {
 		return worthSurplus + need.perSecond/float64(need.loaded)
@@ -302,7 +295,7 @@
 	return worth
 }
 
-// relativeToStoreLoad returns a time as a share of that of a load from the weight store.
+// relativeToStoreLoad returns a time relative to the model's load time from the weight store.
 func (n *modelNeed) relativeToStoreLoad(loadTime time.Duration) float64 {
 	if n.model.StoreLoad <= 0 {
 		return 1
@@ -310,7 +303,7 @@
 	return loadTime.Seconds() / n.model.StoreLoad.Seconds()
 }
 
-// relativeLoadTime returns how long a load of the model takes, as a share of one from the store.
+// relativeLoadTime returns the model's load time relative to a load from the weight store.
 func (n *modelNeed) relativeLoadTime() float64 {
 	if n.cached && n.model.DiskLoad > 0 {
 		return n.relativeToStoreLoad(n.model.DiskLoad)
@@ -318,8 +311,8 @@
 	return 1
 }
 
-// valueOfCopy returns what one more copy of a model is worth; urgent tells whether
-// requests wait for the first.
+// valueOfCopy returns the worth of one more copy of a model; urgent means that requests wait for the first
+// copy.
 func (p *planner) valueOfCopy(need *modelNeed, urgent bool) float64 {
 	if urgent {
 		return worthFirstCopy + worthPerWaiting*float64(need.waiting) + need.perSecond*need.model.StoreLoad.Seconds()
--- a/loading/needs.go
+++ b/loading/needs.go
@@ -10,43 +10,40 @@
 	"github.com/finchspoke/finchspoke/routing"
 )
 
-// modelNeed is the demand for a model and its adapters together.
+// modelNeed is the demand for a model, adapters included, and the copies that serve it.
 type modelNeed struct {
 	model       *routing.Model
 	perSecond   float64
-	waiting     int // for the model
+	waiting     int // for the model; also for its adapters while it has no copy
 	running     int
 	lastUsed    time.Time
 	longestWait time.Duration
-	copies      int // loaded or being loaded where requests may go
+	copies      int // loaded or being loaded, on serving replicas
 	loaded      int
 	desired     int
-	unsaturated int // copies, those being loaded included, on replicas with places left
-	// adapterWaiting is how many wait for an adapter, or for the model of one.
+	unsaturated int // copies on replicas that are not saturated, pending loads included
+	// adapterWaiting is the number of requests that wait for an adapter of the model.
 	adapterWaiting int
-	cached         bool            // a replica holds or keeps the weights, or loads them
-	zones          map[string]bool // where copies are loaded or being loaded
-	holders        []*candidate
+	cached         bool            // a replica holds, is loading or has cached the weights
+	zones          map[string]bool // zones with a copy, pending loads included
+	loadedOn       []*candidate
 	cachedSources  []cachedSource
-	reservedOn     []*candidate // places whose room is kept for the model
-	chosen         []*candidate // places that this decision uses for the model, or waits for
-	comingCopies   int          // copies that this decision makes room for, or that wait for their place
+	reservedOn     []*candidate // candidates with memory reserved for the model
+	chosen         []*candidate // candidates that this decision already uses for the model
+	comingCopies   int          // copies that this decision frees memory for, or that wait for a busy candidate
 }
 
 const (
-	// maxRatePerCopy is the arrivals a second that one copy of a model is meant for at most,
-	// where places do not bound it first; reading more prompts makes pauses in streams.
+	// maxRatePerCopy is the most arrivals per second that one copy should serve, if the replica's slots are
+	// not the tighter bound. Reading many prompts stalls the running streams.
 	maxRatePerCopy = 5.0
-	// maxRunningPerCopy is the requests at once that one copy is meant for at most, likewise.
+	// maxRunningPerCopy is the most concurrent requests that one copy should serve, likewise.
 	maxRunningPerCopy = 16.0
-	// saturatedMinRate is the arrivals a second from which a model gets another copy where
-	// all replicas that hold it are crowded.
+	// saturatedMinRate is the arrival rate per second from which a model on saturated replicas gets another
+	// copy.
 	saturatedMinRate = 0.5
-	// maxRatePerSlot and maxRunningPerSlot are the same for each place of a replica, where all
-	// replicas are busy. minRatePerSlot and minRunningPerSlot are those where most places
-	// are free: copies then take what a replica takes on the mean, or popular models would
-	// crowd a tenth of the replicas beside idle ones. On scale-2 of Andina large (seed 11) the
-	// least figures earned 0.653 of worth, those of busy replicas 0.632.
+	// A copy should serve the mean load of a replica, within these bounds per slot: the upper ones in a busy
+	// fleet, the lower ones in an idle one, so that popular models spread to idle replicas.
 	maxRatePerSlot    = 0.3
 	maxRunningPerSlot = 0.6
 	minRatePerSlot    = 0.1
@@ -55,13 +52,13 @@
 	keepUsedTime = 15 * time.Second
 )
 
-// copyCapacity is what one copy of a model is meant for.
+// copyCapacity is the load that one copy of a model should serve.
 type copyCapacity struct {
 	perSecond float64 // arrivals
-	running   float64 // requests at once
+	running   float64 // concurrent requests
 }
 
-// capacityPerCopy returns what one copy is meant for on the service's replicas.
+// capacityPerCopy returns the capacity of a copy on the service's replicas.
 func (p *planner) capacityPerCopy() copyCapacity {
 	capacity := copyCapacity{perSecond: maxRatePerCopy, running: maxRunningPerCopy}
 	slots, mean := p.meanLoad()
@@ -72,8 +69,8 @@
 	return capacity
 }
 
-// meanLoad returns the most places that a replica of the service has, and what its replicas
-// that take requests carry on the mean.
+// meanLoad returns the largest number of slots of a replica of the service, and the mean load of its replicas
+// that are not draining.
 func (p *planner) meanLoad() (slots float64, mean copyCapacity) {
 	replicas := 0.0
 	for _, replica := range p.Replicas {
@@ -84,10 +81,10 @@
 			}
 		}
 	}
-	for key, demanded := range p.Demand {
+	for key, keyDemand := range p.Demand {
 		if key.Service == p.service && replicas > 0 {
-			mean.perSecond += demanded.PerSecond / replicas
-			mean.running += float64(demanded.Running) / replicas
+			mean.perSecond += keyDemand.PerSecond / replicas
+			mean.running += float64(keyDemand.Running) / replicas
 		}
 	}
 	return slots, mean
@@ -95,7 +92,7 @@
 
 func clamp(value, lower, upper float64) float64 { return min(upper, max(lower, value)) }
 
-// modelNeeds works out the needs of a service's models, the most urgent first.
+// modelNeeds computes the needs of the service's models, the most urgent first.
 func (p *planner) modelNeeds() []*modelNeed {
 	byName := make(map[string]*modelNeed, len(p.engine.Models))
 	for name, model := range p.engine.Models {
@@ -119,27 +116,27 @@
 
 // addDemand adds the demand for each model and its adapters.
 func (p *planner) addDemand(byName map[string]*modelNeed) {
-	for key, demanded := range p.Demand {
+	for key, keyDemand := range p.Demand {
 		need := byName[key.Target.Model]
 		if key.Service != p.service || need == nil {
 			continue
 		}
-		need.perSecond += demanded.PerSecond
-		need.running += demanded.Running
+		need.perSecond += keyDemand.PerSecond
+		need.running += keyDemand.Running
 		if key.Target.Adapter == "" {
-			need.waiting += demanded.Waiting
-			need.longestWait = max(need.longestWait, demanded.LongestWait)
+			need.waiting += keyDemand.Waiting
+			need.longestWait = max(need.longestWait, keyDemand.LongestWait)
 		} else {
-			need.adapterWaiting += demanded.Waiting
+			need.adapterWaiting += keyDemand.Waiting
 		}
-		if demanded.LastUsed.After(need.lastUsed) {
-			need.lastUsed = demanded.LastUsed
+		if keyDemand.LastUsed.After(need.lastUsed) {
+			need.lastUsed = keyDemand.LastUsed
 		}
 	}
 }
 
-// countCopies counts the copies of each model and returns how many replicas the
-// service has; those that leave count for nothing, nor do copies whose limit is too low.
+// countCopies counts the copies of each model and returns the number of replicas of the service. It excludes
+// draining replicas, and copies over their replica's request limit.
 func (p *planner) countCopies(byName map[string]*modelNeed) (replicas int) {
 	for _, replica := range p.Replicas {
 		if replica.Service != p.service || replica.Draining {
@@ -167,7 +164,7 @@
 	return replicas
 }
 
-// addCopy counts a copy that is loaded, or being loaded, in a zone.
+// addCopy counts a loaded or loading copy in a zone.
 func (n *modelNeed) addCopy(zone string) {
 	n.copies++
 	if n.zones == nil {
@@ -177,10 +174,10 @@
 }
 
 const (
-	// busyRate is the arrivals a second from which a model counts as busy.
+	// busyRate is the arrival rate per second from which a model counts as busy.
 	busyRate = 1.0
-	// spareCopies is the least number of copies of a busy model: the loss of one replica must
-	// not take it away.
+	// spareCopies is the least number of copies of a busy model, which keeps it available if a replica is
+	// lost.
 	spareCopies = 2
 )
 
@@ -189,14 +186,14 @@
 	return order != nil && order.Verb == Unload
 }
 
-// wanted returns how many copies a model should have.
+// desiredCopies returns how many copies a model should have.
 func (n *modelNeed) desiredCopies(now time.Time, replicas int, capacity copyCapacity) int {
 	copies := int(math.Ceil(max(n.perSecond/capacity.perSecond-copyHeadroom, float64(n.running)/capacity.running)))
 	if n.waiting > 0 && n.longestWait > unreachableAfter && n.loaded == 1 && n.copies == 1 {
-		copies = max(copies, n.copies+1) // those that are loaded do not serve
+		copies = max(copies, n.copies+1) // the loaded copy does not respond
 	}
 	if n.loaded > 0 && n.unsaturated == 0 && n.perSecond >= saturatedMinRate {
-		copies = max(copies, n.copies+1) // others use up the places where it is loaded
+		copies = max(copies, n.copies+1) // other models saturate its replicas
 	}
 	if n.waiting > 0 || (!n.lastUsed.IsZero() && now.Sub(n.lastUsed) < keepUsedTime) {
 		copies = max(copies, 1)
@@ -207,27 +204,24 @@
 	return min(copies, replicas)
 }
 
-// unreachableAfter is how long requests wait for a model that is loaded before it
-// gets another copy: its replicas cannot be reached, or reject them.
+// unreachableAfter is how long requests wait for a loaded model before it gets another copy. Its replicas are
+// then unreachable or reject the requests.
 const unreachableAfter = 1500 * time.Millisecond
 
-// headroom keeps a rate just above a whole number of copies from asking for one
-// more.
+// copyHeadroom, in copies, is how far demand may exceed the capacity before another copy is desired.
 const copyHeadroom = 0.15
 
-// urgencyHorizonSeconds is over how many seconds the requests are counted that a load
-// started now would help.
+// urgencyHorizonSeconds is the time over which future requests count towards the urgency of a load.
 const urgencyHorizonSeconds = 4.0
 
-// urgencyPerSecondWaited is how much more urgent a model becomes with each second that requests
-// wait for it, so that none is passed over for ever.
+// urgencyPerSecondWaited is added to the urgency for each second of the longest wait. It prevents starvation.
 const urgencyPerSecondWaited = 0.7
 
-// prefetchUrgency is the urgency of a copy that is loaded ahead of demand.
-const prefetchUrgency = 0.1
+// spareCopyUrgency is the base urgency of a copy that the present demand does not require.
+const spareCopyUrgency = 0.1
 
-// urgency returns about how many requests a load would help: those that wait for a
-// model without a copy, or those that come to copies which have more than enough.
+// urgency returns an estimate of how many requests a load would help: those waiting for a model without a
+// copy, or those beyond the capacity of its copies.
 func (n *modelNeed) urgency(capacity copyCapacity) float64 {
 	if n.copies == 0 && n.waiting > 0 {
 		return float64(n.waiting) + n.perSecond*urgencyHorizonSeconds + urgencyPerSecondWaited*n.longestWait.Seconds()
@@ -240,7 +234,7 @@
 	}
 	excess := n.perSecond - capacity.perSecond*float64(n.copies)
 	if excess <= 0 {
-		return prefetchUrgency * (1 + n.perSecond)
+		return spareCopyUrgency * (1 + n.perSecond)
 	}
 	return excess * urgencyHorizonSeconds
 }
--- a/loading/pace.go
+++ b/loading/pace.go
@@ -6,31 +6,27 @@
 )
 
 const (
-	// initialStoreConcurrency is how many loads from the weight store are under way together before
-	// any was seen to end.
+	// initialStoreConcurrency is the limit of concurrent loads from the weight store before any load was
+	// observed.
 	initialStoreConcurrency = 4
-	// maxInitialLoadTime bounds initialStoreConcurrency where loads are long: so many of them that each takes no
-	// longer than this if they share a store which bears one at full speed. A replica takes no
-	// other order until its load has ended, and four loads of 20 s that began together kept
-	// four replicas for up to 80 s.
+	// maxInitialLoadTime lowers initialStoreConcurrency for large models: so many loads sharing the store's
+	// bandwidth should each end within this time. A replica takes no other order until its load ends.
 	maxInitialLoadTime = 24 * time.Second
-	// fullSpeedRatio is the time that a load from the weight store takes up to which it ran at
-	// full speed, as a share of the catalogue's time.
+	// fullSpeedRatio is the ratio of observed to expected load time up to which a load ran at full speed.
 	fullSpeedRatio = 1.15
 )
 
-// ConcurrencyEstimate learns how many loads from the weight store run at full speed together from
-// how long they take. Beyond that number all take longer and no more of them end, while
-// each keeps a replica from other orders. The zero value has seen none.
+// ConcurrencyEstimate learns from load times how many loads the weight store serves concurrently at full
+// speed. More would only make each load longer. The zero value has no observations.
 type ConcurrencyEstimate struct {
-	limit    float64       // zero: none was seen to end
-	loadTime time.Duration // of the largest model alone; zero: not known
+	limit    float64       // zero: no observations
+	loadTime time.Duration // of the largest model alone; zero: unknown
 }
 
-// Expect takes in how long a load from the store takes alone.
+// SetLoadTime sets the expected duration of a single load from the store.
 func (e *ConcurrencyEstimate) SetLoadTime(loadTime time.Duration) { e.loadTime = loadTime }
 
-// AtOnce returns how many loads may be under way together.
+// Limit returns how many loads may be pending at once.
 func (e *ConcurrencyEstimate) Limit() int {
 	if e.limit == 0 && e.loadTime > 0 {
 		return max(1, min(initialStoreConcurrency, int(maxInitialLoadTime/e.loadTime)))
@@ -41,8 +37,8 @@
 	return max(1, int(math.Round(e.limit)))
 }
 
-// Ended takes in that a load which the catalogue says takes catalogue took a time, with
-// so many under way on the average, itself included.
+// Observe records the duration of a load, its expected duration at full speed, and the mean number of
+// concurrent loads including itself.
 func (e *ConcurrencyEstimate) Observe(duration, expected time.Duration, concurrency float64) {
 	if expected <= 0 {
 		return
@@ -57,20 +53,19 @@
 	}
 }
 
-// fetch is a load from the weight store under way.
+// fetch is a pending load from the weight store.
 type fetch struct {
 	Pending
-	concurrency int // loads under way when it began, itself included
+	concurrency int // pending loads when it started, itself included
 }
 
-// Fetches follows the loads from the weight store of all replicas and learns the
-// store's pace from them.
+// Fetches tracks the pending loads from the weight store and learns the store's concurrency from them.
 type Fetches struct {
 	Concurrency ConcurrencyEstimate
-	pending     map[string]fetch // by replica
+	pending     map[string]fetch // by replica ID
 }
 
-// Began takes in that a replica accepted a load from the store.
+// Start records an order that a replica accepted, if it is a load from the store.
 func (f *Fetches) Start(order Order, now time.Time) {
 	if !order.LoadsFromStore() {
 		return
@@ -81,10 +76,10 @@
 	f.pending[order.ReplicaID] = fetch{Pending: Pending{Order: order, Since: now}, concurrency: len(f.pending) + 1}
 }
 
-// Heard takes in a replica's state after its report.
+// Update ends a replica's fetch if its order is no longer pending.
 func (f *Fetches) Update(replica *Replica, now time.Time) {
-	started, known := f.pending[replica.ID]
-	if !known || replica.pending(started.Target) != nil {
+	started, found := f.pending[replica.ID]
+	if !found || replica.pending(started.Target) != nil {
 		return
 	}
 	concurrency := float64(started.concurrency+len(f.pending)) / 2
@@ -94,5 +89,5 @@
 	}
 }
 
-// Forget drops the load of a replica that is gone.
+// Forget drops the fetch of a replica that was removed or restarted.
 func (f *Fetches) Forget(replicaID string) { delete(f.pending, replicaID) }
--- a/loading/place.go
+++ b/loading/place.go
@@ -11,43 +11,40 @@
 	"github.com/finchspoke/finchspoke/fleet"
 )
 
-// place is a replica to which an order may be given, with what the choice among
-// places needs to know of it, worked out once a decision.
+// candidate is a replica that can be given orders, with what a decision computes about it once.
 type candidate struct {
 	replica     *Replica
-	freeIn      time.Duration // until it can take an order for a model; zero: it can now
-	queuedFor   time.Duration // what models that wait for the place will keep it for
-	reserved    string        // the model that its room is kept for
+	freeIn      time.Duration // time until it can take an order for a model; zero: now
+	queuedFor   time.Duration // time needed by loads that wait for this replica
+	reserved    string        // model for which its memory is reserved
 	memoryLeft  float64
-	sharingCost float64  // cost of what is in use there already, in seconds
-	victims     []victim // what may be unloaded, worth least first
-	// claim is the model that the room is kept for and that is not there yet; nil: none.
+	sharingCost float64  // cost of the models already in use there, in seconds
+	victims     []victim // models that may be evicted, the least valuable first
+	// reservation is the model for which memory is reserved and that is not loaded yet, or nil.
 	reservation *modelNeed
 }
 
-// keeper is a place that keeps the weights of a model where a load is faster than from
-// the weight store.
+// cachedSource is a candidate that has cached a model's weights and loads them from there.
 type cachedSource struct {
 	candidate *candidate
 	source
 }
 
-// source is where the weights of a load come from, and how long that takes.
+// source is where the weights of a load come from, and the time that a load takes from there.
 type source struct {
 	origin   Origin
 	loadTime time.Duration
 }
 
-// victim is a model that may be unloaded.
+// victim is a model that may be evicted.
 type victim struct {
 	name    string
-	memory  float64 // MB; infinite if the model is not declared any more
+	memory  float64 // MB; infinite if the model is no longer declared
 	worth   float64
 	running int
 }
 
-// listCandidates lists the replicas of the service that take orders, now or after those
-// under way, and notes with each model where it is loaded, kept or expected.
+// listCandidates lists the replicas of the service that are not draining, and indexes them by model.
 func (p *planner) listCandidates() {
 	p.candidates, p.candidateFor = nil, map[*Replica]*candidate{}
 	for _, replica := range p.Replicas {
@@ -72,12 +69,12 @@
 	return c
 }
 
-// indexCandidate notes a place with the models that it holds, keeps, loads or has room for, so
-// that the choice for a model looks at few places. The lists follow the order of places.
+// indexCandidate adds a candidate to the lists of the models that it holds, has cached or is reserved for.
+// The lists are in the order of the candidates.
 func (p *planner) indexCandidate(c *candidate) {
 	for name := range c.replica.Holdings {
 		if need := p.byName[name]; need != nil {
-			need.holders, need.cached = append(need.holders, c), true
+			need.loadedOn, need.cached = append(need.loadedOn, c), true
 		}
 	}
 	for _, name := range c.replica.InMemory {
@@ -96,8 +93,8 @@
 	}
 }
 
-// indexCachedWeights notes that a place keeps a model's weights. What is noted first is the
-// faster source.
+// indexCachedWeights records that a candidate has cached a model's weights. The faster source must come
+// first.
 func (p *planner) indexCachedWeights(c *candidate, name string, origin Origin) {
 	need := p.byName[name]
 	if need == nil {
@@ -108,13 +105,13 @@
 	if origin == FromMemory {
 		loadTime = need.model.MemoryLoad
 	}
-	known := len(need.cachedSources) > 0 && need.cachedSources[len(need.cachedSources)-1].candidate == c
-	if loadTime > 0 && !known {
+	hasFaster := len(need.cachedSources) > 0 && need.cachedSources[len(need.cachedSources)-1].candidate == c
+	if loadTime > 0 && !hasFaster {
 		need.cachedSources = append(need.cachedSources, cachedSource{c, source{origin, loadTime}})
 	}
 }
 
-// sourceOn returns where a model would be loaded from on a place.
+// sourceOn returns the source of a load of the model on a candidate.
 func (n *modelNeed) sourceOn(c *candidate) source {
 	for _, cached := range n.cachedSources {
 		if cached.candidate == c {
@@ -124,19 +121,19 @@
 	return n.fromStore()
 }
 
-// fromStore is the source of weights that a place does not keep.
+// fromStore returns the source of weights that are not cached.
 func (n *modelNeed) fromStore() source { return source{FromStore, n.model.StoreLoad} }
 
-// order takes in that an order was given.
-func (c *candidate) order(takes time.Duration) { c.freeIn += max(minBusyTime, takes) }
+// order accounts for an order given to the candidate.
+func (c *candidate) order(duration time.Duration) { c.freeIn += max(minBusyTime, duration) }
 
-// queue takes in that a model waits for the place.
-func (c *candidate) addQueuedTime(takes time.Duration) { c.queuedFor += max(minBusyTime, takes) }
+// addQueuedTime accounts for a load that waits for the candidate.
+func (c *candidate) addQueuedTime(duration time.Duration) { c.queuedFor += max(minBusyTime, duration) }
 
-// busyFor returns when a model that has no claim on the place could be loaded there.
+// busyFor returns the time until a model without a reservation could be loaded on the candidate.
 func (c *candidate) busyFor() time.Duration { return c.freeIn + c.queuedFor }
 
-// sharingCostOf returns what it costs that a replica has other models in use.
+// sharingCostOf returns the cost, in seconds, of sharing a replica with the models in use there.
 func (p *planner) sharingCostOf(replica *Replica) float64 {
 	cost := costFullReplica * replica.utilization()
 	for model := range replica.Holdings {
@@ -152,9 +149,8 @@
 	return cost
 }
 
-// victimsOn lists the models on a place that may be unloaded, worth least first. One that
-// was just loaded stays as long as loading it again would take, so that no replica is busy
-// with loads alone.
+// victimsOf lists the models that may be evicted, the least valuable first. A model stays for at least its
+// own load time, so that a replica is not always loading.
 func (p *planner) victimsOf(c *candidate) []victim {
 	replica := c.replica
 	victims := make([]victim, 0, len(replica.Holdings))
@@ -164,7 +160,7 @@
 			continue
 		}
 		if need == nil {
-			victims = append(victims, victim{name: name, memory: math.Inf(1)}) // not declared any more: it goes first
+			victims = append(victims, victim{name: name, memory: math.Inf(1)}) // no longer declared: evict it first
 			continue
 		}
 		reload := c.reloadTime(need)
@@ -180,7 +176,7 @@
 	return victims
 }
 
-// reloadTime returns how long it takes to load a model again that is on the place now.
+// reloadTime returns how long it would take to load an evicted model again.
 func (c *candidate) reloadTime(need *modelNeed) time.Duration {
 	if need.model.DiskLoad > 0 && slices.Contains(c.replica.OnDisk, need.model.Name) {
 		return need.model.DiskLoad
@@ -188,26 +184,25 @@
 	return need.model.StoreLoad
 }
 
-// evict picks the models that are worth least and whose unloading frees enough
-// memory; enough is false if none do.
-func (c *candidate) chooseVictims(missing float64) (victims []victim, enough bool) {
+// chooseVictims returns the least valuable models whose eviction frees enough memory, and whether it can be
+// freed.
+func (c *candidate) chooseVictims(missingMB float64) (victims []victim, enough bool) {
 	for index, v := range c.victims {
-		// One that alone frees enough is better than several.
-		if v.memory >= missing {
+		// Prefer one model that suffices alone over several.
+		if v.memory >= missingMB {
 			return c.victims[index : index+1], true
 		}
 	}
 	freed := 0.0
 	for index, v := range c.victims {
-		if freed += v.memory; freed >= missing {
+		if freed += v.memory; freed >= missingMB {
 			return c.victims[:index+1], true
 		}
 	}
 	return nil, false
 }
 
-// countAdapters counts the copies of each adapter of the service, loaded or being
-// loaded where requests may go.
+// countAdapters counts the copies of the service's adapters, loaded or being loaded, on serving replicas.
 func (p *planner) countAdapters() map[fleet.Target]int {
 	copies := map[fleet.Target]int{}
 	for _, replica := range p.Replicas {
--- a/loading/search_test.go
+++ b/loading/search_test.go
@@ -25,7 +25,7 @@
 const drawnModels = 7
 
 func drawName(t *rapid.T, label string) string {
-	return fmt.Sprintf("m%d", rapid.IntRange(0, drawnModels).Draw(t, label)) // the last is not declared
+	return fmt.Sprintf("m%d", rapid.IntRange(0, drawnModels).Draw(t, label)) // the last one is not declared
 }
 
 func drawNames(t *rapid.T, maxCount int, label string) []string {
@@ -68,24 +68,24 @@
 	return engine
 }
 
-// drawPlanner returns a planner as it stands when it begins to give orders.
+// drawPlanner returns a planner that is ready to choose orders.
 func drawPlanner(t *rapid.T) *planner {
 	engine := drawEngine(t)
-	asked := map[demand.Key]Demand{}
+	demands := map[demand.Key]Demand{}
 	for rank := range drawnModels {
-		asked[key(fmt.Sprintf("m%d", rank), "")] = Demand{PerSecond: float64(rapid.IntRange(0, 6).Draw(t, "rate")), Waiting: rapid.IntRange(0, 2).Draw(t, "waiting"), LastUsed: startTime}
+		demands[key(fmt.Sprintf("m%d", rank), "")] = Demand{PerSecond: float64(rapid.IntRange(0, 6).Draw(t, "rate")), Waiting: rapid.IntRange(0, 2).Draw(t, "waiting"), LastUsed: startTime}
 	}
 	var replicas []*Replica
 	for number := range rapid.IntRange(1, 8).Draw(t, "replicas") {
 		replicas = append(replicas, drawReplica(t, number))
 	}
-	made := &planner{Snapshot: snapshot(asked, replicas...), service: "press", engine: engine}
-	made.Now = startTime.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "now")) * second / 2)
-	made.prepare()
-	return made
+	p := &planner{Snapshot: snapshot(demands, replicas...), service: "press", engine: engine}
+	p.Now = startTime.Add(time.Duration(rapid.IntRange(0, 3).Draw(t, "now")) * second / 2)
+	p.prepare()
+	return p
 }
 
-// referenceSource looks a model's weights up on the replica itself.
+// referenceSource finds the source of a model's weights from the replica's state.
 func referenceSource(c *candidate, need *modelNeed) source {
 	switch model := need.model; {
 	case slices.Contains(c.replica.InMemory, model.Name) && model.MemoryLoad > 0:
@@ -96,26 +96,26 @@
 	return need.fromStore()
 }
 
-// referenceBestPlacement looks at every place and leaves nothing out for its cost.
+// referenceBestPlacement compares all candidates without pruning.
 func referenceBestPlacement(p *planner, need *modelNeed, maxEvictionWorth float64, fromStore bool) (best placement, found bool) {
 	for _, candidate := range p.candidates {
 		from := referenceSource(candidate, need)
 		if _, held := candidate.replica.Holdings[need.model.Name]; held || from.origin == FromStore && !fromStore {
 			continue
 		}
-		made, possible := placementOn(candidate, need, maxEvictionWorth, from)
-		if possible && candidate.reserved == need.model.Name && len(made.victims) == 0 {
-			made.mustWait = candidate.freeIn > 0
-			return made, true
+		option, possible := placementOn(candidate, need, maxEvictionWorth, from)
+		if possible && candidate.reserved == need.model.Name && len(option.victims) == 0 {
+			option.mustWait = candidate.freeIn > 0
+			return option, true
 		}
-		if possible && (!found || made.cost < best.cost) {
-			best, found = made, true
+		if possible && (!found || option.cost < best.cost) {
+			best, found = option, true
 		}
 	}
 	return best, found
 }
 
-// The choice of a place leaves out what cannot be best, and nothing else.
+// Pruning must not change the result of the search.
 func TestPrunedSearchMatchesTheFullSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		planner := drawPlanner(t)
@@ -131,18 +131,18 @@
 	})
 }
 
-// The lists by model name the same places as the replicas do.
+// The lists by model must contain the same candidates as a scan of the replicas.
 func TestModelIndexMatchesTheReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		planner := drawPlanner(t)
 		for _, need := range planner.models {
 			name := need.model.Name
-			var holders, reservedOn []*candidate
+			var loadedOn, reservedOn []*candidate
 			cached, elsewhere := false, false
 			for _, c := range planner.candidates {
 				_, held := c.replica.Holdings[name]
 				if held {
-					holders = append(holders, c)
+					loadedOn = append(loadedOn, c)
 				}
 				if c.reserved == name {
 					reservedOn = append(reservedOn, c)
@@ -152,7 +152,7 @@
 				elsewhere = elsewhere || !held && referenceSource(c, need).origin != FromStore
 				require.Equal(t, referenceSource(c, need), need.sourceOn(c))
 			}
-			require.Equal(t, holders, need.holders)
+			require.Equal(t, loadedOn, need.loadedOn)
 			require.Equal(t, reservedOn, need.reservedOn)
 			require.Equal(t, cached, need.cached)
 			require.Equal(t, elsewhere, need.cachedElsewhere())
@@ -160,16 +160,16 @@
 	})
 }
 
-// A place that is left out for its least cost must not cost less.
+// Pruning is only valid if minCost never exceeds the actual cost.
 func TestMinCostIsALowerBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		planner := drawPlanner(t)
 		for _, need := range planner.models {
 			for _, c := range planner.candidates {
 				from := referenceSource(c, need)
-				made, possible := placementOn(c, need, float64(rapid.IntRange(0, 20).Draw(t, "value")), from)
+				option, possible := placementOn(c, need, float64(rapid.IntRange(0, 20).Draw(t, "value")), from)
 				if possible {
-					require.LessOrEqual(t, c.minCost(need, from), made.cost)
+					require.LessOrEqual(t, c.minCost(need, from), option.cost)
 				}
 			}
 		}
--- a/loading/state.go
+++ b/loading/state.go
@@ -8,46 +8,45 @@
 	"github.com/finchspoke/finchspoke/fleet"
 )
 
-// Report is a replica's own word on itself, as it stood a moment earlier.
+// Report is a replica's report of its own state, which may lag behind its responses to orders.
 type Report struct {
-	Born            int64 // Unix ms of its start; zero if it does not say
+	Born            int64 // start time in Unix ms; zero if not given
 	Sequence        int64
 	Busy            bool // a model is being loaded or unloaded
 	Holdings        fleet.Holdings
-	LoadingAdapters []fleet.Target // adapters on their way
+	LoadingAdapters []fleet.Target // adapters being loaded
 	InMemory        []string
 	OnDisk          []string
 }
 
 const (
-	// settleTime is how long an order that left no trace in a report is believed to
-	// be under way.
+	// unconfirmedOrderTTL is how long an accepted order that no report reflects still counts as pending.
 	unconfirmedOrderTTL = 600 * time.Millisecond
-	// refusalBackoff keeps orders back after a replica refused one.
+	// refusalBackoff defers orders after a refusal.
 	refusalBackoff = 150 * time.Millisecond
 )
 
-// Took takes in that the replica accepted an order.
+// MarkAccepted records that the replica accepted an order.
 func (r *Replica) MarkAccepted(order Order, now time.Time) {
 	r.completeUnloads(now)
 	r.Sequence = order.Sequence + 1
-	r.Pending = slices.DeleteFunc(r.Pending, func(one Pending) bool { return one.sameAs(order) })
+	r.Pending = slices.DeleteFunc(r.Pending, func(pending Pending) bool { return pending.sameAs(order) })
 	r.Pending = append(r.Pending, Pending{Order: order, Since: now})
 	r.reserveRoom(order, now)
 }
 
-// WithPendingCall returns the replica as it may be once a call on its way has been
-// answered: the order counts as under way, and no other can be given.
+// WithPendingCall returns a copy of the replica's state for the time of a call: the order counts as pending,
+// and no other order can be given.
 func (r *Replica) WithPendingCall(order *Order, now, blockedUntil time.Time) *Replica {
-	pending := *r
-	pending.BlockedUntil = blockedUntil
+	clone := *r
+	clone.BlockedUntil = blockedUntil
 	if order != nil {
-		pending.Pending = append(slices.Clone(r.Pending), Pending{Order: *order, Since: now})
+		clone.Pending = append(slices.Clone(r.Pending), Pending{Order: *order, Since: now})
 	}
-	return &pending
+	return &clone
 }
 
-// promise notes for which model room is made, or that it was used.
+// reserveRoom records a reservation of memory by an unload, or its use by a load.
 func (r *Replica) reserveRoom(order Order, now time.Time) {
 	if order.RoomFor != "" {
 		r.ReservedFor, r.ReservedUntil = order.RoomFor, now.Add(roomReservationTime)
@@ -56,11 +55,11 @@
 	}
 }
 
-// roomReservationTime is how long room that was made for a model is kept for it.
+// roomReservationTime is how long freed memory stays reserved for a model.
 const roomReservationTime = 3 * time.Second
 
-// Did takes in that the replica answered that an order needs nothing more: what is
-// to be loaded is there, or an adapter was unloaded at once.
+// MarkDone records the response that an order requires nothing more: the target of a load is loaded, or an
+// adapter was unloaded at once.
 func (r *Replica) MarkDone(order Order, now time.Time) {
 	if order.Verb == Unload {
 		r.Sequence = order.Sequence + 1
@@ -73,25 +72,25 @@
 	r.applyOrder(order)
 }
 
-// Doubt takes in that an order was refused or got no answer, so that the replica's
-// own word must be heard before the next.
+// MarkUnverified records that an order was refused or got no response; a report is needed before the next
+// order.
 func (r *Replica) MarkUnverified(now time.Time) {
 	r.Verified, r.Assumed = false, false
 	r.BlockedUntil = now.Add(refusalBackoff)
 }
 
-// Lost takes in that the address belongs to another replica, or that nothing listens
-// there: the registry will say so.
+// MarkUnreachable records that nothing listens at the replica's address, or that another replica does. The
+// registry is expected to change accordingly.
 func (r *Replica) MarkUnreachable(now time.Time) {
 	r.Verified, r.Assumed = false, false
 	r.BlockedUntil = now.Add(unreachableBackoff)
 }
 
-// unreachableBackoff keeps orders and questions back from a replica that is not there.
+// unreachableBackoff defers orders and reports after a replica was unreachable.
 const unreachableBackoff = 1500 * time.Millisecond
 
-// Restarted takes in that the replica has started again under its id, at a moment by its own clock: it is
-// empty, knows no order, and its own word must be heard before the next.
+// MarkRestarted records that the replica has restarted under the same ID. Nothing is loaded, it has taken no
+// order, and a report is needed before the next order.
 func (r *Replica) MarkRestarted(startedUnixMs int64) {
 	if r.Born != 0 {
 		r.Verified, r.Assumed = false, false
@@ -101,11 +100,11 @@
 	r.Born = startedUnixMs
 }
 
-// Hear takes in a replica's report and tells whether it changed what is known.
+// ApplyReport applies a replica's report and returns whether the known state changed.
 func (r *Replica) ApplyReport(report Report, now time.Time) bool {
 	switch {
 	case report.Born != 0 && report.Born < r.Born:
-		return false // of an earlier incarnation
+		return false // from an earlier incarnation
 	case report.Born > r.Born:
 		r.MarkRestarted(report.Born)
 	case report.Sequence < r.Sequence && r.Verified:
@@ -119,14 +118,14 @@
 	changed = changed || !slices.Equal(r.InMemory, report.InMemory) || !slices.Equal(r.OnDisk, report.OnDisk)
 	r.InMemory, r.OnDisk = report.InMemory, report.OnDisk
 	if report.Sequence != r.Sequence {
-		// Others gave orders, or one of ours was carried out late.
+		// The replica took orders from others, or an order of this leader late.
 		r.Pending = nil
 	}
 	changed = r.replaceHoldings(report.Holdings, now) || changed
 	r.Sequence = report.Sequence
 	before := len(r.Pending)
 	r.Pending = slices.DeleteFunc(r.Pending, func(order Pending) bool { return r.orderEnded(order, report, now) })
-	// A load that is not known is charged by giving no order until it has ended.
+	// If an unknown load is in progress, give no order until it has ended.
 	r.Verified = !report.Busy || r.busy()
 	for _, adapter := range report.LoadingAdapters {
 		if r.pending(adapter) == nil {
@@ -136,7 +135,7 @@
 	return changed || before != len(r.Pending)
 }
 
-// adopt replaces the holdings and notes when models came.
+// replaceHoldings replaces the holdings and records when models appeared.
 func (r *Replica) replaceHoldings(holdings fleet.Holdings, now time.Time) bool {
 	if r.LoadedAt == nil {
 		r.LoadedAt = map[string]time.Time{}
@@ -156,7 +155,7 @@
 	return changed
 }
 
-// ended tells whether a report shows that an order is no longer under way.
+// orderEnded reports whether, according to a report, an order is no longer pending.
 func (r *Replica) orderEnded(order Pending, report Report, now time.Time) bool {
 	done := report.Holdings.Has(order.Target) == (order.Verb == Load)
 	switch {
@@ -168,7 +167,7 @@
 	return !slices.Contains(report.LoadingAdapters, order.Target) && now.Sub(order.Since) > unconfirmedOrderTTL
 }
 
-// apply changes the holdings as an order that was carried out does.
+// applyOrder changes the holdings as a finished order does.
 func (r *Replica) applyOrder(order Order) {
 	holdings := maps.Clone(r.Holdings)
 	if holdings == nil {
@@ -184,13 +183,13 @@
 		delete(holdings, model)
 	case order.Verb == Unload:
 		if adapters, held := holdings[model]; held {
-			holdings[model] = slices.DeleteFunc(slices.Clone(adapters), func(one string) bool { return one == adapter })
+			holdings[model] = slices.DeleteFunc(slices.Clone(adapters), func(name string) bool { return name == adapter })
 		}
 	}
 	r.Holdings = holdings
 }
 
-// NextCheck returns when the replica's report should be read next; zero: not needed.
+// NextCheck returns when to check on the replica next, by a probe or a report; zero: not needed.
 func (r *Replica) NextCheck(now time.Time) time.Time {
 	if r.Assumed {
 		return time.Time{}
@@ -206,7 +205,7 @@
 		case order.Verb == Load && order.Probes < maxProbes:
 			at = order.probeAt()
 		case order.Verb == Unload && order.Probes == 0:
-			at = at.Add(unloadReportDelay) // the next order tells
+			at = at.Add(unloadReportDelay) // the response to the next order may show it earlier
 		}
 		if next.IsZero() || at.Before(next) {
 			next = at
@@ -215,19 +214,18 @@
 	return next
 }
 
-// StoreWindow limits the loads from the weight store that begin within a window of
-// time, over all replicas.
+// StoreWindow bounds the loads from the weight store, over all replicas, that start within a sliding window.
 type StoreWindow struct {
 	Length time.Duration
 	Max    int
 	starts []time.Time
 }
 
-// Allowed returns how many loads may begin now.
+// Allowed returns how many loads may start now.
 func (w *StoreWindow) Allowed(now time.Time) int {
 	w.starts = slices.DeleteFunc(w.starts, func(start time.Time) bool { return now.Sub(start) > w.Length })
 	return max(0, w.Max-len(w.starts))
 }
 
-// Began counts a load.
+// RecordStart counts a load that starts now.
 func (w *StoreWindow) RecordStart(now time.Time) { w.starts = append(w.starts, now) }
