--- a/demand/demand.go
+++ b/demand/demand.go
@@ -1,5 +1,5 @@
-// Package demand counts what a daemon's callers ask for, by what has to be loaded
-// for it. The counts are what loads are decided from.
+// Package demand counts a daemon's requests by the model or adapter that they need. Load decisions are based
+// on these counts.
 package demand
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/finchspoke/finchspoke/fleet"
 )
 
-// Key names what is asked for.
+// Key is a service and the model or adapter that a request needs.
 type Key struct {
 	Service string
 	Target  fleet.Target
@@ -18,10 +18,10 @@
 // Count is the demand for a key at one daemon.
 type Count struct {
 	Arrivals uint64 // since the daemon started
-	Waiting  int    // for the target to be loaded
+	Waiting  int    // requests waiting for the target to be loaded
 	Running  int
-	// WaitingSince is when the first of those that wait now, or one before it without
-	// a gap, began to wait; zero if none waits.
+	// WaitingSince is the start of the current period in which at least one request has been waiting; zero if
+	// none is waiting.
 	WaitingSince time.Time
 }
 
@@ -32,7 +32,7 @@
 	urgent chan struct{}
 }
 
-// NewTracker returns a tracker without demand.
+// NewTracker returns a tracker with no demand.
 func NewTracker() *Tracker {
 	return &Tracker{counts: map[Key]*Count{}, urgent: make(chan struct{}, 1)}
 }
@@ -40,10 +40,10 @@
 // Urgent returns a channel that holds an element after a request began to wait.
 func (t *Tracker) Urgent() <-chan struct{} { return t.urgent }
 
-// Arrive counts a new request.
+// RecordArrival counts a new request.
 func (t *Tracker) RecordArrival(key Key) { t.change(key, func(count *Count) { count.Arrivals++ }) }
 
-// Wait counts a request that waits for its target; the function returned ends it.
+// BeginWait counts a request that waits for its target; the returned function ends the wait.
 func (t *Tracker) BeginWait(key Key, now time.Time) func() {
 	t.change(key, func(count *Count) {
 		if count.Waiting++; count.Waiting == 1 {
@@ -63,7 +63,7 @@
 	}
 }
 
-// Run counts a request that runs; the function returned ends it.
+// BeginRun counts a running request; the returned function ends it.
 func (t *Tracker) BeginRun(key Key) func() {
 	t.change(key, func(count *Count) { count.Running++ })
 	return func() { t.change(key, func(count *Count) { count.Running-- }) }
--- a/estimate/estimate.go
+++ b/estimate/estimate.go
@@ -1,4 +1,4 @@
-// Package estimate learns how long something usually takes.
+// Package estimate estimates durations from samples.
 package estimate
 
 import (
@@ -12,13 +12,14 @@
 	deviationWeight = 1.0 / 4
 )
 
-// Moving is a moving mean of times with their mean deviation. The zero value has seen none.
+// Duration is an exponentially weighted mean of durations and of their deviation. The zero value has no
+// samples.
 type Duration struct {
 	hasSamples      bool
 	mean, deviation float64 // seconds
 }
 
-// Add takes in a time.
+// Add adds a sample.
 func (d *Duration) Add(sample time.Duration) {
 	seconds := sample.Seconds()
 	if !d.hasSamples {
@@ -29,7 +30,7 @@
 	d.mean += meanWeight * (seconds - d.mean)
 }
 
-// Bound returns the mean and so many mean deviations; zero if no time was seen.
+// UpperBound returns the mean plus a number of mean deviations; zero if there are no samples.
 func (d *Duration) UpperBound(deviations float64) time.Duration {
 	return time.Duration((d.mean + deviations*d.deviation) * float64(time.Second))
 }
