--- a/loader/orders.go
+++ b/loader/orders.go
@@ -34,7 +34,7 @@
 }
 
 // responseHandler applies a replica's response to an order. The caller holds the mutex.
-type responseHandler func(state *loading.Replica, order loading.Order, answer OrderResponse, err error, now time.Time)
+type responseHandler func(state *loading.Replica, order loading.Order, response OrderResponse, err error, now time.Time)
 
 // sendOrder sends an order in the background and passes the response to handle, which runs under the mutex.
 func (l *Leader) sendOrder(ctx context.Context, entry fleet.Entry, order loading.Order, fence int64, handle responseHandler) {
@@ -46,7 +46,7 @@
 	}()
 }
 
-// handleResponse passes a response to its handler, unless the term has ended since.
+// handleResponse passes a response to its handler, unless the term has ended since, and logs it.
 func (l *Leader) handleResponse(order loading.Order, fence int64, response OrderResponse, err error, handle responseHandler) {
 	now := time.Now()
 	l.mutex.Lock()
@@ -61,7 +61,7 @@
 	l.mutex.Unlock()
 	l.logOrder(order, fence, response, err)
 	if err == nil && response == Fenced {
-		l.Election.Deposed("a replica has seen a higher fence")
+		l.Election.Deposed("a replica has received a higher fencing token")
 	}
 	l.Wake()
 }
--- a/loader/running.go
+++ b/loader/running.go
@@ -47,8 +47,8 @@
 	return updateSent(r.sent, r.total, func(replica string) int { return max(minRunningStep, slots(replica)/runningStepsPerReplica) })
 }
 
-// updateSent copies to sent each count that changed by at least a step or to none, and returns the replicas
-// concerned.
+// updateSent copies to sent each count that changed by at least a step or became zero, and returns the
+// replicas concerned.
 func updateSent(sent, current map[string]uint32, step func(replica string) int) []string {
 	var changed []string
 	for replica := range sent {
