--- a/loader/attach_test.go
+++ b/loader/attach_test.go
@@ -32,8 +32,8 @@
 		now = now.Add(time.Second)
 		leader.refreshRunning(now)
 		sent = map[string]uint32{}
-		for _, one := range leader.view(before, now).GetRunning() {
-			sent[one.GetReplicaId()] = one.GetRequests()
+		for _, message := range leader.view(before, now).GetRunning() {
+			sent[message.GetReplicaId()] = message.GetRequests()
 		}
 		return sent
 	}
--- a/loader/holder.go
+++ b/loader/holder.go
@@ -305,8 +305,8 @@
 	return l.Limits.FencesChecked && now.Sub(l.started) < time.Duration(freshShareOfTermGap*float64(l.Limits.TermGap))
 }
 
-// ObserveOrder records that another leader was active just now; a later leader must keep the term gap from
-// that time.
+// ObserveOrder records that a leader may have given orders just now; a later leader must keep the term gap
+// from that time.
 func (l *Leader) ObserveOrder(now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/loader/touches.go
+++ b/loader/touches.go
@@ -14,7 +14,7 @@
 	version uint64
 }
 
-// maxStaleEntries is the number of outdated entries that the log may hold beyond the number of replicas.
+// maxStaleEntries is how many outdated entries the log may hold beyond one per replica.
 const maxStaleEntries = 256
 
 func newChangeLog() *changeLog { return &changeLog{versions: map[string]uint64{}} }
--- a/loader/turns_test.go
+++ b/loader/turns_test.go
@@ -22,8 +22,8 @@
 func (b *reservationBook) BeginTerm() { b.terms++ }
 
 func (b *reservationBook) TryReserve(request permit.Ask) (bool, time.Duration) {
-	answer := b.book.Ask(request, 1, b.now)
-	return answer.Granted, answer.RetryIn
+	decision := b.book.Ask(request, 1, b.now)
+	return decision.Granted, decision.RetryIn
 }
 
 // Orders and probes count towards a replica's request limit.
--- a/loading/loading.go
+++ b/loading/loading.go
@@ -1,8 +1,6 @@
-// Package loading decides which models and adapters to load on which replicas, where replicas take orders one
-// at a time. A decision is a pure function of a snapshot; it does no I/O and reads no clock.
-//
-// Every order states the number of orders that its replica has taken, so a late one has no effect. Pending
-// orders are charged to the replica's memory and slots until it reports otherwise.
+// Package loading decides which models and adapters replicas should load, as a pure function of a snapshot.
+// Replicas take one order at a time. An order states how many orders its replica has taken before, so a late
+// one has no effect; until the replica reports its outcome, it is charged to the replica's memory and slots.
 package loading
 
 import (
