--- a/core/finish.go
+++ b/core/finish.go
@@ -48,9 +48,9 @@
 
 // StopTimes bound what a stopping daemon takes.
 type StopTimes struct {
-	// TakeUntil is when callers have had the time to go elsewhere: what they send later, on
+	// AcceptUntil is when callers have had the time to go elsewhere: what they send later, on
 	// connections that they kept, is refused.
-	TakeUntil time.Time
+	AcceptUntil time.Time
 	// EndBy is when calls must have ended.
 	EndBy time.Time
 }
@@ -62,7 +62,7 @@
 	if stop == nil {
 		return true
 	}
-	return now.Before(stop.TakeUntil) && !now.Add(c.times.usual(call.Route.Name)).After(stop.EndBy)
+	return now.Before(stop.AcceptUntil) && !now.Add(c.times.usual(call.Route.Name)).After(stop.EndBy)
 }
 
 // stopRefusal refuses a call that the daemon could not finish before it ends: it would be cut,
--- a/election/election.go
+++ b/election/election.go
@@ -44,8 +44,8 @@
 // may have held the term.
 func (h Leader) cameBack() bool { return h.Era != nil && *h.Era < kv.EraOf(h.Fence) }
 
-// ParseHolder reads a holder's record.
-func ParseHolder(pair kv.Pair) (Leader, error) {
+// ParseLeader reads a holder's record.
+func ParseLeader(pair kv.Pair) (Leader, error) {
 	var holder Leader
 	if err := json.Unmarshal(pair.Value, &holder); err != nil {
 		return Leader{}, errors.Wrap(err, "read the record of the order holder")
@@ -55,20 +55,20 @@
 }
 
 // Standing is how sure a daemon is of its term.
-type Standing uint8
+type TermStatus uint8
 
 // The standings.
 const (
 	// None means that the daemon holds no term.
-	None Standing = iota
+	NoTerm TermStatus = iota
 	// Unsure means that the lease may be over: it was not renewed in time, and the
 	// service was not asked lately.
-	Unsure
+	TermUncertain
 	// Blind means that the lease was not renewed in time because the service does
 	// not answer.
-	Blind
+	TermStoreUnreachable
 	// Sure means that the lease holds.
-	Sure
+	TermValid
 )
 
 // Config is what an election needs.
@@ -82,9 +82,9 @@
 	HasLeaderHistory func() bool
 	// Delay is how much later than others this daemon campaigns: one on a weak machine
 	// leaves the term to those on strong ones. Nil: none.
-	Delay func() time.Duration
+	CampaignDelay func() time.Duration
 	// Written is called after this daemon has written the record; nil: nothing is.
-	Written func()
+	OnWritten func()
 	// Now is the clock of leases; nil: time.Now.
 	Now func() time.Time
 }
@@ -142,14 +142,14 @@
 
 // Listen calls listener, one call at a time, whenever the holder's record changes;
 // an empty holder means that nobody holds the term.
-func (e *Election) Listen(listener func(Leader)) { e.onHolder = append(e.onHolder, listener) }
+func (e *Election) AddListener(listener func(Leader)) { e.onHolder = append(e.onHolder, listener) }
 
 // Observe takes in a change of the record, as the mirror of the service's records
 // sees it.
 func (e *Election) Observe(event kv.Event) {
 	holder := Leader{}
 	if !event.Deleted {
-		parsed, err := ParseHolder(event.Pair)
+		parsed, err := ParseLeader(event.Pair)
 		if err != nil {
 			e.log.WithError(err).Warn("a record is not used")
 			return
@@ -213,7 +213,7 @@
 }
 
 // Vacate takes in that no record was found when the service's records of a revision were read.
-func (e *Election) Vacate(revision int64) {
+func (e *Election) ObserveAbsent(revision int64) {
 	e.mutex.Lock()
 	switch {
 	case e.term.Nonce != "" && isRestored(e.term.Fence, revision):
@@ -241,31 +241,31 @@
 }
 
 // Term returns the fence of this daemon's term and how sure it is.
-func (e *Election) Term() (fence int64, standing Standing) {
+func (e *Election) Term() (fence int64, standing TermStatus) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.term.Nonce == "" || e.resigned || e.yielding {
-		return 0, None
+		return 0, NoTerm
 	}
 	now := e.now()
 	switch {
 	case now.Sub(e.renewed) < time.Duration(sureShare*float64(e.TTL)):
-		return e.term.Fence, Sure
+		return e.term.Fence, TermValid
 	case now.Sub(e.attempted) < time.Duration(blindShare*float64(e.TTL)):
-		return e.term.Fence, Blind
+		return e.term.Fence, TermStoreUnreachable
 	}
-	return e.term.Fence, Unsure
+	return e.term.Fence, TermUncertain
 }
 
-// HolderAddress returns the address of the holder that is known; empty: none.
-func (e *Election) HolderAddress() string {
+// LeaderAddress returns the address of the holder that is known; empty: none.
+func (e *Election) LeaderAddress() string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.current.Address
 }
 
 // Deposed ends the term because someone with a higher fence was seen.
-func (e *Election) Deposed(reason string) {
+func (e *Election) StepDown(reason string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.term.Nonce != "" {
@@ -326,10 +326,10 @@
 }
 
 func (e *Election) delay() time.Duration {
-	if e.Delay == nil {
+	if e.CampaignDelay == nil {
 		return 0
 	}
-	return e.Delay()
+	return e.CampaignDelay()
 }
 
 // uninformedDelay is how much later a daemon campaigns that knows of no holder.
--- a/loader/directories_test.go
+++ b/loader/directories_test.go
@@ -183,7 +183,7 @@
 	log := discardLog()
 	campaign := electedLeader(t, log)
 	table, err := routing.NewTable(routing.Revision{Version: 1, Services: []*routing.Service{{Name: "press", Engine: &routing.Engine{
-		MemoryMB: 200, LoadsPerSecond: 4, Models: map[string]*routing.Model{"m1": {Name: "m1", MemoryMB: 90, StoreLoad: 4 * time.Second}, "m2": {Name: "m2", MemoryMB: 90, StoreLoad: 4 * time.Second}},
+		MemoryMB: 200, LoadsPerSecond: 4, Models: map[string]*routing.Model{"m1": {Name: "m1", MemoryMB: 90, StoreLoadTime: 4 * time.Second}, "m2": {Name: "m2", MemoryMB: 90, StoreLoadTime: 4 * time.Second}},
 	}}}})
 	require.NoError(t, err)
 	routes := &routing.Store{}
--- a/loader/follower.go
+++ b/loader/follower.go
@@ -235,7 +235,7 @@
 			f.SetDirectories(directories.GetServe(), directories.GetAddresses())
 		}
 		for _, leaving := range incarnationsOf(view.GetLeaving()) {
-			f.Fleet.TellLeaving(leaving, now)
+			f.Fleet.ApplyRelayedDraining(leaving, now)
 		}
 		f.applyLimits(view.GetLimits(), sent, now)
 		for _, entry := range view.GetReplicas() {
@@ -243,7 +243,7 @@
 		}
 		for _, entry := range view.GetRunning() {
 			own := sent.runningOn(entry.GetReplicaId())
-			f.Fleet.Others(entry.GetReplicaId(), int(entry.GetRequests())-int(own), now)
+			f.Fleet.SetRemoteInflight(entry.GetReplicaId(), int(entry.GetRequests())-int(own), now)
 		}
 	}
 }
@@ -259,7 +259,7 @@
 	for _, load := range loads.GetLoading() {
 		readyAt[fleet.Target{Model: load.GetModel(), Adapter: load.GetAdapter()}] = now.Add(time.Duration(load.GetReadyInMs()) * time.Millisecond)
 	}
-	f.Fleet.Confirm(loads.GetReplicaId(), fleet.Confirmation{
+	f.Fleet.ApplyLeaderRecord(loads.GetReplicaId(), fleet.LeaderRecord{
 		Born: loads.GetBornUnixMs(), Fence: fence, Sequence: loads.GetSequence(), Holdings: holdings, Loading: readyAt,
 		InMemory: loads.GetInMemory(), OnDisk: loads.GetOnDisk(),
 	}, now)
--- a/loader/handover_test.go
+++ b/loader/handover_test.go
@@ -67,7 +67,7 @@
 		leader.Prepare()
 		lastOrder := time.Now()
 		leader.ObserveOrder(lastOrder)
-		campaign.Vacate(0)
+		campaign.ObserveAbsent(0)
 		go func() { _ = campaign.Serve(t.Context()) }()
 		time.Sleep(termGap / 3)
 		leader.runRound(t.Context(), time.Now())
--- a/loader/holder.go
+++ b/loader/holder.go
@@ -242,7 +242,7 @@
 	if fence == 0 || l.Table.Current() == nil {
 		return
 	}
-	if status == election.Sure {
+	if status == election.TermValid {
 		l.refreshDirectories(now)
 	}
 	if l.KnowsReplicas != nil && !l.KnowsReplicas() {
@@ -253,7 +253,7 @@
 	if !l.mayGiveOrders(status, now) {
 		return
 	}
-	if l.handovers.mayHandOver(now) && status == election.Sure && l.hasStrongerDaemon(now) && l.Election.Yielding() {
+	if l.handovers.mayHandOver(now) && status == election.TermValid && l.hasStrongerDaemon(now) && l.Election.BeginHandover() {
 		l.handOver(ctx, now)
 		return
 	}
@@ -283,7 +283,7 @@
 		ordersFrom = l.ordersFrom // the term gap that this daemon's earlier term had to keep
 	case reclaimed:
 	case inherited != nil:
-		ordersFrom = inherited.Begins
+		ordersFrom = inherited.NotBefore
 		l.orderTimes.inherited = inherited.LastOrders
 	case !l.lastOrderAt.IsZero():
 		ordersFrom = l.lastOrderAt.Add(l.Limits.TermGap)
@@ -330,11 +330,11 @@
 // mayGiveOrders reports whether the leader may give orders: its lease is valid, or the key-value service is
 // unreachable but most daemons are still attached, so that no other leader can be active. The caller holds
 // the mutex.
-func (l *Leader) mayGiveOrders(status election.Standing, now time.Time) bool {
+func (l *Leader) mayGiveOrders(status election.TermStatus, now time.Time) bool {
 	switch status {
-	case election.Sure:
+	case election.TermValid:
 		return true
-	case election.Blind:
+	case election.TermStoreUnreachable:
 		return 2*l.attached >= l.maxAttached
 	}
 	return false
@@ -404,7 +404,7 @@
 		if service.Engine != nil {
 			snapshot.Services[service.Name] = service.Engine
 			perSecond = max(perSecond, service.Engine.LoadsPerSecond)
-			maxStoreLoad = max(maxStoreLoad, service.Engine.LongestLoad)
+			maxStoreLoad = max(maxStoreLoad, service.Engine.MaxStoreLoadTime)
 		}
 	})
 	l.storeWindow.Max = int(storeShare * (perSecond*l.Limits.Window.Seconds()*l.Limits.Slack + float64(l.Limits.Extra)))
--- a/loader/holder_test.go
+++ b/loader/holder_test.go
@@ -58,12 +58,12 @@
 	t.Helper()
 	campaign := election.New(election.Config{Key: "term", Daemon: "d1", Address: "a:1", TTL: 3 * time.Second}, grantingStore{}, log)
 	began := make(chan struct{})
-	campaign.Listen(func(leader election.Leader) {
+	campaign.AddListener(func(leader election.Leader) {
 		if leader.Nonce != "" {
 			close(began)
 		}
 	})
-	campaign.Vacate(0)
+	campaign.ObserveAbsent(0)
 	go func() { _ = campaign.Serve(t.Context()) }()
 	<-began
 	return campaign
@@ -97,7 +97,7 @@
 	log := discardLog()
 	campaign := electedLeader(t, log)
 	table, err := routing.NewTable(routing.Revision{Version: 1, Services: []*routing.Service{{Name: "press", Engine: &routing.Engine{
-		MemoryMB: 200, Models: map[string]*routing.Model{"m1": {Name: "m1", MemoryMB: 90, StoreLoad: 4 * time.Second, DiskLoad: time.Second}},
+		MemoryMB: 200, Models: map[string]*routing.Model{"m1": {Name: "m1", MemoryMB: 90, StoreLoadTime: 4 * time.Second, DiskLoadTime: time.Second}},
 	}}}})
 	require.NoError(t, err)
 	routes := &routing.Store{}
@@ -127,7 +127,7 @@
 	}, time.Second, time.Millisecond, "a probe that is answered with done completes the load")
 
 	leader.states["r1"] = underWay()
-	campaign.Deposed("a test")
+	campaign.StepDown("a test")
 	leader.runRound(t.Context(), time.Now())
 	require.Empty(t, replicas.orders)
 }
@@ -137,7 +137,7 @@
 	t.Helper()
 	log := discardLog()
 	table, err := routing.NewTable(routing.Revision{Version: 1, Services: []*routing.Service{{Name: "press", Engine: &routing.Engine{
-		MemoryMB: 200, LoadsPerSecond: 4, Models: map[string]*routing.Model{"m1": {Name: "m1", MemoryMB: 90, StoreLoad: 4 * time.Second}},
+		MemoryMB: 200, LoadsPerSecond: 4, Models: map[string]*routing.Model{"m1": {Name: "m1", MemoryMB: 90, StoreLoadTime: 4 * time.Second}},
 	}}}})
 	require.NoError(t, err)
 	routes := &routing.Store{}
@@ -159,7 +159,7 @@
 	leader.Fleet.Put(fleet.Entry{ID: "r1", Service: "press", Address: "r1:1"}, now)
 	leader.applyDemand(&rpc.LoadsDemand{DaemonId: "d2", Keys: []*rpc.TargetLoadDemand{{Service: "press", Model: "m1", Arrivals: 1, Waiting: 1}}})
 
-	leader.Fleet.Hear(fleet.Notice{Replica: "r1", Rest: backoff}, now)
+	leader.Fleet.ApplyHint(fleet.Hint{Replica: "r1", Backoff: backoff}, now)
 	leader.runRound(t.Context(), now)
 	require.Empty(t, leader.inFlight, "no report is requested during the back-off")
 	leader.runRound(t.Context(), now.Add(backoff))
@@ -170,7 +170,7 @@
 		return leader.states["r1"].Verified
 	}, time.Second, time.Millisecond)
 
-	leader.Fleet.Hear(fleet.Notice{Replica: "r1", Rest: backoff}, now.Add(backoff))
+	leader.Fleet.ApplyHint(fleet.Hint{Replica: "r1", Backoff: backoff}, now.Add(backoff))
 	leader.RegistryChanged("r1")
 	leader.runRound(t.Context(), now.Add(backoff))
 	require.Empty(t, leader.inFlight, "no order is sent during the back-off")
--- a/loader/leaving.go
+++ b/loader/leaving.go
@@ -18,7 +18,7 @@
 	for _, incarnation := range incarnationsOf(message.GetLeaving()) {
 		// The leader's own daemon shares its directory, so the record may not be new there although it was
 		// not relayed yet.
-		if isNew := l.Fleet.TellLeaving(incarnation, now); isNew || !l.drainingChanges.has(incarnation.ID) {
+		if isNew := l.Fleet.ApplyRelayedDraining(incarnation, now); isNew || !l.drainingChanges.has(incarnation.ID) {
 			changed = append(changed, incarnation.ID)
 		}
 	}
@@ -37,7 +37,7 @@
 // resetDraining begins a term with the replicas known to be draining. The caller holds the mutex.
 func (l *Leader) resetDraining() {
 	l.drainingChanges = newChangeLog()
-	for _, incarnation := range l.Fleet.Leaving() {
+	for _, incarnation := range l.Fleet.ReportedDraining() {
 		l.drainingChanges.mark(incarnation.ID, l.version)
 	}
 }
@@ -45,7 +45,7 @@
 // drainingView lists the replicas reported as draining after a version. The caller holds the mutex.
 func (l *Leader) drainingView(after uint64) (view []*rpc.ReplicaIncarnation) {
 	for _, id := range l.drainingChanges.after(after) {
-		if incarnation, draining := l.Fleet.Leaves(id); draining {
+		if incarnation, draining := l.Fleet.DrainingIncarnation(id); draining {
 			view = append(view, rpc.IncarnationMessage(incarnation))
 		}
 	}
@@ -55,7 +55,7 @@
 // newDraining returns the replicas that reported to this daemon that they are draining and that were not yet
 // sent on this stream.
 func (f *Follower) newDraining(sent *sentReport) (messages []*rpc.ReplicaIncarnation) {
-	for _, incarnation := range f.Fleet.LeavingHere() {
+	for _, incarnation := range f.Fleet.LocallyReportedDraining() {
 		if !sent.draining[incarnation] {
 			sent.draining[incarnation] = true
 			messages = append(messages, rpc.IncarnationMessage(incarnation))
--- a/loader/leaving_test.go
+++ b/loader/leaving_test.go
@@ -53,7 +53,7 @@
 func TestDrainingReplicaObservedByTheLeaderIsRelayed(t *testing.T) {
 	now := time.Now()
 	leader := leaderOfTwoReplicas(now)
-	leader.Fleet.Hear(fleet.Notice{Replica: "r1", Leaving: true}, now)
+	leader.Fleet.ApplyHint(fleet.Hint{Replica: "r1", Leaving: true}, now)
 	follower := &Follower{Fleet: leader.Fleet}
 	sent := &sentReport{draining: map[fleet.Incarnation]bool{}}
 	leader.applyDemand(&rpc.LoadsDemand{DaemonId: "self", Leaving: follower.newDraining(sent)})
--- a/loader/limits.go
+++ b/loader/limits.go
@@ -17,8 +17,8 @@
 	var changed []fleet.ReplicaLimit
 	for _, message := range message.GetLimits() {
 		reported := message.Word(now)
-		l.Fleet.TellLimit(reported, now)
-		if limit, known := l.Fleet.WordOfLimit(reported.ID); known && !l.limitChanges.isCurrent(limit) {
+		l.Fleet.ApplyRelayedLimit(reported, now)
+		if limit, known := l.Fleet.LimitRecord(reported.ID); known && !l.limitChanges.isCurrent(limit) {
 			changed = append(changed, limit)
 		}
 	}
@@ -60,7 +60,7 @@
 // resetLimits begins a term with the limits known so far. The caller holds the mutex.
 func (l *Leader) resetLimits() {
 	l.limitChanges = newSentLimits()
-	for _, limit := range l.Fleet.WordsOfLimits(false) {
+	for _, limit := range l.Fleet.LimitRecords(false) {
 		l.limitChanges.markSent(limit, l.version)
 	}
 }
@@ -68,7 +68,7 @@
 // limitsView lists the limits that changed after a version. The caller holds the mutex.
 func (l *Leader) limitsView(after uint64, now time.Time) (view []*rpc.ReplicaLimit) {
 	for _, id := range l.limitChanges.after(after) {
-		if limit, known := l.Fleet.WordOfLimit(id); known {
+		if limit, known := l.Fleet.LimitRecord(id); known {
 			view = append(view, rpc.LimitMessage(limit, now))
 		}
 	}
@@ -87,7 +87,7 @@
 // newLimits returns the limits that replicas reported to this daemon and that differ from those last sent or
 // received on this stream.
 func (f *Follower) newLimits(sent *sentReport, now time.Time) (messages []*rpc.ReplicaLimit) {
-	observed := f.Fleet.WordsOfLimits(true)
+	observed := f.Fleet.LimitRecords(true)
 	sent.mutex.Lock()
 	defer sent.mutex.Unlock()
 	for _, limit := range observed {
@@ -106,8 +106,8 @@
 		sent.mutex.Lock()
 		sent.limits[limit.Incarnation] = limit.PerSecond
 		sent.mutex.Unlock()
-		if change, changed := f.Fleet.TellLimit(limit, now); changed {
-			f.Log.WithFields(logrus.Fields{logging.Replica: limit.ID, logging.Limit: change.PerSecond, logging.LimitBefore: change.Before}).Info(logging.MessageLimitTold)
+		if change, changed := f.Fleet.ApplyRelayedLimit(limit, now); changed {
+			f.Log.WithFields(logrus.Fields{logging.Replica: limit.ID, logging.Limit: change.PerSecond, logging.LimitBefore: change.Previous}).Info(logging.MessageLimitTold)
 		}
 	}
 }
--- a/loader/limits_test.go
+++ b/loader/limits_test.go
@@ -25,15 +25,15 @@
 	return follower, &sentReport{limits: map[fleet.Incarnation]float64{}}
 }
 
-func limitNotice(id string, perSecond float64) fleet.Notice {
-	return fleet.Notice{Replica: id, Limit: fleet.LimitNamed, PerSecond: perSecond}
+func limitNotice(id string, perSecond float64) fleet.Hint {
+	return fleet.Hint{Replica: id, Limit: fleet.LimitGiven, PerSecond: perSecond}
 }
 
 func TestReportedLimitIsRelayedOnce(t *testing.T) {
 	now := time.Now()
 	leader := leaderOfTwoReplicas(now)
 	before := leader.version
-	reported := rpc.LimitMessage(fleet.ReplicaLimit{Incarnation: fleet.Incarnation{ID: "r1"}, PerSecond: 2, HeardAt: now}, now)
+	reported := rpc.LimitMessage(fleet.ReplicaLimit{Incarnation: fleet.Incarnation{ID: "r1"}, PerSecond: 2, ObservedAt: now}, now)
 	leader.applyDemand(&rpc.LoadsDemand{DaemonId: "d1", Limits: []*rpc.ReplicaLimit{reported}})
 	require.Equal(t, 2.0, leader.Fleet.LimitOf("r1"))
 	require.Equal(t, map[string]float64{"r1": 2}, limitsByReplica(leader.view(before, now).GetLimits()))
@@ -56,7 +56,7 @@
 func TestLimitObservedByTheLeaderIsRelayed(t *testing.T) {
 	now := time.Now()
 	leader := leaderOfTwoReplicas(now)
-	leader.Fleet.HearLimit(limitNotice("r1", 2), now)
+	leader.Fleet.ApplyLimitHint(limitNotice("r1", 2), now)
 	follower, sent := limitFollower(leader.Fleet)
 	leader.applyDemand(&rpc.LoadsDemand{DaemonId: "self", Limits: follower.newLimits(sent, now)})
 	require.Equal(t, map[string]float64{"r1": 2}, limitsByReplica(leader.view(0, now).GetLimits()))
@@ -64,7 +64,7 @@
 
 	for _, perSecond := range []float64{5, 1} {
 		sentVersion := leader.version
-		leader.Fleet.HearLimit(limitNotice("r1", perSecond), now)
+		leader.Fleet.ApplyLimitHint(limitNotice("r1", perSecond), now)
 		leader.applyDemand(&rpc.LoadsDemand{DaemonId: "self", Limits: follower.newLimits(sent, now)})
 		require.Equal(t, map[string]float64{"r1": perSecond}, limitsByReplica(leader.view(sentVersion, now).GetLimits()), "every change is relayed")
 	}
@@ -75,9 +75,9 @@
 func TestNewerLimitIsSentAgainAfterAnOlderOneIsReceived(t *testing.T) {
 	now := time.Now()
 	follower, sent := limitFollower(leaderOfTwoReplicas(now).Fleet)
-	follower.Fleet.HearLimit(limitNotice("r1", 2), now)
+	follower.Fleet.ApplyLimitHint(limitNotice("r1", 2), now)
 	require.Len(t, follower.newLimits(sent, now), 1)
-	lifted := rpc.LimitMessage(fleet.ReplicaLimit{Incarnation: fleet.Incarnation{ID: "r1"}, HeardAt: now.Add(-time.Second)}, now)
+	lifted := rpc.LimitMessage(fleet.ReplicaLimit{Incarnation: fleet.Incarnation{ID: "r1"}, ObservedAt: now.Add(-time.Second)}, now)
 	follower.applyLimits([]*rpc.ReplicaLimit{lifted}, sent, now)
 	require.Equal(t, 2.0, follower.Fleet.LimitOf("r1"), "the received limit is older")
 	require.Equal(t, map[string]float64{"r1": 2}, limitsByReplica(follower.newLimits(sent, now)))
--- a/loader/orders.go
+++ b/loader/orders.go
@@ -61,7 +61,7 @@
 	l.mutex.Unlock()
 	l.logOrder(order, fence, response, err)
 	if err == nil && response == Fenced {
-		l.Election.Deposed("a replica has received a higher fencing token")
+		l.Election.StepDown("a replica has received a higher fencing token")
 	}
 	l.Wake()
 }
--- a/loader/turns.go
+++ b/loader/turns.go
@@ -12,7 +12,7 @@
 	// BeginTerm begins a term with no reservations.
 	BeginTerm()
 	// TryReserve makes a reservation if one is available now, and otherwise returns when to retry.
-	TryReserve(request permit.Ask) (granted bool, retryIn time.Duration)
+	TryReserve(request permit.Request) (granted bool, retryIn time.Duration)
 }
 
 // reserveMessage reports whether an order or probe may be sent to a replica now. It counts towards the
@@ -22,7 +22,7 @@
 	if state == nil || state.PerSecond == 0 || l.Turns == nil {
 		return true
 	}
-	granted, retryIn := l.Turns.TryReserve(permit.Ask{Replica: state.Incarnation(), PerSecond: state.PerSecond, Priority: permit.LeastUrgent})
+	granted, retryIn := l.Turns.TryReserve(permit.Request{Replica: state.Incarnation(), PerSecond: state.PerSecond, Priority: permit.LowestPriority})
 	if !granted {
 		l.scheduleRound(now.Add(retryIn))
 	}
--- a/loader/turns_test.go
+++ b/loader/turns_test.go
@@ -14,15 +14,15 @@
 
 // reservationBook makes reservations in a local book.
 type reservationBook struct {
-	book  *permit.Book
+	book  *permit.Pacer
 	now   time.Time
 	terms int
 }
 
 func (b *reservationBook) BeginTerm() { b.terms++ }
 
-func (b *reservationBook) TryReserve(request permit.Ask) (bool, time.Duration) {
-	decision := b.book.Ask(request, 1, b.now)
+func (b *reservationBook) TryReserve(request permit.Request) (bool, time.Duration) {
+	decision := b.book.Request(request, 1, b.now)
 	return decision.Granted, decision.RetryIn
 }
 
@@ -31,10 +31,10 @@
 	const pause = 5 * time.Second
 	leader, replicas := leaderWithDemand(t)
 	now := time.Now()
-	reservations := &reservationBook{book: permit.NewBook(true, now), now: now}
+	reservations := &reservationBook{book: permit.NewPacer(true, now), now: now}
 	leader.Turns = reservations
 	leader.Fleet.Put(fleet.Entry{ID: "r1", Service: "press", Address: "r1:1"}, now)
-	leader.Fleet.HearLimit(limitNotice("r1", 1/pause.Seconds()), now)
+	leader.Fleet.ApplyLimitHint(limitNotice("r1", 1/pause.Seconds()), now)
 	leader.applyDemand(&rpc.LoadsDemand{DaemonId: "d2", Keys: []*rpc.TargetLoadDemand{{Service: "press", Model: "m1", Arrivals: 1, Waiting: 1}}})
 
 	leader.runRound(t.Context(), now)
--- a/loader/yield.go
+++ b/loader/yield.go
@@ -71,7 +71,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 		defer cancel()
-		l.Election.Yield(ctx, l.Handover)
+		l.Election.CompleteHandover(ctx, l.Handover)
 		l.Wake()
 	}()
 }
--- a/loading/bench_test.go
+++ b/loading/bench_test.go
@@ -16,7 +16,7 @@
 	demands := map[demand.Key]Demand{}
 	for rank := range models {
 		name := fmt.Sprintf("m%d", rank)
-		model := &routing.Model{Name: name, MemoryMB: 60, AdapterMemoryMB: 1, StoreLoad: 4 * time.Second}
+		model := &routing.Model{Name: name, MemoryMB: 60, AdapterMemoryMB: 1, StoreLoadTime: 4 * time.Second}
 		for adapter := range adaptersEach {
 			model.Adapters = append(model.Adapters, fmt.Sprintf("a%d", adapter+1))
 		}
--- a/loading/fetch_test.go
+++ b/loading/fetch_test.go
@@ -150,7 +150,7 @@
 	demands := oneWaiting("m5", "")
 	input := snapshot(demands, withWeights, replica("r2", "m0"))
 	for _, model := range input.Services["press"].Models {
-		model.DiskLoad = second / 2
+		model.DiskLoadTime = second / 2
 	}
 	require.Empty(t, decideOnDemand(input))
 
@@ -192,7 +192,7 @@
 	}
 	input := snapshot(demands, quick...)
 	for _, model := range input.Services["press"].Models {
-		model.DiskLoad = second / 10
+		model.DiskLoadTime = second / 10
 	}
 	require.Empty(t, decideOnDemand(input))
 }
@@ -202,7 +202,7 @@
 	saturated.Slots, saturated.Running = 10, 9
 	input := snapshot(oneWaiting("m5", ""), saturated, replica("r2"))
 	for _, model := range input.Services["press"].Models {
-		model.StoreLoad, model.DiskLoad, model.MemoryLoad = 0, 0, 0
+		model.StoreLoadTime, model.DiskLoadTime, model.MemoryLoadTime = 0, 0, 0
 	}
 	orders := decideOnDemand(input)
 	require.Len(t, orders, 1)
--- a/loading/loading_test.go
+++ b/loading/loading_test.go
@@ -21,7 +21,7 @@
 	engine := &routing.Engine{MemoryMB: 200, AdapterSlots: 2, LoadsPerSecond: 2, Models: map[string]*routing.Model{}}
 	for rank := range 6 {
 		name := fmt.Sprintf("m%d", rank)
-		engine.Models[name] = &routing.Model{Name: name, MemoryMB: 90, AdapterMemoryMB: 1, StoreLoad: 4 * second, DiskLoad: 2 * second, MemoryLoad: second}
+		engine.Models[name] = &routing.Model{Name: name, MemoryMB: 90, AdapterMemoryMB: 1, StoreLoadTime: 4 * second, DiskLoadTime: 2 * second, MemoryLoadTime: second}
 	}
 	engine.Models["m0"].Adapters = []string{"a1", "a2", "a3", "a4", "a5"}
 	return engine
--- a/loading/models.go
+++ b/loading/models.go
@@ -297,16 +297,16 @@
 
 // relativeToStoreLoad returns a time relative to the model's load time from the weight store.
 func (n *modelNeed) relativeToStoreLoad(loadTime time.Duration) float64 {
-	if n.model.StoreLoad <= 0 {
+	if n.model.StoreLoadTime <= 0 {
 		return 1
 	}
-	return loadTime.Seconds() / n.model.StoreLoad.Seconds()
+	return loadTime.Seconds() / n.model.StoreLoadTime.Seconds()
 }
 
 // relativeLoadTime returns the model's load time relative to a load from the weight store.
 func (n *modelNeed) relativeLoadTime() float64 {
-	if n.cached && n.model.DiskLoad > 0 {
-		return n.relativeToStoreLoad(n.model.DiskLoad)
+	if n.cached && n.model.DiskLoadTime > 0 {
+		return n.relativeToStoreLoad(n.model.DiskLoadTime)
 	}
 	return 1
 }
@@ -315,10 +315,10 @@
 // copy.
 func (p *planner) valueOfCopy(need *modelNeed, urgent bool) float64 {
 	if urgent {
-		return worthFirstCopy + worthPerWaiting*float64(need.waiting) + need.perSecond*need.model.StoreLoad.Seconds()
+		return worthFirstCopy + worthPerWaiting*float64(need.waiting) + need.perSecond*need.model.StoreLoadTime.Seconds()
 	}
 	if need.copies == 0 {
-		return need.perSecond * need.model.DiskLoad.Seconds()
+		return need.perSecond * need.model.DiskLoadTime.Seconds()
 	}
 	if need.perSecond >= busyRate && need.copies < spareCopies {
 		return (worthSpareCopy + need.perSecond) * need.relativeLoadTime()
--- a/loading/place.go
+++ b/loading/place.go
@@ -101,9 +101,9 @@
 		return
 	}
 	need.cached = true
-	loadTime := need.model.DiskLoad
+	loadTime := need.model.DiskLoadTime
 	if origin == FromMemory {
-		loadTime = need.model.MemoryLoad
+		loadTime = need.model.MemoryLoadTime
 	}
 	hasFaster := len(need.cachedSources) > 0 && need.cachedSources[len(need.cachedSources)-1].candidate == c
 	if loadTime > 0 && !hasFaster {
@@ -122,7 +122,7 @@
 }
 
 // fromStore returns the source of weights that are not cached.
-func (n *modelNeed) fromStore() source { return source{FromStore, n.model.StoreLoad} }
+func (n *modelNeed) fromStore() source { return source{FromStore, n.model.StoreLoadTime} }
 
 // order accounts for an order given to the candidate.
 func (c *candidate) order(duration time.Duration) { c.freeIn += max(minBusyTime, duration) }
@@ -178,10 +178,10 @@
 
 // reloadTime returns how long it would take to load an evicted model again.
 func (c *candidate) reloadTime(need *modelNeed) time.Duration {
-	if need.model.DiskLoad > 0 && slices.Contains(c.replica.OnDisk, need.model.Name) {
-		return need.model.DiskLoad
+	if need.model.DiskLoadTime > 0 && slices.Contains(c.replica.OnDisk, need.model.Name) {
+		return need.model.DiskLoadTime
 	}
-	return need.model.StoreLoad
+	return need.model.StoreLoadTime
 }
 
 // chooseVictims returns the least valuable models whose eviction frees enough memory, and whether it can be
--- a/loading/search_test.go
+++ b/loading/search_test.go
@@ -62,7 +62,7 @@
 	for rank := range drawnModels {
 		engine.Models[fmt.Sprintf("m%d", rank)] = &routing.Model{
 			Name: fmt.Sprintf("m%d", rank), MemoryMB: float64(rapid.IntRange(3, 9).Draw(t, "memory")) * 10, AdapterMemoryMB: 1, Adapters: []string{"a1", "a2"},
-			StoreLoad: 6 * second, DiskLoad: time.Duration(rapid.IntRange(0, 2).Draw(t, "disk load")) * second, MemoryLoad: time.Duration(rapid.IntRange(0, 1).Draw(t, "memory load")) * second,
+			StoreLoadTime: 6 * second, DiskLoadTime: time.Duration(rapid.IntRange(0, 2).Draw(t, "disk load")) * second, MemoryLoadTime: time.Duration(rapid.IntRange(0, 1).Draw(t, "memory load")) * second,
 		}
 	}
 	return engine
@@ -88,10 +88,10 @@
 // referenceSource finds the source of a model's weights from the replica's state.
 func referenceSource(c *candidate, need *modelNeed) source {
 	switch model := need.model; {
-	case slices.Contains(c.replica.InMemory, model.Name) && model.MemoryLoad > 0:
-		return source{FromMemory, model.MemoryLoad}
-	case slices.Contains(c.replica.OnDisk, model.Name) && model.DiskLoad > 0:
-		return source{FromDisk, model.DiskLoad}
+	case slices.Contains(c.replica.InMemory, model.Name) && model.MemoryLoadTime > 0:
+		return source{FromMemory, model.MemoryLoadTime}
+	case slices.Contains(c.replica.OnDisk, model.Name) && model.DiskLoadTime > 0:
+		return source{FromDisk, model.DiskLoadTime}
 	}
 	return need.fromStore()
 }
