--- a/access/access.go
+++ b/access/access.go
@@ -33,17 +33,17 @@
 // Gate tells whose keys are. It is safe for concurrent use.
 type Gate struct {
 	Table *routing.Store
-	// ProvenAt returns a moment, on the monotonic clock, at which the configuration in force
+	// VerifiedAt returns a moment, on the monotonic clock, at which the configuration in force
 	// was surely the newest; the zero time if there was none.
-	ProvenAt func() time.Time
-	Bound    Bound
-	Now      func() time.Time
+	VerifiedAt func() time.Time
+	Bound      Bound
+	Now        func() time.Time
 }
 
 // Age returns for how long the configuration in force may have been out of date; known is
 // false if it was never proven.
 func (g *Gate) Age() (age time.Duration, known bool) {
-	proven := g.ProvenAt()
+	proven := g.VerifiedAt()
 	if proven.IsZero() {
 		return 0, false
 	}
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -22,7 +22,7 @@
 func newSituation(t *testing.T, strict bool) *situation {
 	s := &situation{now: time.Unix(1_000, 0)}
 	s.Gate = &Gate{
-		Table: &routing.Store{}, ProvenAt: func() time.Time { return s.proven }, Now: func() time.Time { return s.now },
+		Table: &routing.Store{}, VerifiedAt: func() time.Time { return s.proven }, Now: func() time.Time { return s.now },
 		Bound: Bound{MaxAge: maxAge, Strict: strict},
 	}
 	s.proven = s.now
@@ -94,7 +94,7 @@
 }
 
 func TestADaemonWithoutAConfigurationJudgesNothing(t *testing.T) {
-	gate := &Gate{Table: &routing.Store{}, ProvenAt: func() time.Time { return time.Time{} }, Now: time.Now, Bound: Bound{MaxAge: maxAge, Strict: true}}
+	gate := &Gate{Table: &routing.Store{}, VerifiedAt: func() time.Time { return time.Time{} }, Now: time.Now, Bound: Bound{MaxAge: maxAge, Strict: true}}
 	_, failed := gate.Owner(callers.Hash("first"))
 	require.Equal(t, failure.Unavailable, failed.Kind)
 	require.Equal(t, failure.Unavailable, gate.Missing().Kind)
--- a/loader/directories.go
+++ b/loader/directories.go
@@ -53,12 +53,12 @@
 // refreshDirectories names directories where there are too many replicas for every daemon to know
 // them; the mutex is held.
 func (h *Holder) refreshDirectories(now time.Time) {
-	if h.TooLarge == nil || now.Sub(h.directories.lookedAt) < directoriesPause || !h.mostAttached(now) {
+	if h.TooManyReplicas == nil || now.Sub(h.directories.lookedAt) < directoriesPause || !h.mostAttached(now) {
 		return
 	}
 	h.directories.lookedAt = now
 	chosen := map[string]bool{}
-	if h.TooLarge() {
+	if h.TooManyReplicas() {
 		chosen = h.chooseDirectories()
 	}
 	var addresses []string
@@ -67,7 +67,7 @@
 			addresses = append(addresses, known.address)
 		}
 	}
-	if h.TooLarge() && len(addresses) == 0 {
+	if h.TooManyReplicas() && len(addresses) == 0 {
 		addresses = []string{h.Address}
 	}
 	slices.Sort(addresses)
@@ -117,7 +117,7 @@
 
 // listeners returns how many daemons are told what is loaded on each replica; the mutex is held.
 func (h *Holder) listeners() int {
-	if h.TooLarge == nil || !h.TooLarge() {
+	if h.TooManyReplicas == nil || !h.TooManyReplicas() {
 		return h.attached
 	}
 	return len(h.directories.chosen) + 1
--- a/loader/directories_test.go
+++ b/loader/directories_test.go
@@ -24,7 +24,7 @@
 
 func newLargeFleet(daemons int) *largeFleet {
 	made := &largeFleet{Holder: &Holder{Daemon: "holder", Address: "holder:1", Fleet: emptyFleet(), Log: discarding()}, isLarge: true, now: time.Now()}
-	made.TooLarge = func() bool { return made.isLarge }
+	made.TooManyReplicas = func() bool { return made.isLarge }
 	made.Prepare()
 	made.yields.termBegan(made.now)
 	made.attach("holder", "a", 80*time.Millisecond, true)
@@ -192,7 +192,7 @@
 	replicas := reportingReplicas{recordingReplicas{orders: make(chan loading.Order, 10)}, make(chan string, 100)}
 	holder := &Holder{
 		Daemon: "d1", Fleet: emptyFleet(), Table: routes, Replicas: replicas, Election: made,
-		Metrics: NewMetrics(prometheus.NewRegistry()), Log: log, FirstStart: true, TooLarge: func() bool { return true },
+		Metrics: NewMetrics(prometheus.NewRegistry()), Log: log, FirstStart: true, TooManyReplicas: func() bool { return true },
 		Limits: Limits{Window: 5 * time.Second, Slack: 1, Extra: 3},
 	}
 	holder.Prepare()
--- a/loader/holder.go
+++ b/loader/holder.go
@@ -112,8 +112,8 @@
 	Address string
 	// TooLarge tells whether there are too many replicas for every daemon to know them all, and
 	// KnowsReplicas whether this one does; nil: never, and always.
-	TooLarge      func() bool
-	KnowsReplicas func() bool
+	TooManyReplicas func() bool
+	KnowsReplicas   func() bool
 	// Expected returns how many daemons were attached to the last holder; nil: not known.
 	Expected func() int
 	// TermDelay is how long this daemon waits before it campaigns for the term: the stronger
@@ -387,7 +387,7 @@
 		h.states[id] = state
 		h.ids = nil
 		h.grewAt = now
-		state.Assumed = h.TooLarge != nil && h.TooLarge()
+		state.Assumed = h.TooManyReplicas != nil && h.TooManyReplicas()
 	}
 	if state.Assumed {
 		state.Holdings, state.InMemory, state.OnDisk = entry.Holdings, entry.InMemory, entry.OnDisk
--- a/node/follow.go
+++ b/node/follow.go
@@ -24,12 +24,12 @@
 	n.mirror.Handle(adapters.ReplicaPrefix, func(event kv.Event) { n.takeReplica(adapters, event) })
 	n.mirror.Handle(n.config.TermKey, n.election.Observe)
 	n.mirror.Handle(n.config.EndsPrefix, n.quarantine.Observe)
-	n.mirror.Urgent(n.config.TermKey)
-	n.mirror.Bulk(adapters.ReplicaPrefix, cmp.Or(n.config.KnownByAll, KnownByAll), n.config.SizeKey, n.replicas.changed)
-	n.mirror.LoneTime(n.replicas.loneTime)
-	n.mirror.Peers(n.listensToPeers)
-	n.mirror.Notable(func(before, after kv.Pair) bool { return notable(adapters, before, after) })
-	n.mirror.Loaded(func() {
+	n.mirror.SetUrgentKey(n.config.TermKey)
+	n.mirror.LimitReplicaRecords(adapters.ReplicaPrefix, cmp.Or(n.config.KnownByAll, KnownByAll), n.config.SizeKey, n.replicas.changed)
+	n.mirror.SetFallbackDelay(n.replicas.loneTime)
+	n.mirror.SetHasPeers(n.listensToPeers)
+	n.mirror.SetForwardFilter(func(before, after kv.Pair) bool { return notable(adapters, before, after) })
+	n.mirror.OnLoaded(func() {
 		if _, held := n.mirror.Get(n.config.TermKey); !held {
 			n.election.Vacate(n.mirror.Revision())
 		}
--- a/node/gauges.go
+++ b/node/gauges.go
@@ -32,7 +32,7 @@
 		{"finchspoke_replicas_limited", "Replicas known to this daemon that named a limit.", func() float64 { return float64(n.fleet.Limits()) }},
 		{"finchspoke_permits_waiting", "Turns at replicas with a limit that this daemon gave out as the holder and that have not come yet.", func() float64 { return float64(n.limits.Waiting()) }},
 		{"finchspoke_daemons_attached", "Daemons attached to the holder of load orders, as it last told.", func() float64 { return float64(n.core.Daemons()) }},
-		{"finchspoke_store_reached", "1 if the key-value service answered last.", func() float64 { return truth(n.mirror.Reached()) }},
+		{"finchspoke_store_reached", "1 if the key-value service answered last.", func() float64 { return truth(n.mirror.StoreReachable()) }},
 		{"finchspoke_peer_connections", "Connections of other daemons to this one.", func() float64 { return float64(n.peers.Traffic().Connections) }},
 		{"finchspoke_peer_sent_bytes", "Bytes sent on connections of other daemons to this one.", func() float64 { return float64(n.peers.Traffic().SentBytes) }},
 		{"finchspoke_peer_received_bytes", "Bytes received on them.", func() float64 { return float64(n.peers.Traffic().ReceivedBytes) }},
--- a/node/node.go
+++ b/node/node.go
@@ -211,22 +211,22 @@
 	requests.Prepare()
 	n.core = requests
 	n.mirror = records.NewMirror(adapters.Store, n.config.RecordsRoot, n.log)
-	n.mirror.Clock(boottime.Now)
-	n.gate = &access.Gate{Table: n.routes, ProvenAt: n.mirror.ProvenAt, Bound: n.config.Configurations, Now: boottime.Now}
+	n.mirror.SetClock(boottime.Now)
+	n.gate = &access.Gate{Table: n.routes, VerifiedAt: n.mirror.VerifiedAt, Bound: n.config.Configurations, Now: boottime.Now}
 	requests.Gate = n.gate
 	if n.config.Configurations.Strict {
-		n.mirror.LimitProof(adapters.TableKey, time.Duration(proofShare*float64(n.config.Configurations.MaxAge)))
+		n.mirror.VerifyWithin(adapters.TableKey, time.Duration(proofShare*float64(n.config.Configurations.MaxAge)))
 	}
 	n.registryLog = &registryLog{log: n.log, leading: n.mirror.Leading, now: time.Now}
 	n.election = election.New(election.Config{
 		Key: n.config.TermKey, Daemon: n.config.ID, Address: n.config.PeerAddress, TTL: n.config.LeaseTime,
 		Informed: func() bool { return n.holder.Informed() }, Delay: n.termDelay,
-		Now: boottime.Now, Written: n.mirror.Hurry, // other daemons hear of it from this one
+		Now: boottime.Now, Written: n.mirror.PollNow, // other daemons hear of it from this one
 	}, adapters.Store, n.log)
 	n.holder = &loader.Holder{
 		Daemon: n.config.ID, Fleet: n.fleet, Table: n.routes, Replicas: replicas.Orders, Election: n.election,
 		Limits: n.config.LoadLimits, Metrics: loader.NewMetrics(n.metrics), Log: n.log, FirstStart: n.config.FirstStart,
-		TermDelay: n.config.TermDelay, Address: n.config.PeerAddress, TooLarge: n.mirror.TooLarge, KnowsReplicas: func() bool { return n.replicas.all() },
+		TermDelay: n.config.TermDelay, Address: n.config.PeerAddress, TooManyReplicas: n.mirror.TooManyReplicas, KnowsReplicas: func() bool { return n.replicas.all() },
 		Expected: requests.Daemons,
 	}
 	n.holder.Prepare()
@@ -240,7 +240,7 @@
 		if holder.Daemon != n.config.ID {
 			n.holder.OtherHeld()
 		}
-		n.mirror.Lead(holder.Daemon == n.config.ID)
+		n.mirror.SetLeading(holder.Daemon == n.config.ID)
 		n.holder.Wake()
 	})
 	n.quarantine = &quarantine.Guard{
@@ -258,7 +258,7 @@
 	n.limits = &limiter.Server{Bounds: n.config.Quotas, Table: n.routes, Term: n.election.Term, First: n.holder.FirstOfAll, Now: boottime.Now,
 		Reached: n.holder.Reached, LimitOf: n.fleet.LimitOf, Log: n.log}
 	n.holder.Turns = n.limits
-	subscriber := &records.Subscriber{Daemon: n.config.ID, Mirror: n.mirror, Source: n.recordSource, Deputy: n.deputySource, Seeds: n.replicas.recordPeers, Log: n.log}
+	subscriber := &records.Subscriber{Daemon: n.config.ID, Mirror: n.mirror, Source: n.recordSource, Standby: n.deputySource, Seeds: n.replicas.recordPeers, Log: n.log}
 	n.registerGauges()
 	n.frontend = frontend.New(n.listeners.callers, adapters.Callers(n.routes, n.gate, requests), frontend.Options{
 		ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTime: n.idleTime, TurnAway: turnAway, Log: n.log,
--- a/node/replicas.go
+++ b/node/replicas.go
@@ -50,7 +50,7 @@
 	k := &replicaKnowledge{node: n, lone: loneTime + time.Duration(rand.Float64()*float64(loneSpread))}
 	k.client = &discovery.Client{Daemon: n.config.ID, Zone: n.config.Zone, Fleet: n.fleet, Directories: k.directories, Log: n.log}
 	k.client.Prepare()
-	k.server = &discovery.Server{Fleet: n.fleet, KnowsAll: k.whole.Load, WillKnow: n.mirror.WantsAll, ContactAge: n.mirror.ContactAge, Now: time.Now}
+	k.server = &discovery.Server{Fleet: n.fleet, KnowsAll: k.whole.Load, WillKnow: n.mirror.RequiresAll, ContactAge: n.mirror.ContactAge, Now: time.Now}
 	k.server.Prepare()
 	return k
 }
@@ -74,7 +74,7 @@
 
 // loaded takes in that a whole list of the records was handled.
 func (k *replicaKnowledge) loaded() {
-	isWhole := k.node.mirror.KnowsAll()
+	isWhole := k.node.mirror.HasAll()
 	if isWhole && !k.whole.Load() {
 		k.node.fleet.Whole()
 		k.server.Begin()
@@ -85,7 +85,7 @@
 
 // setDirectories takes in which daemons the holder of load orders named, and whether this is one.
 func (k *replicaKnowledge) setDirectories(serve bool, addresses []string) {
-	k.node.mirror.WantBulk(serve)
+	k.node.mirror.RequireReplicaRecords(serve)
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.addresses = rendezvous.Ranked(k.node.config.ID, addresses)
@@ -107,7 +107,7 @@
 // directory returns the address of the directory that this daemon asks; empty: it knows all replicas
 // itself, or is asking none yet.
 func (k *replicaKnowledge) directory() string {
-	if !k.node.mirror.WithoutBulk() || k.node.mirror.Leading() {
+	if !k.node.mirror.OmitsReplicaRecords() || k.node.mirror.Leading() {
 		return ""
 	}
 	current := k.client.Current()
@@ -166,7 +166,7 @@
 // termDelay returns how much later than others this daemon campaigns for the term.
 func (n *Node) termDelay() time.Duration {
 	switch {
-	case !n.mirror.WithoutBulk():
+	case !n.mirror.OmitsReplicaRecords():
 		return n.config.TermDelay
 	case n.replicas.knowsDirectories():
 		return n.config.TermDelay + campaignLater
--- a/records/bulk.go
+++ b/records/bulk.go
@@ -7,86 +7,86 @@
 	"github.com/finchspoke/finchspoke/logging"
 )
 
-// Most records are those of replicas, the bulk. Up to some number every daemon knows them all.
-// Beyond it a daemon knows the others only, which do not grow with the fleet, and asks a directory
-// (package discovery) for the replicas that its callers need: at 985 daemons and 10,000 replicas
-// each daemon's own copy was 25 of its 36 MB, and one daemon had 300,000 records a second to send.
-
-// Bulk names the prefix of the bulk, up to how many of its records every daemon knows, and the record
-// that says whether there are more; empty: none does. changed is called whenever this daemon begins to
-// do without them, or knows them all again, before the records are handled. It must be called before
-// Serve.
-func (m *Mirror) Bulk(prefix string, most int, sizeKey string, changed func(without bool)) {
-	m.bulk, m.bulkMost, m.sizeKey, m.bulkChanged = prefix, most, sizeKey, changed
+// Most records describe replicas. Up to a limit every daemon mirrors them. Beyond it, a daemon
+// mirrors only the other records, whose number does not grow with the fleet, and asks a directory
+// (package discovery) for the replicas that its callers need.
+
+// LimitReplicaRecords sets the key prefix of replica records, how many of them every daemon
+// mirrors, and the key that records whether there are more; empty: none. onChange is called, before
+// the handlers, whenever this daemon starts or stops omitting them. It must be called before Serve.
+func (m *Mirror) LimitReplicaRecords(prefix string, maxRecords int, fleetSizeKey string, onChange func(without bool)) {
+	m.replicaRoot, m.limit, m.fleetSizeKey, m.onOmitChanged = prefix, maxRecords, fleetSizeKey, onChange
 }
 
-// WantBulk tells whether this daemon is to know the bulk however large it is.
-func (m *Mirror) WantBulk(wanted bool) {
+// RequireReplicaRecords tells whether this daemon must mirror replica records regardless of the
+// limit.
+func (m *Mirror) RequireReplicaRecords(required bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.bulkWanted = wanted
+	m.replicasRequired = required
 }
 
-// needsBulk tells whether this daemon is to know the bulk however large it is; the mutex is held.
-func (m *Mirror) needsBulk() bool { return m.bulkWanted || m.leading }
+// requiresReplicas tells whether this daemon must mirror all replica records. Callers hold the
+// mutex.
+func (m *Mirror) requiresReplicas() bool { return m.replicasRequired || m.leading }
 
-// WantsAll tells whether this daemon is to know all records however many they are.
-func (m *Mirror) WantsAll() bool {
+// RequiresAll tells whether this daemon must mirror all records regardless of their number.
+func (m *Mirror) RequiresAll() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.needsBulk()
+	return m.requiresReplicas()
 }
 
-// lacksBulk tells whether this daemon is to know the bulk, and does not.
-func (m *Mirror) lacksBulk() bool {
+// missingReplicas tells whether this daemon requires the replica records and does not have them.
+func (m *Mirror) missingReplicas() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.without && m.needsBulk()
+	return m.omitsReplicas && m.requiresReplicas()
 }
 
-// KnowsAll tells whether all records are known, the bulk included.
-func (m *Mirror) KnowsAll() bool {
+// HasAll tells whether the mirror holds all records, including those of replicas.
+func (m *Mirror) HasAll() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.revision > 0 && !m.without
+	return m.revision > 0 && !m.omitsReplicas
 }
 
-// WithoutBulk tells whether this daemon does without the bulk.
-func (m *Mirror) WithoutBulk() bool {
+// OmitsReplicaRecords tells whether this daemon does not mirror replica records.
+func (m *Mirror) OmitsReplicaRecords() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.without
+	return m.omitsReplicas
 }
 
-// TooLarge tells whether there are too many records for every daemon to know them all.
-func (m *Mirror) TooLarge() bool {
+// TooManyReplicas tells whether the number of replica records exceeds the limit.
+func (m *Mirror) TooManyReplicas() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.tooLarge
+	return m.tooManyReplicas
 }
 
-// backShare is the share of the most records of the bulk below which every daemon knows them all
-// again, so that a fleet at the limit does not change to and fro.
-const backShare = 0.8
+// resumeShare is the share of the limit below which all daemons mirror replica records again. The
+// gap keeps a fleet near the limit from switching repeatedly.
+const resumeShare = 0.8
 
-// weighBulk works out whether there are too many records; the mutex is held.
-func (m *Mirror) weighBulk() {
-	if m.bulkMost <= 0 || m.without {
+// checkReplicaCount updates tooManyReplicas. Callers hold the mutex.
+func (m *Mirror) checkReplicaCount() {
+	if m.limit <= 0 || m.omitsReplicas {
 		return
 	}
-	count := len(m.pairs) - m.others
-	if m.tooLarge {
-		m.tooLarge = float64(count) >= backShare*float64(m.bulkMost)
+	count := len(m.pairs) - m.otherCount
+	if m.tooManyReplicas {
+		m.tooManyReplicas = float64(count) >= resumeShare*float64(m.limit)
 		return
 	}
-	m.tooLarge = count > m.bulkMost
+	m.tooManyReplicas = count > m.limit
 }
 
-// inBulk tells whether a record is one of the bulk.
-func (m *Mirror) inBulk(key string) bool { return m.bulkMost > 0 && strings.HasPrefix(key, m.bulk) }
+// isReplica tells whether a key belongs to a replica record.
+func (m *Mirror) isReplica(k string) bool { return m.limit > 0 && strings.HasPrefix(k, m.replicaRoot) }
 
-// put takes a record in, or out if it is gone; the mutex is held.
-func (m *Mirror) put(event kv.Event) {
+// setRecord stores or deletes a record. Callers hold the mutex.
+func (m *Mirror) setRecord(event kv.Event) {
 	key := event.Pair.Key
 	_, known := m.pairs[key]
 	if event.Deleted {
@@ -95,63 +95,64 @@
 		m.pairs[key] = event.Pair
 	}
 	switch {
-	case m.inBulk(key) || known != event.Deleted:
+	case m.isReplica(key) || known != event.Deleted:
 	case event.Deleted:
-		m.others--
+		m.otherCount--
 	default:
-		m.others++
+		m.otherCount++
 	}
 }
 
-// withoutBulk returns the events that are not of the bulk.
-func (m *Mirror) withoutBulk(events []kv.Event) []kv.Event {
+// excludeReplicas returns the events of records other than those of replicas.
+func (m *Mirror) excludeReplicas(events []kv.Event) []kv.Event {
 	var others []kv.Event
 	for _, event := range events {
-		if !m.inBulk(event.Pair.Key) {
+		if !m.isReplica(event.Pair.Key) {
 			others = append(others, event)
 		}
 	}
 	return others
 }
 
-// narrow makes this daemon do without the bulk; the turn is held.
-func (m *Mirror) narrow() {
+// dropReplicaRecords makes this daemon omit replica records. Callers hold applyMutex.
+func (m *Mirror) dropReplicaRecords() {
 	m.mutex.Lock()
-	if m.without {
+	if m.omitsReplicas {
 		m.mutex.Unlock()
 		return
 	}
-	m.without, m.tooLarge = true, true
+	m.omitsReplicas, m.tooManyReplicas = true, true
 	for key := range m.pairs {
-		if m.inBulk(key) {
+		if m.isReplica(key) {
 			delete(m.pairs, key)
 		}
 	}
-	m.recent.restart(m.revision)
+	m.recentChanges.reset(m.revision)
 	m.mutex.Unlock()
-	m.tellBulk(true)
+	m.reportOmitChange(true)
 }
 
-// tellBulk tells that this daemon now does without the bulk, or knows it again; the turn is held.
-func (m *Mirror) tellBulk(without bool) {
-	m.log.WithField(logging.WithoutReplicas, without).WithFields(logging.AtRevision(m.Revision())).Info(logging.MessageReplicasKnown)
-	if m.bulkChanged != nil {
-		m.bulkChanged(without)
+// reportOmitChange logs and announces that this daemon starts or stops omitting replica records.
+// Callers hold applyMutex.
+func (m *Mirror) reportOmitChange(omitsReplicas bool) {
+	m.log.WithField(logging.WithoutReplicas, omitsReplicas).WithFields(logging.AtRevision(m.Revision())).Info(logging.MessageReplicasKnown)
+	if m.onOmitChanged != nil {
+		m.onOmitChanged(omitsReplicas)
 	}
 }
 
-// suits tells whether an update can be taken in, and makes this daemon do without the bulk where
-// its peer leaves it out since it is too large; the turn is held.
-func (m *Mirror) suits(update Update) bool {
+// accepts tells whether an update can be applied, and drops the replica records where the peer
+// omits them because of their number. Callers hold applyMutex.
+func (m *Mirror) accepts(update Update) bool {
 	m.mutex.Lock()
-	without, needs, known := m.without, m.needsBulk(), m.revision > 0
+	omitsReplicas, required, known := m.omitsReplicas, m.requiresReplicas(), m.revision > 0
 	m.mutex.Unlock()
 	switch {
-	case !update.WithoutBulk || without:
+	case !update.OmitsReplicaRecords || omitsReplicas:
 		return true
-	case needs, !known && !update.Whole:
+	case required, !known && !update.Whole:
 		return false
 	}
-	m.narrow()
+	m.dropReplicaRecords()
 	return true
 }
--- a/records/bulk_test.go
+++ b/records/bulk_test.go
@@ -16,44 +16,44 @@
 	"github.com/finchspoke/finchspoke/transport"
 )
 
-const testBulk = "servers/"
+const testReplicaPrefix = "servers/"
 
-// bulkOf returns records of replicas.
-func bulkOf(count int, revision int64) (pairs []kv.Pair) {
+// replicaRecords returns records of the given number of replicas.
+func replicaRecords(count int, revision int64) (pairs []kv.Pair) {
 	for number := range count {
-		pairs = append(pairs, kv.Pair{Key: fmt.Sprintf("%s%04d", testBulk, number), Value: []byte("ready"), ModRevision: revision})
+		pairs = append(pairs, kv.Pair{Key: fmt.Sprintf("%s%04d", testReplicaPrefix, number), Value: []byte("ready"), ModRevision: revision})
 	}
 	return pairs
 }
 
-// limitedMirror returns a mirror that does without replicas where there are more than most, and what
-// it told of that.
-func limitedMirror(t *testing.T, store kv.ChangeStore, most int) (*Mirror, *[]bool) {
-	told := &[]bool{}
-	mirror := mirrorOf(t, store)
-	mirror.Bulk(testBulk, most, "", func(without bool) { *told = append(*told, without) })
-	return mirror, told
+// newLimitedMirror returns a mirror that omits replica records beyond limit, and the changes of
+// that state that it reports.
+func newLimitedMirror(t *testing.T, store kv.ChangeStore, limit int) (*Mirror, *[]bool) {
+	reported := &[]bool{}
+	mirror := newTestMirror(t, store)
+	mirror.LimitReplicaRecords(testReplicaPrefix, limit, "", func(without bool) { *reported = append(*reported, without) })
+	return mirror, reported
 }
 
-func keysOf(update Update) (keys []string) {
+func updateKeys(update Update) (keys []string) {
 	for _, event := range update.Events {
 		keys = append(keys, event.Pair.Key)
 	}
 	return keys
 }
 
-// slowStore gives at most so many changes in an answer, as services do.
+// slowStore limits the number of changes in a response.
 type slowStore struct {
 	*fakeStore
-	events []kv.Event
-	most   int
+	events    []kv.Event
+	maxEvents int
 }
 
 func (s *slowStore) Changes(_ context.Context, _ string, after int64, wait time.Duration) ([]kv.Event, int64, error) {
 	time.Sleep(5 * time.Millisecond)
 	for index, event := range s.events {
 		if event.Pair.ModRevision > after {
-			events := s.events[index:min(len(s.events), index+s.most)]
+			events := s.events[index:min(len(s.events), index+s.maxEvents)]
 			return events, events[len(events)-1].Pair.ModRevision, nil
 		}
 	}
@@ -61,134 +61,134 @@
 	return nil, after, nil
 }
 
-// 10,000 replicas enter the registry within seconds. With a pause after each answer of 128 changes
-// they were known after 31 s, when the service had dropped the changes of the first.
-func TestManyChangesAreFollowedAsFastAsTheServiceGivesThem(t *testing.T) {
+// A delay after each full response would limit throughput, and a follower would fall behind when
+// many replicas register at once.
+func TestFullBatchesArePolledWithoutDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const replicas = 10_000
-		store := &slowStore{fakeStore: newFakeStore(), most: 128}
+		store := &slowStore{fakeStore: newFakeStore(), maxEvents: 128}
 		store.put("config", "1")
-		for number, pair := range bulkOf(replicas, 0) {
+		for number, pair := range replicaRecords(replicas, 0) {
 			pair.ModRevision = int64(number + 2)
 			store.events = append(store.events, kv.Event{Pair: pair})
 		}
-		mirror := mirrorOf(t, store)
-		mirror.Lead(true)
+		mirror := newTestMirror(t, store)
+		mirror.SetLeading(true)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go func() { _ = mirror.Serve(ctx) }()
-		began := time.Now()
+		started := time.Now()
 		for mirror.Revision() < replicas+1 {
 			time.Sleep(10 * time.Millisecond)
 		}
-		require.Less(t, time.Since(began), 2*time.Second)
+		require.Less(t, time.Since(started), 2*time.Second)
 	})
 }
 
-func TestAPeerThatDoesWithoutReplicasIsToldOfTheOthersOnly(t *testing.T) {
-	source, _ := limitedMirror(t, newFakeStore(), 3)
+func TestPartialPeerReceivesOnlyOtherRecords(t *testing.T) {
+	source, _ := newLimitedMirror(t, newFakeStore(), 3)
 	feed := &Feed{Mirror: source}
-	source.replace(append(bulkOf(3, 5), kv.Pair{Key: "config", Value: []byte("1"), ModRevision: 4}), 10, true)
-	require.False(t, feed.viewFor(view{}, false).without, "few replicas: all are told of all")
-	source.apply([]kv.Event{put(testBulk+"more", "ready", 11), put("config", "2", 12)}, 12)
-	require.True(t, source.TooLarge())
+	source.replaceAll(append(replicaRecords(3, 5), kv.Pair{Key: "config", Value: []byte("1"), ModRevision: 4}), 10, true)
+	require.False(t, feed.viewFor(view{}, false).omitsReplicas, "few replicas: every peer gets all records")
+	source.applyChanges([]kv.Event{put(testReplicaPrefix+"more", "ready", 11), put("config", "2", 12)}, 12)
+	require.True(t, source.TooManyReplicas())
 
 	peer := feed.viewFor(view{revision: 10}, false)
 	update, changed := source.since(peer)
-	require.True(t, update.WithoutBulk)
-	require.Equal(t, []string{"config"}, keysOf(update))
+	require.True(t, update.OmitsReplicaRecords)
+	require.Equal(t, []string{"config"}, updateKeys(update))
 	update, _ = source.since(feed.viewFor(view{revision: 10}, true))
-	require.Equal(t, []string{testBulk + "more", "config"}, keysOf(update), "a directory asks for all")
+	require.Equal(t, []string{testReplicaPrefix + "more", "config"}, updateKeys(update), "a directory requires all records")
 	update, _ = source.since(feed.viewFor(view{}, false))
 	require.True(t, update.Whole)
-	require.Equal(t, []string{"config"}, keysOf(update))
+	require.Equal(t, []string{"config"}, updateKeys(update))
 
-	source.apply([]kv.Event{put(testBulk+"yet-another", "ready", 13)}, 13)
+	source.applyChanges([]kv.Event{put(testReplicaPrefix+"yet-another", "ready", 13)}, 13)
 	select {
 	case <-changed:
-		t.Fatal("a replica's change wakes the streams of all daemons")
+		t.Fatal("a replica change woke the stream of a peer without replica records")
 	default:
 	}
-	source.apply([]kv.Event{put("config", "3", 14)}, 14)
+	source.applyChanges([]kv.Event{put("config", "3", 14)}, 14)
 	<-changed
 
-	// Most replicas leave: all are told of all again, from the beginning.
+	// Most replicas end: the peer is sent the complete list again.
 	for number := range 4 {
-		source.apply([]kv.Event{{Pair: kv.Pair{Key: fmt.Sprintf("%s%04d", testBulk, number), ModRevision: int64(20 + number)}, Deleted: true}}, int64(20+number))
+		source.applyChanges([]kv.Event{{Pair: kv.Pair{Key: fmt.Sprintf("%s%04d", testReplicaPrefix, number), ModRevision: int64(20 + number)}, Deleted: true}}, int64(20+number))
 	}
-	peer = feed.viewFor(view{revision: 23, without: true}, false)
+	peer = feed.viewFor(view{revision: 23, omitsReplicas: true}, false)
 	update, _ = source.since(peer)
 	require.True(t, update.Whole)
-	require.Contains(t, keysOf(update), testBulk+"more")
+	require.Contains(t, updateKeys(update), testReplicaPrefix+"more")
 }
 
-func TestADaemonDoesWithoutReplicasAndKnowsThemAgain(t *testing.T) {
-	mirror, told := limitedMirror(t, newFakeStore(), 3)
+func TestMirrorDropsAndRestoresReplicaRecords(t *testing.T) {
+	mirror, reported := newLimitedMirror(t, newFakeStore(), 3)
 	var handled []string
 	mirror.Handle("", func(event kv.Event) { handled = append(handled, event.Pair.Key) })
 	all := Update{Revision: 10, Whole: true}
-	for _, pair := range append(bulkOf(2, 5), kv.Pair{Key: "config", Value: []byte("1"), ModRevision: 4}) {
+	for _, pair := range append(replicaRecords(2, 5), kv.Pair{Key: "config", Value: []byte("1"), ModRevision: 4}) {
 		all.Events = append(all.Events, kv.Event{Pair: pair})
 	}
-	mirror.Take(all)
-	require.True(t, mirror.KnowsAll())
+	mirror.ApplyUpdate(all)
+	require.True(t, mirror.HasAll())
 
-	mirror.Take(Update{Revision: 12, WithoutBulk: true, Events: []kv.Event{put("config", "2", 12)}})
-	require.Equal(t, []bool{true}, *told)
-	require.False(t, mirror.KnowsAll())
+	mirror.ApplyUpdate(Update{Revision: 12, OmitsReplicaRecords: true, Events: []kv.Event{put("config", "2", 12)}})
+	require.Equal(t, []bool{true}, *reported)
+	require.False(t, mirror.HasAll())
 	require.Equal(t, "2", value(mirror, "config"))
-	_, known := mirror.Get(testBulk + "0000")
+	_, known := mirror.Get(testReplicaPrefix + "0000")
 	require.False(t, known)
 	handled = nil
-	mirror.Take(Update{Revision: 13, Events: []kv.Event{put(testBulk+"0000", "draining", 13)}})
-	require.Empty(t, handled, "what was on its way is not of use any more")
+	mirror.ApplyUpdate(Update{Revision: 13, Events: []kv.Event{put(testReplicaPrefix+"0000", "draining", 13)}})
+	require.Empty(t, handled, "changes of replicas are ignored")
 
-	mirror.Take(Update{Revision: 9, Whole: true, Events: all.Events})
-	require.False(t, mirror.KnowsAll(), "an older list is not taken")
+	mirror.ApplyUpdate(Update{Revision: 9, Whole: true, Events: all.Events})
+	require.False(t, mirror.HasAll(), "an older list is ignored")
 	require.Equal(t, "2", value(mirror, "config"))
 	all.Revision, all.Events = 13, append(all.Events[:2:2], put("config", "2", 12))
-	mirror.Take(all)
-	require.True(t, mirror.KnowsAll())
-	require.Equal(t, []bool{true, false}, *told)
-	require.ElementsMatch(t, []string{testBulk + "0000", testBulk + "0001"}, handled)
+	mirror.ApplyUpdate(all)
+	require.True(t, mirror.HasAll())
+	require.Equal(t, []bool{true, false}, *reported)
+	require.ElementsMatch(t, []string{testReplicaPrefix + "0000", testReplicaPrefix + "0001"}, handled)
 }
 
-func TestADirectoryIsNotMadeToDoWithoutReplicas(t *testing.T) {
-	mirror, told := limitedMirror(t, newFakeStore(), 3)
-	mirror.Take(Update{Revision: 10, Whole: true, Events: []kv.Event{put(testBulk+"a", "ready", 5)}})
-	mirror.WantBulk(true)
-	mirror.Take(Update{Revision: 12, WithoutBulk: true, Contact: time.Now(), Events: []kv.Event{put("config", "2", 12)}})
-	require.True(t, mirror.KnowsAll())
-	require.False(t, mirror.InContact(), "changes of replicas before revision 12 would be missed")
-	require.Empty(t, *told)
+func TestDirectoryRejectsUpdatesWithoutReplicaRecords(t *testing.T) {
+	mirror, reported := newLimitedMirror(t, newFakeStore(), 3)
+	mirror.ApplyUpdate(Update{Revision: 10, Whole: true, Events: []kv.Event{put(testReplicaPrefix+"a", "ready", 5)}})
+	mirror.RequireReplicaRecords(true)
+	mirror.ApplyUpdate(Update{Revision: 12, OmitsReplicaRecords: true, LastContact: time.Now(), Events: []kv.Event{put("config", "2", 12)}})
+	require.True(t, mirror.HasAll())
+	require.False(t, mirror.InContact(), "a rejected update confirms nothing")
+	require.Empty(t, *reported)
 }
 
-// The loss of all daemons: 985 that read all of 10,000 records are 49,000 calls.
-func TestTheFirstListEndsWhereReplicasProveTooMany(t *testing.T) {
+// When all daemons restart, each of them reading all replica records would overload the store.
+func TestInitialListStopsAtReplicaLimit(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		leads        bool
 		pages, reads int
-	}{{"a daemon among many", false, 20, 5}, {"the holder of load orders", true, 20, 20}, {"a small fleet", false, 3, 3}} {
+	}{{"a daemon among many", false, 20, 5}, {"the leader", true, 20, 20}, {"a small fleet", false, 3, 3}} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store := &countedPages{pagedStore{fakeStore: newFakeStore(), pause: time.Millisecond}, 0}
+				store := &countingStore{pagedStore{fakeStore: newFakeStore(), pageDelay: time.Millisecond}, 0}
 				store.revision = 20
-				store.pages = append(store.pages, pageOf(5, "config"))
-				all := bulkOf(10*(test.pages-1), 5)
+				store.pages = append(store.pages, newPage(5, "config"))
+				all := replicaRecords(10*(test.pages-1), 5)
 				for number := range test.pages - 1 {
 					store.pages = append(store.pages, all[10*number:10*number+10])
 				}
-				mirror, _ := limitedMirror(t, store, 30)
+				mirror, _ := newLimitedMirror(t, store, 30)
 				mirror.Handle("config", func(kv.Event) {})
-				mirror.Lead(test.leads)
+				mirror.SetLeading(test.leads)
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
 				go func() { _ = mirror.Serve(ctx) }()
 				time.Sleep(10 * time.Second)
 				synctest.Wait()
-				require.Equal(t, test.reads, store.read)
-				require.Equal(t, test.reads == test.pages, mirror.KnowsAll())
+				require.Equal(t, test.reads, store.pagesRead)
+				require.Equal(t, test.reads == test.pages, mirror.HasAll())
 				require.Equal(t, "config", value(mirror, "config"))
 				require.EqualValues(t, 20, mirror.Revision())
 			})
@@ -196,44 +196,44 @@
 	}
 }
 
-// countedPages counts the parts that were read.
-type countedPages struct {
+// countingStore counts the pages that were read.
+type countingStore struct {
 	pagedStore
-	read int
+	pagesRead int
 }
 
-func (s *countedPages) ListPages(ctx context.Context, prefix string, came func(kv.Page) bool) ([]kv.Pair, int64, error) {
+func (s *countingStore) ListPages(ctx context.Context, prefix string, onPage func(kv.Page) bool) ([]kv.Pair, int64, error) {
 	return s.pagedStore.ListPages(ctx, prefix, func(page kv.Page) bool {
-		s.read++
-		return came(page)
+		s.pagesRead++
+		return onPage(page)
 	})
 }
 
-// The age of a proof travels beside the records, packed or not: at a packed message it was lost,
-// and the configuration seemed proven when the question was asked.
-func TestAPackedUpdateKeepsTheAgeOfItsProof(t *testing.T) {
-	asked := time.Now()
+// A packed message must carry the age of the verification; without it the records would count as
+// verified when the query was sent.
+func TestPackedUpdateKeepsVerificationAge(t *testing.T) {
+	queried := time.Now()
 	feed := &Feed{}
-	sent := Update{Revision: 9, Whole: true, WithoutBulk: true, Proven: asked.Add(-700 * time.Millisecond), Contact: asked,
+	sent := Update{Revision: 9, Whole: true, OmitsReplicaRecords: true, Verified: queried.Add(-700 * time.Millisecond), LastContact: queried,
 		Events: []kv.Event{put("config", strings.Repeat("route ", 4000), 8)}}
-	message := feed.message(sent, asked)
+	message := feed.message(sent, queried)
 	require.NotEmpty(t, message.GetPacked())
-	got, err := updateOf(message, asked, asked)
+	got, err := decodeUpdate(message, queried, queried)
 	require.NoError(t, err)
 	require.Equal(t, sent, got)
 }
 
-// sizedStore lists by prefix, and takes writes.
-type sizedStore struct {
+// prefixStore lists by prefix and accepts writes.
+type prefixStore struct {
 	*fakeStore
-	listed []string
+	listedPrefixes []string
 }
 
-func (s *sizedStore) List(ctx context.Context, prefix string) ([]kv.Pair, int64, error) {
+func (s *prefixStore) List(ctx context.Context, prefix string) ([]kv.Pair, int64, error) {
 	all, revision, err := s.fakeStore.List(ctx, prefix)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.listed = append(s.listed, prefix)
+	s.listedPrefixes = append(s.listedPrefixes, prefix)
 	var pairs []kv.Pair
 	for _, pair := range all {
 		if strings.HasPrefix(pair.Key, prefix) {
@@ -243,77 +243,77 @@
 	return pairs, revision, err
 }
 
-func (s *sizedStore) Commit(_ context.Context, txn kv.Txn) (kv.TxnResult, error) {
+func (s *prefixStore) Commit(_ context.Context, txn kv.Txn) (kv.TxnResult, error) {
 	s.put(txn.Puts[0].Key, string(txn.Puts[0].Value))
 	return kv.TxnResult{Succeeded: true}, nil
 }
 
-// The loss of all daemons: parts of the first list for each of 985 were 600 MB, five seconds of the
-// service's link.
-func TestADaemonThatStartsReadsNoReplicasWhereThereAreTooMany(t *testing.T) {
+// When all daemons restart, the first pages of a complete list for each of them would already
+// saturate the store's link.
+func TestStartupSkipsReplicaRecordsOfLargeFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &sizedStore{fakeStore: newFakeStore()}
+		store := &prefixStore{fakeStore: newFakeStore()}
 		store.put("op/config", "1")
-		for _, pair := range bulkOf(10, 0) {
+		for _, pair := range replicaRecords(10, 0) {
 			store.put(pair.Key, "ready")
 		}
-		start := func(leads bool) (*Mirror, context.CancelFunc) {
-			mirror := mirrorOf(t, store)
-			mirror.Bulk(testBulk, 3, "finch/size", func(bool) {})
+		start := func(leading bool) (*Mirror, context.CancelFunc) {
+			mirror := newTestMirror(t, store)
+			mirror.LimitReplicaRecords(testReplicaPrefix, 3, "finch/size", func(bool) {})
 			mirror.Handle("op/config", func(kv.Event) {})
 			mirror.Handle("finch/term", func(kv.Event) {})
-			mirror.Lead(leads)
+			mirror.SetLeading(leading)
 			ctx, stop := context.WithCancel(t.Context())
 			go func() { _ = mirror.Serve(ctx) }()
 			time.Sleep(time.Second)
 			synctest.Wait()
 			return mirror, stop
 		}
-		holder, stop := start(true)
-		require.True(t, holder.KnowsAll())
-		store.put(testBulk+"more", "ready")
+		leader, stop := start(true)
+		require.True(t, leader.HasAll())
+		store.put(testReplicaPrefix+"more", "ready")
 		time.Sleep(time.Second)
 		stop()
 		synctest.Wait()
 
-		store.listed = nil
+		store.listedPrefixes = nil
 		daemon, stop := start(false)
 		defer stop()
-		require.False(t, daemon.KnowsAll())
+		require.False(t, daemon.HasAll())
 		require.Equal(t, "1", value(daemon, "op/config"))
-		require.NotContains(t, store.listed, "")
-		require.NotContains(t, store.listed, testBulk)
+		require.NotContains(t, store.listedPrefixes, "")
+		require.NotContains(t, store.listedPrefixes, testReplicaPrefix)
 
-		again, stopAgain := start(true)
-		defer stopAgain()
-		require.True(t, again.KnowsAll(), "who leads reads them all")
+		nextLeader, stopNext := start(true)
+		defer stopNext()
+		require.True(t, nextLeader.HasAll(), "the leader reads all records")
 	})
 }
 
-func TestAListThatIsOlderThanWhatAPeerToldIsNotTaken(t *testing.T) {
-	mirror, _ := limitedMirror(t, newFakeStore(), 3)
-	mirror.Take(Update{Revision: 20, Whole: true, Events: []kv.Event{put("config", "2", 20)}})
-	mirror.take([]kv.Pair{{Key: "config", Value: []byte("1"), ModRevision: 10}}, 18)
+func TestListOlderThanPeerRecordsIsIgnored(t *testing.T) {
+	mirror, _ := newLimitedMirror(t, newFakeStore(), 3)
+	mirror.ApplyUpdate(Update{Revision: 20, Whole: true, Events: []kv.Event{put("config", "2", 20)}})
+	mirror.applyList([]kv.Pair{{Key: "config", Value: []byte("1"), ModRevision: 10}}, 18)
 	require.Equal(t, "2", value(mirror, "config"))
 }
 
-// A daemon that had led left out what a peer said while it led, and then took the next, which names only
-// what came after: the configuration in between was never heard of.
-func TestAStreamEndsWithAnUpdateThatIsNotTaken(t *testing.T) {
-	source, address := servedSource(t.Context(), t)
-	source.Bulk(testBulk, 1, "", func(bool) {})
-	source.replace(append(bulkOf(2, 6), kv.Pair{Key: "config", Value: []byte("2"), ModRevision: 8}), 9, true)
-	source.narrow() // it leaves replicas out, whoever asks
-	mirror, _ := limitedMirror(t, newFakeStore(), 1)
-	mirror.Take(Update{Revision: 5, Whole: true, Events: []kv.Event{put("config", "1", 4), put(testBulk+"0000", "ready", 3)}})
-	mirror.WantBulk(true)
-	require.ErrorIs(t, followUntil(t, mirror, address, "2"), errUnsuited)
-	require.EqualValues(t, 5, mirror.Revision(), "nothing was taken")
-	mirror.WantBulk(false)
-	require.NoError(t, followUntil(t, mirror, address, "2"), "from what was known before")
+// Guards against a daemon that rejects an update, applies the next one, and so misses the changes
+// in between.
+func TestStreamEndsOnRejectedUpdate(t *testing.T) {
+	source, address := serveSource(t.Context(), t)
+	source.LimitReplicaRecords(testReplicaPrefix, 1, "", func(bool) {})
+	source.replaceAll(append(replicaRecords(2, 6), kv.Pair{Key: "config", Value: []byte("2"), ModRevision: 8}), 9, true)
+	source.dropReplicaRecords() // the source omits replica records for every peer
+	mirror, _ := newLimitedMirror(t, newFakeStore(), 1)
+	mirror.ApplyUpdate(Update{Revision: 5, Whole: true, Events: []kv.Event{put("config", "1", 4), put(testReplicaPrefix+"0000", "ready", 3)}})
+	mirror.RequireReplicaRecords(true)
+	require.ErrorIs(t, followUntil(t, mirror, address, "2"), errUpdateRejected)
+	require.EqualValues(t, 5, mirror.Revision(), "nothing was applied")
+	mirror.RequireReplicaRecords(false)
+	require.NoError(t, followUntil(t, mirror, address, "2"), "the stream resumes at the known revision")
 }
 
-// followUntil follows a peer until the configuration is known, or the stream ends.
+// followUntil follows a peer until the configuration has the given value or the stream ends.
 func followUntil(t *testing.T, mirror *Mirror, address, config string) error {
 	t.Helper()
 	conn, err := transport.Dial(t.Context(), address)
@@ -326,36 +326,28 @@
 		case err := <-ended:
 			return err
 		case <-timeout:
-			return errors.New("nothing came, and the stream goes on")
+			return errors.New("no update within the timeout, and the stream is open")
 		case <-time.After(time.Millisecond):
 		}
 	}
 	return nil
 }
 
-// What was seen: a directory that the holder had named knew no replicas for 11 s, until the configuration
-// changed or the holder was lost, and nobody could ask it.
-//
-// How it came about: it asked a peer for all records, and knew a change that the peer had not heard of
-// yet. The list was older than what it knew, so it was left out, and the peer went on with changes alone.
-//
-// The cause: a list that was not taken in counted as taken.
-//
-// What proved it: lines of what was asked, sent and left out, in the four of 30 plays of a fleet of 24
-// daemons that showed it.
-func TestAListThatADirectoryCannotTakeInIsAskedForAgain(t *testing.T) {
-	directory, told := limitedMirror(t, newFakeStore(), 3)
-	directory.Take(Update{Revision: 10, Whole: true, WithoutBulk: true, Events: []kv.Event{put("config", "1", 4)}})
-	directory.Take(Update{Revision: 13, WithoutBulk: true, Events: []kv.Event{put("config", "2", 13)}})
-	directory.WantBulk(true)
+// Guards against a directory that ignores an outdated list, but lets the peer continue with changes
+// only: its replica records would stay missing.
+func TestDirectoryRejectsOutdatedList(t *testing.T) {
+	directory, reported := newLimitedMirror(t, newFakeStore(), 3)
+	directory.ApplyUpdate(Update{Revision: 10, Whole: true, OmitsReplicaRecords: true, Events: []kv.Event{put("config", "1", 4)}})
+	directory.ApplyUpdate(Update{Revision: 13, OmitsReplicaRecords: true, Events: []kv.Event{put("config", "2", 13)}})
+	directory.RequireReplicaRecords(true)
 	all := Update{Revision: 11, Whole: true}
-	for _, pair := range append(bulkOf(5, 5), kv.Pair{Key: "config", Value: []byte("1"), ModRevision: 4}) {
+	for _, pair := range append(replicaRecords(5, 5), kv.Pair{Key: "config", Value: []byte("1"), ModRevision: 4}) {
 		all.Events = append(all.Events, kv.Event{Pair: pair})
 	}
-	require.False(t, directory.Take(all), "it is older than what is known here")
-	require.Equal(t, "2", value(directory, "config"), "nothing goes back")
+	require.False(t, directory.ApplyUpdate(all), "the list is older than the mirror")
+	require.Equal(t, "2", value(directory, "config"), "records are never rolled back")
 	all.Revision = 13
-	require.True(t, directory.Take(all))
-	require.True(t, directory.KnowsAll())
-	require.Equal(t, []bool{true, false}, *told)
+	require.True(t, directory.ApplyUpdate(all))
+	require.True(t, directory.HasAll())
+	require.Equal(t, []bool{true, false}, *reported)
 }
--- a/records/changes.go
+++ b/records/changes.go
@@ -6,32 +6,32 @@
 	"github.com/finchspoke/finchspoke/kv"
 )
 
-// mostRecent bounds the changes that are kept for peers which come back.
-const mostRecent = 1024
+// maxRecentChanges bounds the changes that are kept for peers that reconnect.
+const maxRecentChanges = 1024
 
-// changeLog keeps the newest changes in the order of the service's revisions, so
-// that a peer which knows an earlier revision needs no whole list.
+// changeLog keeps the latest changes in order of their revisions, so that a peer with an earlier
+// revision does not need the complete list.
 type changeLog struct {
 	events []kv.Event
-	// floor is the revision after which the log lacks nothing.
+	// floor is the revision after which the log is complete.
 	floor int64
 }
 
-// restart forgets all changes: what came before a revision is not known one by one.
-func (c *changeLog) restart(revision int64) {
+// reset empties the log after a complete list, whose individual changes are unknown.
+func (c *changeLog) reset(revision int64) {
 	c.events, c.floor = nil, revision
 }
 
-// add takes in changes that came after all others.
+// add appends changes that are newer than all others.
 func (c *changeLog) add(events []kv.Event) {
 	c.events = append(c.events, events...)
-	if surplus := len(c.events) - mostRecent; surplus > 0 {
+	if surplus := len(c.events) - maxRecentChanges; surplus > 0 {
 		c.floor = c.events[surplus-1].Pair.ModRevision
 		c.events = slices.Clone(c.events[surplus:])
 	}
 }
 
-// since returns the changes after a revision; known is false if some are missing.
+// since returns the changes after a revision; known is false if some of them are no longer kept.
 func (c *changeLog) since(revision int64) (events []kv.Event, known bool) {
 	if revision < c.floor {
 		return nil, false
--- a/records/contact.go
+++ b/records/contact.go
@@ -8,70 +8,70 @@
 	"github.com/finchspoke/finchspoke/logging"
 )
 
-// answered notes that the service answered here, and tells the peers. The records are
-// proven from when the call was sent: its answer may have waited.
-func (m *Mirror) answered(at, sent time.Time) {
+// contacted records that the store answered, and notifies peers. The records are verified as of the
+// time the call was sent, because its response may have been delayed.
+func (m *Mirror) contacted(at, sent time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.contact, m.provenHere = at, sent
-	m.regain()
+	m.lastContact, m.verifiedLocally = at, sent
+	m.markReachable()
 	m.notify(true)
 }
 
-// regain notes that the service is heard again; the mutex is held.
-func (m *Mirror) regain() {
-	if !m.reached {
-		m.reached = true
+// markReachable records and logs that the store is reachable again. Callers hold the mutex.
+func (m *Mirror) markReachable() {
+	if !m.storeReachable {
+		m.storeReachable = true
 		m.log.WithField(logging.Dependency, dependencyService).WithFields(logging.AtRevision(m.revision)).Info(logging.MessageDependencyRegained)
 	}
 }
 
-// lose notes that the service does not answer here.
-func (m *Mirror) lose(cause error) {
+// markUnreachable records and logs that the store does not answer this daemon.
+func (m *Mirror) markUnreachable(cause error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if !m.reached || !m.vouched.IsZero() {
+	if !m.storeReachable || !m.confirmedAt.IsZero() {
 		return
 	}
-	m.reached = false
+	m.storeReachable = false
 	m.log.WithFields(logrus.Fields{logging.Dependency: dependencyService, logging.Cause: cause.Error()}).WithFields(logging.AtRevision(m.revision)).
 		Warn(logging.MessageDependencyLost)
 }
 
-// Reached tells whether the service answered last, here or to a peer that vouches.
-func (m *Mirror) Reached() bool {
+// StoreReachable tells whether the last call to the store succeeded, here or at a confirming peer.
+func (m *Mirror) StoreReachable() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.reached
+	return m.storeReachable
 }
 
-// ContactAge returns how long ago the service surely answered this daemon, or the peer that vouches
-// for the records.
+// ContactAge returns how long ago the store last answered this daemon or the peer that confirms its
+// records.
 func (m *Mirror) ContactAge() (age time.Duration, known bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	latest := m.contact
-	for _, word := range []time.Time{m.vouched, m.heard.contact} {
-		if word.After(latest) {
-			latest = word
+	latest := m.lastContact
+	for _, at := range []time.Time{m.confirmedAt, m.leaderReport.lastContact} {
+		if at.After(latest) {
+			latest = at
 		}
 	}
 	return m.now().Sub(latest), !latest.IsZero()
 }
 
-// answeredLately tells whether the service itself answered here lately.
-func (m *Mirror) answeredLately() bool {
+// hasRecentContact tells whether the store itself answered this daemon recently.
+func (m *Mirror) hasRecentContact() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.lately(m.contact)
+	return m.isRecent(m.lastContact)
 }
 
-// lately tells whether an answer of the service still counts.
-func (m *Mirror) lately(at time.Time) bool { return m.now().Sub(at) < vouchTime }
+// isRecent tells whether contact with the store at a given time is still valid.
+func (m *Mirror) isRecent(at time.Time) bool { return m.now().Sub(at) < confirmationTTL }
 
-// InContact tells whether the service answered lately, here or to the peer that vouches.
+// InContact tells whether the store answered recently, here or at the confirming peer.
 func (m *Mirror) InContact() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.lately(m.contact) || m.lately(m.vouched)
+	return m.isRecent(m.lastContact) || m.isRecent(m.confirmedAt)
 }
--- a/records/era.go
+++ b/records/era.go
@@ -9,55 +9,56 @@
 	"github.com/finchspoke/finchspoke/logging"
 )
 
-// A service that is restored from a copy goes on from older records, at revisions that it has given out
-// before (package kv). What a peer says by the records of an earlier era is then neither news, nor proof of
-// what holds, nor a sign that the service is heard.
+// A store that is restored from a backup continues from older records, and reuses revisions that it
+// has already assigned (package kv). A report by a peer whose records are of an earlier era is then
+// neither an update, nor a verification, nor a sign of contact with the store.
 
-// outdate notes that the service was restored since the records that are known.
-func (m *Mirror) outdate() {
+// markOutdated records that the store was restored since the mirrored records were read.
+func (m *Mirror) markOutdated() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.outdated {
 		return
 	}
 	m.outdated = true
-	m.distrustPeers()
-	m.log.WithFields(logging.AtRevision(m.revision)).Warn("the key-value service was restored from a copy; its records are listed again")
+	m.forgetConfirmations()
+	m.log.WithFields(logging.AtRevision(m.revision)).Warn("key-value service was restored from a backup; listing records again")
 }
 
-// leaveEra forgets what was heard in an earlier era, where the records that are known now are of a later
-// one than before; the mutex is held.
-func (m *Mirror) leaveEra(before int64) {
+// enterEra discards the reports of an earlier era if the records are of a later era than before.
+// Callers hold the mutex.
+func (m *Mirror) enterEra(before int64) {
 	if kv.EraOf(m.revision) > kv.EraOf(before) {
 		m.outdated = false
-		m.distrustPeers()
+		m.forgetConfirmations()
 	}
 }
 
-// distrustPeers forgets the word of peers that they hear the service; the mutex is held. What was proven
-// at a moment stays so: the configuration in force is never taken back.
-func (m *Mirror) distrustPeers() { m.vouched, m.heard = time.Time{}, heardOf{} }
+// forgetConfirmations discards peers' reports of contact with the store. Callers hold the mutex.
+// Past verifications remain valid: the configuration in effect is never rolled back.
+func (m *Mirror) forgetConfirmations() { m.confirmedAt, m.leaderReport = time.Time{}, leaderTimes{} }
 
-// isOfEarlierEra tells whether a peer's records are of an earlier era than is known here; the mutex is held.
-func (m *Mirror) isOfEarlierEra(update Update) bool {
-	told, known := kv.EraOf(update.Revision), kv.EraOf(m.revision)
-	return told < known || m.outdated && told == known
+// fromEarlierEra tells whether a peer's records are of an earlier era than the mirror's. Callers
+// hold the mutex.
+func (m *Mirror) fromEarlierEra(update Update) bool {
+	reported, known := kv.EraOf(update.Revision), kv.EraOf(m.revision)
+	return reported < known || m.outdated && reported == known
 }
 
-// noteRestore marks and logs the events of a list whose records replaced those of an earlier era; others it
-// leaves as they are.
-func (m *Mirror) noteRestore(before, after int64, events []kv.Event) {
+// markRestored marks and logs the events of a list that replaced the records of an earlier era. It
+// leaves other events unchanged.
+func (m *Mirror) markRestored(before, after int64, events []kv.Event) {
 	if before == 0 || kv.EraOf(after) == kv.EraOf(before) {
 		return
 	}
-	gone := 0
+	deleted := 0
 	for index := range events {
 		events[index].Restored = true
 		if events[index].Deleted {
-			gone++
+			deleted++
 		}
 	}
 	m.log.WithFields(logging.AtRevision(after)).WithFields(logrus.Fields{
-		logging.EraBefore: kv.EraOf(before), logging.RevisionBefore: kv.CountOf(before), logging.Listed: len(events) - gone, logging.Gone: gone,
+		logging.EraBefore: kv.EraOf(before), logging.RevisionBefore: kv.CountOf(before), logging.Listed: len(events) - deleted, logging.Gone: deleted,
 	}).Warn(logging.MessageServiceRestored)
 }
--- a/records/era_test.go
+++ b/records/era_test.go
@@ -14,14 +14,14 @@
 	"github.com/finchspoke/finchspoke/kv"
 )
 
-// copied returns what the store holds, and its count of changes.
-func (s *fakeStore) copied() (pairs map[string]kv.Pair, count int64) {
+// snapshot returns the store's records and its revision counter.
+func (s *fakeStore) snapshot() (pairs map[string]kv.Pair, count int64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return maps.Clone(s.pairs), kv.CountOf(s.revision)
 }
 
-// restore makes the store go on from a copy, in its next era.
+// restore makes the store continue from a backup, in its next era.
 func (s *fakeStore) restore(pairs map[string]kv.Pair, count int64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -55,105 +55,106 @@
 	return values
 }
 
-func TestARestoredServiceIsListedThoughItsCountIsLower(t *testing.T) {
+func TestRestoredStoreIsListedDespiteLowerRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, mirror, stop := followedOne(t)
+		store, mirror, stop := startMirrorWithConfig(t)
 		defer stop()
-		earlier, count := store.copied()
+		backup, count := store.snapshot()
 		for number := range 30 {
 			store.put("servers/a", fmt.Sprint(number))
 		}
 		time.Sleep(2 * time.Second)
 		require.Equal(t, "29", value(mirror, "servers/a"))
-		store.restore(earlier, count)
+		store.restore(backup, count)
 		store.put("config", "2")
 		time.Sleep(time.Second)
 		require.Equal(t, store.values(), values(mirror))
 		require.EqualValues(t, 1, kv.EraOf(mirror.Revision()))
-		require.LessOrEqual(t, store.lists, 3, "one list for each era, and one more for a change that came meanwhile")
+		require.LessOrEqual(t, store.lists, 3, "one list for each era, and one more for a concurrent change")
 	})
 }
 
-// A peer that has not heard of the restore vouches for nothing and proves nothing, however high its count.
-func TestTheWordOfAPeerOfAnEarlierEraDoesNotCount(t *testing.T) {
+// A peer that has not noticed the restore confirms and verifies nothing, however high its revision.
+func TestPeerOfEarlierEraIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		mirror := mirrorOf(t, newFakeStore())
+		mirror := newTestMirror(t, newFakeStore())
 		restored, earlier := kv.RevisionIn(2, 5), kv.RevisionIn(1, 90)
-		require.True(t, mirror.Take(Update{Revision: restored, Whole: true, Events: []kv.Event{put("config", "3", kv.RevisionIn(2, 3))}, Contact: time.Now().Add(-vouchTime / 2)}))
+		require.True(t, mirror.ApplyUpdate(Update{Revision: restored, Whole: true, Events: []kv.Event{put("config", "3", kv.RevisionIn(2, 3))}, LastContact: time.Now().Add(-confirmationTTL / 2)}))
 		for _, update := range []Update{
-			{Revision: earlier, Contact: time.Now(), Proven: time.Now()},
-			{Revision: earlier, Whole: true, Events: []kv.Event{put("config", "9", kv.RevisionIn(1, 80))}, Contact: time.Now(), Proven: time.Now()},
-			{Revision: earlier, Events: []kv.Event{put("servers/a", "1", earlier)}, Contact: time.Now(), Proven: time.Now()},
+			{Revision: earlier, LastContact: time.Now(), Verified: time.Now()},
+			{Revision: earlier, Whole: true, Events: []kv.Event{put("config", "9", kv.RevisionIn(1, 80))}, LastContact: time.Now(), Verified: time.Now()},
+			{Revision: earlier, Events: []kv.Event{put("servers/a", "1", earlier)}, LastContact: time.Now(), Verified: time.Now()},
 		} {
-			require.True(t, mirror.Take(update), "the peer is listened to until it hears of the restore")
+			require.True(t, mirror.ApplyUpdate(update), "the stream continues until the peer notices the restore")
 		}
 		require.Equal(t, map[string]string{"config": "3"}, values(mirror))
-		require.True(t, mirror.ProvenAt().IsZero())
-		time.Sleep(vouchTime / 2)
+		require.True(t, mirror.VerifiedAt().IsZero())
+		time.Sleep(confirmationTTL / 2)
 		require.False(t, mirror.InContact())
 	})
 }
 
-// A daemon that hears of the restore from the service itself stops listening to peers of the era before.
-func TestARestoreThatTheServiceTellsEndsTheVouchingOfPeers(t *testing.T) {
+// A daemon that learns of the restore from the store ignores peers of the previous era.
+func TestRestoreSeenAtStoreEndsPeerConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
 		store.put("config", "1")
-		mirror := mirrorOf(t, store)
-		mirror.LimitProof("config", time.Second)
+		mirror := newTestMirror(t, store)
+		mirror.VerifyWithin("config", time.Second)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go func() { _ = mirror.Serve(ctx) }()
-		vouchFor(mirror, 2*time.Second)
-		pairs, count := store.copied()
+		confirmFor(mirror, 2*time.Second)
+		pairs, count := store.snapshot()
 		store.restore(pairs, count)
 		store.put("config", "2")
-		for range 20 { // the peer goes on vouching
-			mirror.Take(Update{Revision: 1, Contact: time.Now()})
+		for range 20 { // the peer keeps confirming
+			mirror.ApplyUpdate(Update{Revision: 1, LastContact: time.Now()})
 			time.Sleep(100 * time.Millisecond)
 		}
 		require.Equal(t, "2", value(mirror, "config"))
 	})
 }
 
-// Between the word of a restore and the next list, the records that are known here are those of before.
-func TestPeersAreNotBelievedBetweenARestoreAndTheNextList(t *testing.T) {
+// Between the detection of a restore and the next list, the mirrored records are of the earlier
+// era.
+func TestPeersOfEarlierEraAreIgnoredUntilNextList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		mirror := mirrorOf(t, newFakeStore())
-		mirror.replace([]kv.Pair{put("config", "1", 5).Pair}, 5, true)
-		mirror.Take(Update{Revision: 5, Contact: time.Now()})
+		mirror := newTestMirror(t, newFakeStore())
+		mirror.replaceAll([]kv.Pair{put("config", "1", 5).Pair}, 5, true)
+		mirror.ApplyUpdate(Update{Revision: 5, LastContact: time.Now()})
 		require.True(t, mirror.InContact())
-		mirror.outdate()
-		require.False(t, mirror.InContact(), "what was heard is of before")
-		mirror.Take(Update{Revision: 9, Events: []kv.Event{put("config", "2", 9)}, Contact: time.Now(), Proven: time.Now()})
+		mirror.markOutdated()
+		require.False(t, mirror.InContact(), "the confirmation is of the earlier era")
+		mirror.ApplyUpdate(Update{Revision: 9, Events: []kv.Event{put("config", "2", 9)}, LastContact: time.Now(), Verified: time.Now()})
 		require.False(t, mirror.InContact())
-		require.True(t, mirror.ProvenAt().IsZero())
+		require.True(t, mirror.VerifiedAt().IsZero())
 		require.Equal(t, "1", value(mirror, "config"))
 		restored := kv.RevisionIn(1, 4)
-		mirror.Take(Update{Revision: restored, Whole: true, Events: []kv.Event{put("config", "3", restored)}, Contact: time.Now(), Proven: time.Now()})
+		mirror.ApplyUpdate(Update{Revision: restored, Whole: true, Events: []kv.Event{put("config", "3", restored)}, LastContact: time.Now(), Verified: time.Now()})
 		require.True(t, mirror.InContact())
-		require.False(t, mirror.ProvenAt().IsZero())
+		require.False(t, mirror.VerifiedAt().IsZero())
 		require.Equal(t, "3", value(mirror, "config"))
 	})
 }
 
-func TestAPeerOfAnEarlierEraGetsAllRecords(t *testing.T) {
-	source := mirrorOf(t, newFakeStore())
-	source.replace([]kv.Pair{put("config", "1", 5).Pair}, 90, true)
+func TestPeerOfEarlierEraGetsCompleteList(t *testing.T) {
+	source := newTestMirror(t, newFakeStore())
+	source.replaceAll([]kv.Pair{put("config", "1", 5).Pair}, 90, true)
 	before, _ := source.since(view{})
-	follower := mirrorOf(t, newFakeStore())
-	require.True(t, follower.Take(before))
-	source.replace([]kv.Pair{put("config", "2", kv.RevisionIn(1, 6)).Pair}, kv.RevisionIn(1, 6), true)
+	follower := newTestMirror(t, newFakeStore())
+	require.True(t, follower.ApplyUpdate(before))
+	source.replaceAll([]kv.Pair{put("config", "2", kv.RevisionIn(1, 6)).Pair}, kv.RevisionIn(1, 6), true)
 	after, _ := source.since(view{revision: before.Revision})
 	require.True(t, after.Whole)
-	require.True(t, follower.Take(after))
+	require.True(t, follower.ApplyUpdate(after))
 	require.Equal(t, "2", value(follower, "config"))
 	require.Equal(t, source.Revision(), follower.Revision())
 }
 
-// Over random histories of writes, outages and restores, a daemon that follows the service and one that
-// listens to it come to know what the service holds.
-func TestRecordsBecomeThoseOfTheServiceOverRandomRestores(t *testing.T) {
+// After random writes, outages and restores, a daemon that polls the store and one that follows it
+// converge to the store's records.
+func TestMirrorsConvergeOverRandomRestores(t *testing.T) {
 	const (
 		histories = 60
 		steps     = 40
@@ -161,34 +162,34 @@
 	for seed := range uint64(histories) {
 		synctest.Test(t, func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 45))
-			store, mirror, stop := followedOne(t)
+			store, mirror, stop := startMirrorWithConfig(t)
 			defer stop()
-			follower := mirrorOf(t, newFakeStore())
-			told := view{}
-			earlier, count := store.copied()
+			follower := newTestMirror(t, newFakeStore())
+			peer := view{}
+			backup, count := store.snapshot()
 			for range steps {
 				switch random.IntN(8) {
 				case 0:
-					earlier, count = store.copied()
+					backup, count = store.snapshot()
 				case 1:
-					store.restore(earlier, count)
+					store.restore(backup, count)
 				case 2:
-					store.set(random.IntN(2) == 0)
+					store.setSilent(random.IntN(2) == 0)
 				case 3:
-					update, _ := mirror.since(told)
-					require.True(t, follower.Take(update))
-					told.revision = max(told.revision, update.Revision)
+					update, _ := mirror.since(peer)
+					require.True(t, follower.ApplyUpdate(update))
+					peer.revision = max(peer.revision, update.Revision)
 				case 4:
 					time.Sleep(time.Duration(random.IntN(1500)) * time.Millisecond)
 				default:
 					store.put(fmt.Sprintf("servers/%d", random.IntN(5)), fmt.Sprint(random.IntN(100)))
 				}
 			}
-			store.set(false)
+			store.setSilent(false)
 			time.Sleep(5 * time.Second)
 			require.Equal(t, store.values(), values(mirror), "seed %d", seed)
-			update, _ := mirror.since(told)
-			require.True(t, follower.Take(update))
+			update, _ := mirror.since(peer)
+			require.True(t, follower.ApplyUpdate(update))
 			require.Equal(t, store.values(), values(follower), "seed %d", seed)
 		})
 	}
--- a/records/feed.go
+++ b/records/feed.go
@@ -15,38 +15,37 @@
 	"github.com/finchspoke/finchspoke/sleep"
 )
 
-// Feed passes the mirror's records on to peers. It implements rpc.DRPCRecordsServer.
+// Feed forwards the mirror's records to peers. It implements rpc.DRPCRecordsServer.
 type Feed struct {
 	Mirror *Mirror
 
 	mutex sync.Mutex
-	// packed are the records of the newest updates, by what the peer knew: peers that
-	// know the same share the work.
-	packed map[packedKey]*rpc.RecordsUpdate
+	// cache holds recently encoded updates, so that peers at the same state share the work.
+	cache map[cacheKey]*rpc.RecordsUpdate
 }
 
-// packedKey names an update by the records in it: peers at different revisions often lack the same
-// ones.
-type packedKey struct {
-	first, last    int64 // revisions of the first and the last change
-	count          int
-	whole, without bool
+// cacheKey identifies an update by the records in it: peers at different revisions often need the
+// same ones.
+type cacheKey struct {
+	first, last             int64 // revisions of the first and last change
+	count                   int
+	complete, omitsReplicas bool
 }
 
-func keyOf(update Update) packedKey {
-	key := packedKey{last: update.Revision, count: len(update.Events), whole: update.Whole, without: update.WithoutBulk}
+func cacheKeyOf(update Update) cacheKey {
+	key := cacheKey{last: update.Revision, count: len(update.Events), complete: update.Whole, omitsReplicas: update.OmitsReplicaRecords}
 	if !update.Whole {
 		key.first, key.last = update.Events[0].Pair.ModRevision, update.Events[len(update.Events)-1].Pair.ModRevision
 	}
 	return key
 }
 
-// mostPacked bounds the updates that are kept for other peers.
-const mostPacked = 16
+// maxCachedUpdates bounds the encoded updates that are kept for other peers.
+const maxCachedUpdates = 16
 
-// errBehind ends a stream to a peer whose revision is too old for changes to be sent,
-// and which can ask the service itself.
-var errBehind = errors.New("the changes since the revision known are not kept; ask the key-value service")
+// errBehind ends a stream to a peer whose revision is too old for incremental changes, and which
+// can poll the store itself.
+var errBehind = errors.New("known revision is too old for incremental changes; poll the key-value service")
 
 // Follow implements rpc.DRPCRecordsServer.
 func (f *Feed) Follow(stream rpc.DRPCRecords_FollowStream) error {
@@ -54,21 +53,21 @@
 	if err != nil {
 		return err
 	}
-	var asked asked
-	asked.take(request)
+	var peerRequest peerRequest
+	peerRequest.set(request)
 	failed := make(chan error, 1)
-	go func() { failed <- asked.hear(stream) }()
+	go func() { failed <- peerRequest.receive(stream) }()
 	peer := view{revision: request.GetKnownRevision()}
 	for first := true; ; first = false {
-		// The question is read before the records: what is said of them holds after it.
-		question := asked.question.Load()
-		peer = f.viewFor(peer, asked.all.Load())
+		// The query is read before the records, so that the reported state is later than the query.
+		query := peerRequest.query.Load()
+		peer = f.viewFor(peer, peerRequest.all.Load())
 		update, changed := f.Mirror.since(peer)
-		if update.Whole && first && !request.GetWhole() && !update.WithoutBulk { // without the bulk it is short
+		if update.Whole && first && !request.GetWhole() && !update.OmitsReplicaRecords { // without replica records the list is short
 			return errBehind
 		}
 		message := f.message(update, f.Mirror.now())
-		message.Question = question
+		message.Question = query
 		if err := stream.Send(message); err != nil {
 			return err
 		}
@@ -80,78 +79,79 @@
 			return err
 		case <-changed:
 		}
-		if peer.without {
-			sleep.For(stream.Context(), othersPause)
+		if peer.omitsReplicas {
+			sleep.For(stream.Context(), partialBatchDelay)
 		}
 	}
 }
 
-// othersPause gathers what is told to peers that do without the bulk. They are many; what they
-// are told of, the configuration above all, may be some tenths of a second old.
-const othersPause = 100 * time.Millisecond
+// partialBatchDelay batches updates to peers without replica records. There are many of them, and
+// they tolerate a delay of a fraction of a second.
+const partialBatchDelay = 100 * time.Millisecond
 
-// viewFor returns what a peer is told of from now on. One that is told of the bulk again gets all
-// records.
+// viewFor returns the view to send to a peer from now on. A peer that gets replica records again is
+// sent all records.
 func (f *Feed) viewFor(peer view, all bool) view {
-	without := f.Mirror.TooLarge() && !all
-	if peer.without && !without {
+	omitsReplicas := f.Mirror.TooManyReplicas() && !all
+	if peer.omitsReplicas && !omitsReplicas {
 		peer.revision = 0
 	}
-	peer.without = without
+	peer.omitsReplicas = omitsReplicas
 	return peer
 }
 
-// asked is the newest that a peer said on its stream.
-type asked struct {
-	question atomic.Uint64
-	all      atomic.Bool
+// peerRequest is the latest state that a peer sent on its stream.
+type peerRequest struct {
+	query atomic.Uint64
+	all   atomic.Bool
 }
 
-func (a *asked) take(message *rpc.FollowRecords) {
-	a.question.Store(message.GetQuestion())
-	a.all.Store(message.GetAll())
+func (r *peerRequest) set(message *rpc.FollowRecords) {
+	r.query.Store(message.GetQuestion())
+	r.all.Store(message.GetAll())
 }
 
-// hear takes in what the peer says until the stream breaks.
-func (a *asked) hear(stream rpc.DRPCRecords_FollowStream) error {
+// receive reads the peer's messages until the stream breaks.
+func (r *peerRequest) receive(stream rpc.DRPCRecords_FollowStream) error {
 	for {
 		message, err := stream.Recv()
 		if err != nil {
 			return err
 		}
-		a.take(message)
+		r.set(message)
 	}
 }
 
-// message makes the message of an update.
+// message encodes an update.
 func (f *Feed) message(update Update, now time.Time) *rpc.RecordsUpdate {
-	message := &rpc.RecordsUpdate{Revision: update.Revision, Whole: update.Whole, WithoutReplicas: update.WithoutBulk, SecondHand: update.SecondHand, ContactAgeMs: never, ProvenAgeMs: never}
-	if !update.Contact.IsZero() {
-		message.ContactAgeMs = max(0, now.Sub(update.Contact).Milliseconds())
+	message := &rpc.RecordsUpdate{Revision: update.Revision, Whole: update.Whole, WithoutReplicas: update.OmitsReplicaRecords, SecondHand: update.SecondHand, ContactAgeMs: unknownAge, ProvenAgeMs: unknownAge}
+	if !update.LastContact.IsZero() {
+		message.ContactAgeMs = max(0, now.Sub(update.LastContact).Milliseconds())
 	}
-	if !update.Proven.IsZero() {
-		message.ProvenAgeMs = roundedUp(now.Sub(update.Proven))
+	if !update.Verified.IsZero() {
+		message.ProvenAgeMs = ceilMillis(now.Sub(update.Verified))
 	}
 	if len(update.Events) > 0 {
-		content := f.content(keyOf(update), update.Events)
+		content := f.content(cacheKeyOf(update), update.Events)
 		message.Records, message.Gone, message.Packed = content.GetRecords(), content.GetGone(), content.GetPacked()
 	}
 	return message
 }
 
-// never is the age of what there never was.
-const never = -1
+// unknownAge is sent as the age of an event that never happened.
+const unknownAge = -1
 
-// roundedUp returns an age in milliseconds: what is proven must not look newer than it is.
-func roundedUp(age time.Duration) int64 {
+// ceilMillis returns an age in milliseconds, rounded up: a verification must not look newer than it
+// is.
+func ceilMillis(age time.Duration) int64 {
 	return int64((max(0, age) + time.Millisecond - 1) / time.Millisecond)
 }
 
-// content returns the records of an update, compressed if they are long.
-func (f *Feed) content(key packedKey, events []kv.Event) *rpc.RecordsUpdate {
+// content returns the encoded records of an update, compressed if they are long.
+func (f *Feed) content(key cacheKey, events []kv.Event) *rpc.RecordsUpdate {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if known := f.packed[key]; known != nil {
+	if known := f.cache[key]; known != nil {
 		return known
 	}
 	content := &rpc.RecordsUpdate{}
@@ -163,26 +163,26 @@
 			content.Records = append(content.Records, record)
 		}
 	}
-	if f.packed == nil || len(f.packed) >= mostPacked {
-		f.packed = map[packedKey]*rpc.RecordsUpdate{}
+	if f.cache == nil || len(f.cache) >= maxCachedUpdates {
+		f.cache = map[cacheKey]*rpc.RecordsUpdate{}
 	}
-	f.packed[key] = content.Pack()
-	return f.packed[key]
+	f.cache[key] = content.Pack()
+	return f.cache[key]
 }
 
-// updateOf reads a peer's message that came at a moment; asked is when the question that it
-// answers was sent, the zero time if that is not known.
-func updateOf(message *rpc.RecordsUpdate, now, asked time.Time) (Update, error) {
+// decodeUpdate decodes a message that was received at now. queried is when the query that it
+// answers was sent; zero if unknown.
+func decodeUpdate(message *rpc.RecordsUpdate, now, queried time.Time) (Update, error) {
 	message, err := message.Unpack()
 	if err != nil {
 		return Update{}, err
 	}
-	update := Update{Revision: message.GetRevision(), Whole: message.GetWhole(), WithoutBulk: message.GetWithoutReplicas(), SecondHand: message.GetSecondHand()}
+	update := Update{Revision: message.GetRevision(), Whole: message.GetWhole(), OmitsReplicaRecords: message.GetWithoutReplicas(), SecondHand: message.GetSecondHand()}
 	if age := message.GetContactAgeMs(); age >= 0 {
-		update.Contact = now.Add(-time.Duration(age) * time.Millisecond)
+		update.LastContact = now.Add(-time.Duration(age) * time.Millisecond)
 	}
-	if age := message.GetProvenAgeMs(); age >= 0 && !asked.IsZero() {
-		update.Proven = asked.Add(-time.Duration(age) * time.Millisecond)
+	if age := message.GetProvenAgeMs(); age >= 0 && !queried.IsZero() {
+		update.Verified = queried.Add(-time.Duration(age) * time.Millisecond)
 	}
 	for _, record := range message.GetRecords() {
 		pair := kv.Pair{Key: record.GetKey(), Value: record.GetValue(), ModRevision: record.GetRevision()}
@@ -191,27 +191,27 @@
 	for _, record := range message.GetGone() {
 		update.Events = append(update.Events, kv.Event{Pair: kv.Pair{Key: record.GetKey(), ModRevision: record.GetRevision()}, Deleted: true})
 	}
-	// The message names what was written apart from what is gone; changes are kept, and passed
-	// on, in the order of revisions.
+	// The message lists written and deleted records separately; changes are kept and forwarded in
+	// the order of their revisions.
 	slices.SortStableFunc(update.Events, func(a, b kv.Event) int { return cmp.Compare(a.Pair.ModRevision, b.Pair.ModRevision) })
 	return update, nil
 }
 
-// errUnsuited ends a stream whose peer leaves out records that this daemon is to know, or lists them as of
-// before what is known here. What it says later would seem to follow what was not taken in.
-var errUnsuited = errors.New("the peer leaves out the records of replicas, which this daemon is to know, or lies behind; it is asked again")
+// errUpdateRejected ends a stream whose peer omits records that this daemon requires, or lists them
+// at an older revision. Later messages would assume that the rejected update was applied.
+var errUpdateRejected = errors.New("peer omits replica records that this daemon requires, or is behind; subscribing again")
 
-// followPeer takes in what a peer passes on until the stream breaks.
+// followPeer applies the updates of a peer until the stream breaks.
 func (m *Mirror) followPeer(ctx context.Context, client rpc.DRPCRecordsClient, daemonID string) error {
 	stream, err := client.Follow(ctx)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = stream.Close() }()
-	defer m.listen(false)
-	var open questions
-	first := &rpc.FollowRecords{DaemonId: daemonID, KnownRevision: m.Revision(), Whole: !m.answeredLately(), Question: open.next(m.now()), All: m.WantsAll()}
-	if m.lacksBulk() {
+	defer m.setSubscribed(false)
+	var pending pendingQueries
+	first := &rpc.FollowRecords{DaemonId: daemonID, KnownRevision: m.Revision(), Whole: !m.hasRecentContact(), Question: pending.next(m.now()), All: m.RequiresAll()}
+	if m.missingReplicas() {
 		first.KnownRevision, first.Whole = 0, true
 	}
 	if err := stream.Send(first); err != nil {
@@ -222,16 +222,16 @@
 		if err != nil {
 			return err
 		}
-		m.listen(true)
-		asked, _ := open.answered(message.GetQuestion())
-		update, err := updateOf(message, m.now(), asked)
+		m.setSubscribed(true)
+		queried, _ := pending.resolve(message.GetQuestion())
+		update, err := decodeUpdate(message, m.now(), queried)
 		if err != nil {
 			return err
 		}
-		if !m.Take(update) {
-			return errUnsuited
+		if !m.ApplyUpdate(update) {
+			return errUpdateRejected
 		}
-		if err := stream.Send(&rpc.FollowRecords{Question: open.next(m.now()), All: m.WantsAll()}); err != nil {
+		if err := stream.Send(&rpc.FollowRecords{Question: pending.next(m.now()), All: m.RequiresAll()}); err != nil {
 			return err
 		}
 	}
--- a/records/list.go
+++ b/records/list.go
@@ -14,92 +14,91 @@
 )
 
 const (
-	// pagesAtOnce is how many parts of the first list a daemon reads before it waits for a peer's
-	// word that the rest is not for it.
-	pagesAtOnce = 2
-	// wordTime is how long it waits: a daemon that was started together with all others hears of
-	// the holder of load orders from the first part, and reaches it meanwhile.
-	wordTime = time.Second
-	// wordPoll is the time between looks whether the word has come.
-	wordPoll = 20 * time.Millisecond
+	// pagesBeforeWait is how many pages of the first list a daemon reads before it waits for a peer
+	// to report that it need not read the rest.
+	pagesBeforeWait = 2
+	// peerRecordsTimeout bounds that wait. The first pages name the leader, so that a daemon that
+	// starts together with all others can reach it in the meantime.
+	peerRecordsTimeout = time.Second
+	// peerPollInterval is how often a waiting daemon checks for a peer's report.
+	peerPollInterval = 20 * time.Millisecond
 )
 
-// list lists the records. Of the first list each part is used as it comes: 300 daemons that list
-// 3,000 records at once wait five seconds for the last of them, and one for the first. Where the
-// bulk proves too large, it is left out.
+// list lists the records. The pages of the first list are applied as they arrive, because listing a
+// large fleet can take seconds. Replica records are omitted if there are too many.
 func (m *Mirror) list(ctx context.Context) ([]kv.Pair, int64, error) {
 	var known rootList
-	if m.Revision() == 0 && m.sizeKey != "" {
+	if m.Revision() == 0 && m.fleetSizeKey != "" {
 		var err error
-		if known, err = m.readSize(ctx); err != nil {
+		if known, err = m.readFleetSize(ctx); err != nil {
 			return nil, 0, err
 		}
 	}
-	if m.WithoutBulk() && !m.lacksBulk() {
-		return m.listOthers(ctx, known)
+	if m.OmitsReplicaRecords() && !m.missingReplicas() {
+		return m.listOtherRecords(ctx, known)
 	}
-	lister, can := m.store.(kv.PageLister)
-	if !can || m.Revision() > 0 {
+	lister, paged := m.store.(kv.PageLister)
+	if !paged || m.Revision() > 0 {
 		return m.store.List(ctx, m.prefix)
 	}
 	sent, pages := m.now(), 0
 	pairs, revision, err := lister.ListPages(ctx, m.prefix, func(page kv.Page) bool {
-		m.preview(page.Pairs, sent)
+		m.applyPage(page.Pairs, sent)
 		pages++
-		goOn := !page.More || m.goesOn(ctx, pages)
+		proceed := !page.More || m.continueListing(ctx, pages)
 		sent = m.now()
-		return goOn
+		return proceed
 	})
 	switch {
 	case err != nil:
 		return nil, 0, err
 	case m.Revision() > 0:
-		return nil, 0, errTold
-	case m.WithoutBulk() && m.bulkIsLast():
-		return pairs, revision, nil // the others came before the parts that were not read
-	case m.WithoutBulk():
-		return m.listOthers(ctx, known)
+		return nil, 0, errRecordsFromPeer
+	case m.OmitsReplicaRecords() && m.replicasListedLast():
+		return pairs, revision, nil // the other records came before the pages that were not read
+	case m.OmitsReplicaRecords():
+		return m.listOtherRecords(ctx, known)
 	}
 	return pairs, revision, nil
 }
 
-// errTold ends the first list: a peer has passed the records on meanwhile.
-var errTold = errors.New("a peer passed the records on")
+// errRecordsFromPeer ends the first list because a peer has forwarded the records meanwhile.
+var errRecordsFromPeer = errors.New("a peer has forwarded the records")
 
-// bulkIsLast tells whether the bulk comes last in a list.
-func (m *Mirror) bulkIsLast() bool {
-	return !slices.ContainsFunc(m.handlers, func(one subscription) bool { return one.prefix > m.bulk })
+// replicasListedLast tells whether replica records come last in the order of keys.
+func (m *Mirror) replicasListedLast() bool {
+	return !slices.ContainsFunc(m.handlers, func(one subscription) bool { return one.prefix > m.replicaRoot })
 }
 
-// readSize reads, before the first list, whether the daemon that last followed the service for all
-// found the bulk too large, with the records beside that one. A thousand daemons that start at once and
-// read a part of the bulk each share the service's link for seconds, and none of them needs it.
-func (m *Mirror) readSize(ctx context.Context) (rootList, error) {
-	sent, root := m.now(), rootOf(m.sizeKey)
+// readFleetSize reads, before the first list, whether the previous leader found too many replicas,
+// together with the other records under the same root. It saves daemons that start at the same time
+// from reading replica records that they do not need.
+func (m *Mirror) readFleetSize(ctx context.Context) (rootList, error) {
+	sent, root := m.now(), rootOf(m.fleetSizeKey)
 	pairs, revision, err := m.store.List(ctx, root)
 	if err != nil {
 		return rootList{}, err
 	}
-	m.preview(pairs, sent)
+	m.applyPage(pairs, sent)
 	m.mutex.Lock()
-	known, needs := m.pairs[m.sizeKey], m.needsBulk()
+	known, required := m.pairs[m.fleetSizeKey], m.requiresReplicas()
 	m.mutex.Unlock()
-	if string(known.Value) == sizeLarge && !needs {
-		m.turn.Lock()
-		m.narrow()
-		m.turn.Unlock()
+	if string(known.Value) == sizeLarge && !required {
+		m.applyMutex.Lock()
+		m.dropReplicaRecords()
+		m.applyMutex.Unlock()
 	}
 	return rootList{root, pairs, revision}, nil
 }
 
-// rootList are all records under the first part of their keys.
+// rootList holds all records whose keys share the first path segment.
 type rootList struct {
 	root     string
 	pairs    []kv.Pair
 	revision int64
 }
 
-// rootOf returns the first part of a key, up to its slash.
+// rootOf returns the first path segment of a key, including its slash.
 func rootOf(key string) string {
 	root, _, isParted := strings.Cut(key, "/")
 	if !isParted {
@@ -108,20 +107,20 @@
 	return root + "/"
 }
 
-// Values of the record of the bulk's size.
+// Values of the record under fleetSizeKey.
 const (
 	sizeLarge = "large"
 	sizeSmall = "small"
 )
 
-// recordSize writes whether the bulk is too large, where this daemon follows the service for all and
-// the record says otherwise. No record says that it is not.
-func (m *Mirror) recordSize(ctx context.Context) {
+// recordFleetSize writes whether there are too many replicas, if this daemon leads and the record
+// says otherwise. A missing record means that there are not.
+func (m *Mirror) recordFleetSize(ctx context.Context) {
 	m.mutex.Lock()
-	known, found := m.pairs[m.sizeKey]
-	due := m.sizeKey != "" && m.leading && !m.without && m.tooLarge != (found && string(known.Value) == sizeLarge)
+	known, found := m.pairs[m.fleetSizeKey]
+	due := m.fleetSizeKey != "" && m.leading && !m.omitsReplicas && m.tooManyReplicas != (found && string(known.Value) == sizeLarge)
 	value := sizeSmall
-	if m.tooLarge {
+	if m.tooManyReplicas {
 		value = sizeLarge
 	}
 	m.mutex.Unlock()
@@ -129,41 +128,41 @@
 		return
 	}
 	_, err := m.store.Commit(ctx, kv.Txn{
-		Conditions: []kv.Condition{{Key: m.sizeKey, ModRevision: known.ModRevision}}, Puts: []kv.Put{{Key: m.sizeKey, Value: []byte(value)}},
+		Conditions: []kv.Condition{{Key: m.fleetSizeKey, ModRevision: known.ModRevision}}, Puts: []kv.Put{{Key: m.fleetSizeKey, Value: []byte(value)}},
 	})
-	if err != nil { // it is tried again with the next answer of the service
-		m.log.WithField(logging.Cause, err.Error()).Info("whether there are many replicas is not recorded")
+	if err != nil { // retried after the next response of the store
+		m.log.WithField(logging.Cause, err.Error()).Info("cannot record the size of the fleet; retrying after the next poll")
 	}
 }
 
-// goesOn tells whether the next part of the first list is read, after so many.
-func (m *Mirror) goesOn(ctx context.Context, pages int) bool {
-	if pages >= pagesAtOnce {
-		m.awaitWord(ctx)
+// continueListing tells whether to read the next page of the first list, after the given number.
+func (m *Mirror) continueListing(ctx context.Context, pages int) bool {
+	if pages >= pagesBeforeWait {
+		m.awaitPeerRecords(ctx)
 	}
 	m.mutex.Lock()
-	known, isBulk := m.revision > 0, m.bulkMost > 0 && len(m.pairs)-m.others > m.bulkMost && !m.needsBulk()
+	known, tooMany := m.revision > 0, m.limit > 0 && len(m.pairs)-m.otherCount > m.limit && !m.requiresReplicas()
 	m.mutex.Unlock()
-	if isBulk && !known {
-		m.turn.Lock()
-		m.narrow()
-		m.turn.Unlock()
+	if tooMany && !known {
+		m.applyMutex.Lock()
+		m.dropReplicaRecords()
+		m.applyMutex.Unlock()
 	}
-	return !known && !isBulk
+	return !known && !tooMany
 }
 
-// awaitWord waits for a peer's word on the records.
-func (m *Mirror) awaitWord(ctx context.Context) {
-	until := time.Now().Add(wordTime)
-	for m.Revision() == 0 && m.bulkMost > 0 && !m.Leading() && time.Now().Before(until) {
-		if !sleep.For(ctx, wordPoll) {
+// awaitPeerRecords waits for a peer to forward the records.
+func (m *Mirror) awaitPeerRecords(ctx context.Context) {
+	until := time.Now().Add(peerRecordsTimeout)
+	for m.Revision() == 0 && m.limit > 0 && !m.Leading() && time.Now().Before(until) {
+		if !sleep.For(ctx, peerPollInterval) {
 			return
 		}
 	}
 }
 
-// listOthers lists the records that are not of the bulk, but for those that are known already.
-func (m *Mirror) listOthers(ctx context.Context, known rootList) ([]kv.Pair, int64, error) {
+// listOtherRecords lists the records other than those of replicas, except the already known ones.
+func (m *Mirror) listOtherRecords(ctx context.Context, known rootList) ([]kv.Pair, int64, error) {
 	all, earliest := known.pairs, known.revision
 	for _, root := range m.otherRoots() {
 		if root == known.root {
@@ -174,40 +173,40 @@
 			return nil, 0, err
 		}
 		if earliest == 0 || revision < earliest {
-			earliest = revision // what changed after it is asked for
+			earliest = revision // later changes are polled
 		}
 		all = append(all, pairs...)
 	}
 	return all, earliest, nil
 }
 
-// otherRoots lists the first parts of the keys that are not of the bulk.
+// otherRoots returns the first path segments of the keys other than those of replica records.
 func (m *Mirror) otherRoots() []string {
 	var roots []string
 	for _, known := range m.handlers {
-		if root := rootOf(known.prefix); !m.inBulk(known.prefix) && !slices.Contains(roots, root) {
+		if root := rootOf(known.prefix); !m.isReplica(known.prefix) && !slices.Contains(roots, root) {
 			roots = append(roots, root)
 		}
 	}
 	return roots
 }
 
-// preview takes in a part of the first list, read by a call that was sent at a moment. What is
-// known by it serves; the whole list then says what is gone.
-func (m *Mirror) preview(page []kv.Pair, sent time.Time) {
-	m.turn.Lock()
-	defer m.turn.Unlock()
+// applyPage applies a page of the first list, read by a call that was sent at the given time.
+// Records can be used before the list is complete; the complete list determines which were deleted.
+func (m *Mirror) applyPage(page []kv.Pair, sent time.Time) {
+	m.applyMutex.Lock()
+	defer m.applyMutex.Unlock()
 	var events []kv.Event
 	m.mutex.Lock()
 	if m.revision > 0 {
 		m.mutex.Unlock()
-		return // a peer passed the whole on meanwhile
+		return // a peer has forwarded all records meanwhile
 	}
 	for _, pair := range page {
-		m.put(kv.Event{Pair: pair})
+		m.setRecord(kv.Event{Pair: pair})
 		events = append(events, kv.Event{Pair: pair})
-		if pair.Key == m.proofKey {
-			m.provenHere = sent
+		if pair.Key == m.verifiedKey {
+			m.verifiedLocally = sent
 		}
 	}
 	m.mutex.Unlock()
--- a/records/list_test.go
+++ b/records/list_test.go
@@ -12,70 +12,68 @@
 	"github.com/finchspoke/finchspoke/kv"
 )
 
-// pagedStore lists in parts, each some time after the one before; the list breaks off after some
-// of them if it is told to.
+// pagedStore lists in pages, with a delay before each, and can fail in the middle of a list.
 type pagedStore struct {
 	*fakeStore
 	pages     [][]kv.Pair
-	pause     time.Duration
-	breaksOff int // after so many parts, once; zero: never
+	pageDelay time.Duration
+	failAfter int // pages after which the list fails, once; zero: never
 }
 
-func (s *pagedStore) ListPages(_ context.Context, _ string, came func(kv.Page) bool) ([]kv.Pair, int64, error) {
+func (s *pagedStore) ListPages(_ context.Context, _ string, onPage func(kv.Page) bool) ([]kv.Pair, int64, error) {
 	var all []kv.Pair
 	for number, page := range s.pages {
-		if number > 0 && number == s.breaksOff {
-			s.breaksOff = 0
-			return nil, 0, errors.New("the link broke")
+		if number > 0 && number == s.failAfter {
+			s.failAfter = 0
+			return nil, 0, errors.New("connection broken")
 		}
-		time.Sleep(s.pause)
+		time.Sleep(s.pageDelay)
 		all = append(all, page...)
-		if !came(kv.Page{Pairs: page, More: number+1 < len(s.pages)}) {
+		if !onPage(kv.Page{Pairs: page, More: number+1 < len(s.pages)}) {
 			break
 		}
 	}
 	return all, 20, nil
 }
 
-func pageOf(revision int64, keys ...string) (page []kv.Pair) {
+func newPage(revision int64, keys ...string) (page []kv.Pair) {
 	for _, key := range keys {
 		page = append(page, kv.Pair{Key: key, Value: []byte(key), ModRevision: revision})
 	}
 	return page
 }
 
-// 300 daemons that list thousands of records at once share the service's link; what has come
-// serves before the rest has.
-func TestThePartsOfTheFirstListAreUsedAsTheyCome(t *testing.T) {
+// Records of the first pages must be usable before a slow list is complete.
+func TestPagesOfInitialListAreAppliedAsTheyArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &pagedStore{fakeStore: newFakeStore(), pause: time.Second, breaksOff: 2,
-			pages: [][]kv.Pair{pageOf(5, "config", "replica-1"), pageOf(6, "replica-2"), pageOf(7, "replica-3")}}
+		store := &pagedStore{fakeStore: newFakeStore(), pageDelay: time.Second, failAfter: 2,
+			pages: [][]kv.Pair{newPage(5, "config", "replica-1"), newPage(6, "replica-2"), newPage(7, "replica-3")}}
 		store.revision = 20
-		mirror := mirrorOf(t, store)
-		mirror.LimitProof("config", time.Minute)
-		seen := map[string]int{}
-		mirror.Handle("", func(event kv.Event) { seen[event.Pair.Key]++ })
+		mirror := newTestMirror(t, store)
+		mirror.VerifyWithin("config", time.Minute)
+		handled := map[string]int{}
+		mirror.Handle("", func(event kv.Event) { handled[event.Pair.Key]++ })
 		loaded := 0
-		mirror.Loaded(func() { loaded++ })
-		began := time.Now()
+		mirror.OnLoaded(func() { loaded++ })
+		started := time.Now()
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go func() { _ = mirror.Serve(ctx) }()
 
-		time.Sleep(store.pause)
+		time.Sleep(store.pageDelay)
 		synctest.Wait()
-		require.Equal(t, map[string]int{"config": 1, "replica-1": 1}, seen)
-		require.Equal(t, began, mirror.ProvenAt(), "from when the part with the record was asked for")
-		require.Zero(t, loaded, "the rest is still to come")
-		time.Sleep(store.pause)
+		require.Equal(t, map[string]int{"config": 1, "replica-1": 1}, handled)
+		require.Equal(t, started, mirror.VerifiedAt(), "as of when the page with the record was requested")
+		require.Zero(t, loaded, "the list is incomplete")
+		time.Sleep(store.pageDelay)
 		synctest.Wait()
-		require.Equal(t, 1, seen["replica-2"])
-		require.Equal(t, began, mirror.ProvenAt(), "other parts prove nothing of the record")
+		require.Equal(t, 1, handled["replica-2"])
+		require.Equal(t, started, mirror.VerifiedAt(), "other pages do not verify the record")
 
-		// The list broke off, and is asked for again from its beginning.
-		time.Sleep(pauseFirst + 4*store.pause)
+		// The list failed and is read again from its beginning.
+		time.Sleep(minRetryDelay + 4*store.pageDelay)
 		synctest.Wait()
-		require.Equal(t, 1, seen["replica-3"])
+		require.Equal(t, 1, handled["replica-3"])
 		require.Equal(t, 1, loaded)
 		require.EqualValues(t, 20, mirror.Revision())
 		_, known := mirror.Get("replica-3")
@@ -83,10 +81,10 @@
 	})
 }
 
-func TestAPartOfAListTellsNothingOnceThePeersWholeIsKnown(t *testing.T) {
-	mirror := mirrorOf(t, newFakeStore())
-	mirror.Take(Update{Revision: 9, Whole: true, Events: []kv.Event{put("config", "new", 9)}})
-	mirror.preview(pageOf(5, "config", "replica-1"), time.Now())
+func TestPageIsIgnoredOnceAPeerSentAllRecords(t *testing.T) {
+	mirror := newTestMirror(t, newFakeStore())
+	mirror.ApplyUpdate(Update{Revision: 9, Whole: true, Events: []kv.Event{put("config", "new", 9)}})
+	mirror.applyPage(newPage(5, "config", "replica-1"), time.Now())
 	pair, _ := mirror.Get("config")
 	require.Equal(t, "new", string(pair.Value))
 	_, known := mirror.Get("replica-1")
--- a/records/pauses.go
+++ b/records/pauses.go
@@ -10,149 +10,149 @@
 	"github.com/finchspoke/finchspoke/sleep"
 )
 
-// Urgent names the record whose changes are not gathered with others. It must be called
-// before Serve.
-func (m *Mirror) Urgent(key string) { m.urgent = key }
+// SetUrgentKey sets the key of the record whose changes are not batched. It must be called before
+// Serve.
+func (m *Mirror) SetUrgentKey(key string) { m.urgentKey = key }
 
-// restWhileVouched waits until no peer vouches any more; it returns false at once
-// where none does.
-func (m *Mirror) restWhileVouched(ctx context.Context) bool {
+// waitWhileConfirmed waits until no peer confirms the records; it returns false at once if none
+// does.
+func (m *Mirror) waitWhileConfirmed(ctx context.Context) bool {
 	m.mutex.Lock()
 	now := m.now()
-	vouchedFor := m.vouched.Add(m.aloneAfter()).Sub(now)
-	left := min(vouchedFor, m.proofLeft(now))
-	if left <= 0 || m.leading {
-		if (vouchedFor <= 0 || m.leading) && !m.vouched.IsZero() {
-			m.vouched = time.Time{}
+	confirmed := m.confirmedAt.Add(m.confirmationValidity()).Sub(now)
+	remaining := min(confirmed, m.verifiedFor(now))
+	if remaining <= 0 || m.leading {
+		if (confirmed <= 0 || m.leading) && !m.confirmedAt.IsZero() {
+			m.confirmedAt = time.Time{}
 			m.log.WithField(logging.Dependency, dependencyPeer).WithFields(logging.AtRevision(m.revision)).Info(logging.MessageDependencyLost)
 		}
 		m.mutex.Unlock()
 		return false
 	}
 	m.mutex.Unlock()
-	timer := time.NewTimer(left)
+	timer := time.NewTimer(remaining)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-m.lead:
+	case <-m.becameLeader:
 	}
 	return true
 }
 
-// Peers makes this daemon give its peers some time to vouch for the records once it has listed them,
-// before it asks the service for changes. It must be called before Serve.
-func (m *Mirror) Peers(has func() bool) { m.hasPeers = has }
+// SetHasPeers makes the mirror wait briefly for confirmation by a peer after a list, before it
+// polls the store for changes. It must be called before Serve.
+func (m *Mirror) SetHasPeers(has func() bool) { m.hasPeers = has }
 
-// peerTime is how long peers have to vouch after a list: they are asked after 0.2 s. Daemons that start
-// together with a thousand others make a call less each.
-const peerTime = 300 * time.Millisecond
+// peerConfirmTimeout bounds the wait for confirmation by a peer after a list. It exceeds
+// leaderCheckInterval, after which a subscriber contacts its first peer.
+const peerConfirmTimeout = 300 * time.Millisecond
 
-// awaitVouch waits until a peer vouches, or the time for that is over.
-func (m *Mirror) awaitVouch(ctx context.Context) {
+// awaitConfirmation waits until a peer confirms the records or peerConfirmTimeout has passed.
+func (m *Mirror) awaitConfirmation(ctx context.Context) {
 	if m.hasPeers == nil || !m.hasPeers() {
 		return
 	}
-	until := m.now().Add(peerTime)
-	for !m.Leading() && m.vouchedFor(m.now()) <= 0 && m.now().Before(until) {
-		if !sleep.For(ctx, wordPoll) {
+	until := m.now().Add(peerConfirmTimeout)
+	for !m.Leading() && m.confirmedFor(m.now()) <= 0 && m.now().Before(until) {
+		if !sleep.For(ctx, peerPollInterval) {
 			return
 		}
 	}
 }
 
-// LoneTime makes this daemon ask the service itself so long after the last word of a peer, where it
-// does without the bulk: peers that know all records ask the service sooner, and then vouch. That
-// all ask at once is 1,400 calls a second at 985 daemons. It must be called before Serve.
-func (m *Mirror) LoneTime(after func() time.Duration) { m.loneTime = after }
+// SetFallbackDelay sets how long after a peer's last report a daemon without replica records polls
+// the store itself. Daemons with all records poll sooner and then confirm the others' records, so
+// that not all poll at once. It must be called before Serve.
+func (m *Mirror) SetFallbackDelay(after func() time.Duration) { m.fallbackDelay = after }
 
-// aloneAfter returns how long a peer's word keeps this daemon from asking the service itself; the
-// mutex is held.
-func (m *Mirror) aloneAfter() time.Duration {
+// confirmationValidity returns how long a peer's report keeps this daemon from polling the store.
+// Callers hold the mutex.
+func (m *Mirror) confirmationValidity() time.Duration {
 	switch {
-	case m.bulkWanted:
-		return directoryVouchTime
-	case m.without && !m.needsBulk() && m.loneTime != nil:
-		return max(vouchTime, m.loneTime())
+	case m.replicasRequired:
+		return directoryConfirmationTTL
+	case m.omitsReplicas && !m.requiresReplicas() && m.fallbackDelay != nil:
+		return max(confirmationTTL, m.fallbackDelay())
 	}
-	return vouchTime
+	return confirmationTTL
 }
 
 const (
-	// directoryVouchTime is how long the holder's word counts at a directory. It is shorter than at
-	// the daemons that listen to it, which then notice nothing of a holder that falls silent; ten
-	// directories may ask the service once too often.
-	directoryVouchTime = time.Second
-	// loneWait is how long the service holds a call without news of a daemon that does without the
-	// bulk, and lonePause the time between two of its calls: of 985 that no peer vouches for each
-	// makes one call in two seconds instead of three, and its proofs stay young enough.
-	loneWait  = 1500 * time.Millisecond
-	lonePause = 600 * time.Millisecond
+	// directoryConfirmationTTL is how long the leader's report is valid at a directory. It is
+	// shorter than confirmationTTL, so that the directories poll the store before the daemons
+	// subscribed to them do.
+	directoryConfirmationTTL = time.Second
+	// partialPollWait is how long the store holds a poll of a daemon without replica records, and
+	// partialPollPause the time between its polls. They reduce the calls of many such daemons while
+	// no peer confirms the records, and still keep verifications recent enough.
+	partialPollWait  = 1500 * time.Millisecond
+	partialPollPause = 600 * time.Millisecond
 )
 
-// listTime is how long a directory waits for the holder's list where the service has dropped its
-// history: ten lists of 10,000 records are 500 calls, and as slow as they are many.
-const listTime = 2 * time.Second
+// leaderListTimeout is how long a directory waits for the leader to list and forward the records
+// after the store has dropped its history. It avoids a complete list for each directory.
+const leaderListTimeout = 2 * time.Second
 
-// awaitList waits for the records that the holder lists and passes on, where this daemon is a directory.
-func (m *Mirror) awaitList(ctx context.Context) {
+// awaitLeaderList waits, at a directory, for the records that the leader lists and forwards.
+func (m *Mirror) awaitLeaderList(ctx context.Context) {
 	m.mutex.Lock()
-	waits, before := m.bulkWanted && !m.leading && m.listening, m.vouched
+	waits, before := m.replicasRequired && !m.leading && m.subscribed, m.confirmedAt
 	m.mutex.Unlock()
-	for until := m.now().Add(listTime); waits && m.now().Before(until); {
-		if !sleep.For(ctx, wordPoll) {
+	for until := m.now().Add(leaderListTimeout); waits && m.now().Before(until); {
+		if !sleep.For(ctx, peerPollInterval) {
 			return
 		}
 		m.mutex.Lock()
-		waits = !m.vouched.After(before) && !m.leading
+		waits = !m.confirmedAt.After(before) && !m.leading
 		m.mutex.Unlock()
 	}
 }
 
-// isLone tells whether this daemon does without the bulk and asks the service itself, though peers
-// could tell it.
-func (m *Mirror) isLone() bool {
-	return m.WithoutBulk() && !m.WantsAll() && m.hasPeers != nil && m.hasPeers()
+// isPartialPoller tells whether this daemon omits replica records and polls the store itself
+// although it has peers.
+func (m *Mirror) isPartialPoller() bool {
+	return m.OmitsReplicaRecords() && !m.RequiresAll() && m.hasPeers != nil && m.hasPeers()
 }
 
-// stretched returns how long to wait before the next call after one that failed.
-func (m *Mirror) stretched(pause time.Duration) time.Duration {
+// backoff returns how long to wait after a failed call.
+func (m *Mirror) backoff(pause time.Duration) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.listening && !m.leading {
-		return listeningPauses * pause
+	if m.subscribed && !m.leading {
+		return subscribedBackoffFactor * pause
 	}
 	return pause
 }
 
-// listen notes whether a peer's records are being listened to.
-func (m *Mirror) listen(listening bool) {
+// setSubscribed records whether a peer's records are being received.
+func (m *Mirror) setSubscribed(subscribed bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.listening = listening
+	m.subscribed = subscribed
 }
 
-// gather waits for more changes after some came, unless one of them, or the next, is urgent to
-// those that this daemon passes them on to.
-func (m *Mirror) gather(ctx context.Context, events []kv.Event) {
-	isUrgent := func(event kv.Event) bool { return event.Pair.Key == m.urgent }
-	if len(events) == 0 || len(events) >= gatherMost || m.WantsAll() && slices.ContainsFunc(events, isUrgent) {
+// awaitBatch waits for more changes after some arrived, unless the daemon forwards to others and
+// one of the changes is urgent. PollNow ends the wait.
+func (m *Mirror) awaitBatch(ctx context.Context, events []kv.Event) {
+	isUrgent := func(event kv.Event) bool { return event.Pair.Key == m.urgentKey }
+	if len(events) == 0 || len(events) >= batchThreshold || m.RequiresAll() && slices.ContainsFunc(events, isUrgent) {
 		return
 	}
-	timer := time.NewTimer(gatherTime)
+	timer := time.NewTimer(batchDelay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-m.hurried:
+	case <-m.pollNow:
 	}
 }
 
-// Hurry makes the mirror ask for changes at once where it waits for more of them: this
-// daemon has written an urgent one.
-func (m *Mirror) Hurry() {
+// PollNow makes the mirror poll at once instead of waiting for more changes, because this daemon
+// has written an urgent record.
+func (m *Mirror) PollNow() {
 	select {
-	case m.hurried <- struct{}{}:
+	case m.pollNow <- struct{}{}:
 	default:
 	}
 }
--- a/records/proof.go
+++ b/records/proof.go
@@ -10,111 +10,109 @@
 	"github.com/finchspoke/finchspoke/sleep"
 )
 
-// ProvenAt returns the latest moment, on the monotonic clock, at which the record that proofs
-// are about was surely the newest here: all its changes that the service had acknowledged by
-// then are known. It is the zero time if there was none.
-//
-// The moment is that of a question, not of its answer. An answer may be late, and a process
-// may stand still before it reads one; neither makes the records look newer than they are.
-func (m *Mirror) ProvenAt() time.Time {
+// VerifiedAt returns the latest time, on the mirror's clock, as of which the record under
+// verifiedKey was known to be current: all changes that the store had acknowledged by then are
+// applied. It is zero if there was none. It is the time a query was sent, since its response may be
+// delayed.
+func (m *Mirror) VerifiedAt() time.Time {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.provenAt()
+	return m.verifiedAt()
 }
 
-// provenAt is ProvenAt; the mutex is held.
-func (m *Mirror) provenAt() time.Time {
-	if m.provenByPeer.After(m.provenHere) {
-		return m.provenByPeer
+// verifiedAt is VerifiedAt for callers that hold the mutex.
+func (m *Mirror) verifiedAt() time.Time {
+	if m.verifiedByPeer.After(m.verifiedLocally) {
+		return m.verifiedByPeer
 	}
-	return m.provenHere
+	return m.verifiedLocally
 }
 
-// LimitProof makes the mirror ask the service itself for changes of a record once the newest
-// proof is as old as limit, whoever vouches for the records. It must be called before Serve.
-func (m *Mirror) LimitProof(key string, limit time.Duration) { m.proofKey, m.proofLimit = key, limit }
+// VerifyWithin makes the mirror query the store for changes of a record once its last verification
+// is as old as limit, even if a peer confirms the records. It must be called before Serve.
+func (m *Mirror) VerifyWithin(key string, limit time.Duration) { m.verifiedKey, m.maxAge = key, limit }
 
-// prove asks the service whether the record that proofs are about has changed. It returns false
-// if it has: then all changes are needed. A peer passes the other records on meanwhile. Were all
-// changes asked for, 300 daemons would take the heartbeats of 3,000 replicas from the service
-// whenever the peer's own calls had become slow.
-func (m *Mirror) prove(ctx context.Context) bool {
+// verify asks the store whether the record under verifiedKey has changed. It returns false if it
+// has: then all changes are polled. Otherwise the peer forwards them, so that not every daemon
+// reads all changes from the store.
+func (m *Mirror) verify(ctx context.Context) bool {
 	sent := m.now()
-	events, _, err := m.store.Changes(ctx, m.proofKey, m.Revision(), soonWait)
+	events, _, err := m.store.Changes(ctx, m.verifiedKey, m.Revision(), immediateWait)
 	switch {
 	case errors.Is(err, kv.ErrRestored):
-		return false // the peer has not heard of it
+		return false // the peer does not know of the restore yet
 	case err != nil:
-		sleep.For(ctx, pauseLongest)
-		return true // the peer still passes the records on
+		sleep.For(ctx, maxRetryDelay)
+		return true // the peer still forwards the records
 	case len(events) > 0:
 		return false
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.provenHere = sent
+	m.verifiedLocally = sent
 	return true
 }
 
-// vouchedFor returns for how long a peer's word that the service answered it still counts.
-func (m *Mirror) vouchedFor(now time.Time) time.Duration {
+// confirmedFor returns for how long a peer's report of contact with the store is still valid.
+func (m *Mirror) confirmedFor(now time.Time) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.vouched.Add(m.aloneAfter()).Sub(now)
+	return m.confirmedAt.Add(m.confirmationValidity()).Sub(now)
 }
 
-// proofLeft returns for how long the newest proof stays within the limit; the mutex is held.
-func (m *Mirror) proofLeft(now time.Time) time.Duration {
-	if m.proofLimit <= 0 {
-		return vouchTime
+// verifiedFor returns for how long the last verification stays within the limit. Callers hold the
+// mutex.
+func (m *Mirror) verifiedFor(now time.Time) time.Duration {
+	if m.maxAge <= 0 {
+		return confirmationTTL
 	}
-	return m.provenAt().Add(m.proofLimit).Sub(now)
+	return m.verifiedAt().Add(m.maxAge).Sub(now)
 }
 
-// wait returns how long the service may hold the next call without news. A daemon whose
-// proof is old asks for an answer at once.
-func (m *Mirror) wait(now time.Time, isLone bool) time.Duration {
+// pollWait returns how long the store may hold the next poll. A daemon whose last verification is
+// old needs a response at once.
+func (m *Mirror) pollWait(now time.Time, isPartialPoller bool) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	switch {
-	case m.proofLimit > 0 && m.proofLeft(now) <= watchWait:
-		return soonWait
-	case m.failed, m.bulkWanted && now.Sub(m.contact) >= vouchTime:
-		return soonWait // those that listen to this daemon are out of contact, or soon will be
-	case isLone:
-		return loneWait
+	case m.maxAge > 0 && m.verifiedFor(now) <= longPollWait:
+		return immediateWait
+	case m.pollFailed, m.replicasRequired && now.Sub(m.lastContact) >= confirmationTTL:
+		return immediateWait // daemons subscribed to this one have lost contact, or soon will
+	case isPartialPoller:
+		return partialPollWait
 	}
-	return watchWait
+	return longPollWait
 }
 
-// questions remembers when numbered questions were sent to a peer, until one of them is
-// answered. Only the newest are kept: an answer to an older one proves less than the next.
-type questions struct {
-	last uint64
-	sent map[uint64]time.Time
+// pendingQueries remembers when numbered queries were sent to a peer until they are answered. Only
+// the latest are kept: answers to older ones verify less.
+type pendingQueries struct {
+	lastID uint64
+	sent   map[uint64]time.Time
 }
 
-// mostOpen bounds the questions that wait for an answer.
-const mostOpen = 8
+// maxPendingQueries bounds the queries that wait for an answer.
+const maxPendingQueries = 8
 
-// next returns the number of a question that is sent at a moment.
-func (q *questions) next(now time.Time) uint64 {
+// next returns the ID of a query that is sent now.
+func (q *pendingQueries) next(now time.Time) uint64 {
 	if q.sent == nil {
 		q.sent = map[uint64]time.Time{}
 	}
-	q.last++
-	q.sent[q.last] = now
-	delete(q.sent, q.last-mostOpen)
-	return q.last
+	q.lastID++
+	q.sent[q.lastID] = now
+	delete(q.sent, q.lastID-maxPendingQueries)
+	return q.lastID
 }
 
-// answered returns when a question was sent, and forgets it with those before it; known is
-// false for one that was never asked, or whose answer came before.
-func (q *questions) answered(number uint64) (sent time.Time, known bool) {
-	sent, known = q.sent[number]
-	for one := range q.sent {
-		if one <= number {
-			delete(q.sent, one)
+// resolve returns when a query was sent, and forgets it together with all earlier ones; known is
+// false if the query is unknown or already resolved.
+func (q *pendingQueries) resolve(id uint64) (sent time.Time, known bool) {
+	sent, known = q.sent[id]
+	for pending := range q.sent {
+		if pending <= id {
+			delete(q.sent, pending)
 		}
 	}
 	return sent, known
--- a/records/records.go
+++ b/records/records.go
@@ -1,10 +1,10 @@
-// Package records mirrors what the platform's key-value service holds, for all
-// parts of a daemon that follow it.
+// Package records mirrors the records of the platform's key-value service (the store) for all parts
+// of a daemon that need them.
 //
-// Each call to the service is paid for, so one daemon (the holder of load orders)
-// follows the service and passes the records on to its peers, who trust it for as
-// long as it has heard from the service lately. A daemon for which nobody vouches
-// follows the service itself: one list, then its changes.
+// Each call to the store costs money, so only the leader polls the store and forwards the records
+// to its peers. A daemon trusts its peer's records as long as the peer reports recent contact with
+// the store. A daemon without such a confirmation polls the store itself: one list, then its
+// changes.
 package records
 
 import (
@@ -23,35 +23,30 @@
 	"github.com/finchspoke/finchspoke/sleep"
 )
 
-// Handler takes in a record that was written, or is gone.
+// Handler processes a record that was written or deleted.
 type Handler func(kv.Event)
 
 const (
-	// gatherTime lets changes that come together be asked for together, since each
-	// call is paid for.
-	gatherTime = 400 * time.Millisecond
-	// gatherMost is the number of changes in an answer from which the next is asked for at once:
-	// so many share the price of a call already, and the service gives a bounded number in one. A
-	// pause between such answers is a bound on the changes a second that can be followed; at
-	// 10,000 replicas, which enter the registry within seconds, the daemon that followed fell 20 s
-	// behind, until the service had dropped the history.
-	gatherMost   = 64
-	pauseFirst   = 100 * time.Millisecond
-	pauseLongest = 600 * time.Millisecond
-	// listeningPauses is how many times longer the pauses between calls that fail are while a
-	// peer's records are listened to: the peer tells when the service answers again, and 300
-	// daemons that ask at once are 500 calls a second.
-	listeningPauses = 3
-	// watchWait is how long the service holds a call without news. A call may be cut without a
-	// word, so it is also how long that goes unnoticed; and peers of the daemon that follows
-	// the service learn so often that it still does.
-	watchWait = 700 * time.Millisecond
-	// soonWait is the same for a call that is to tell at once whether there is news.
-	soonWait = time.Millisecond
-	// vouchTime is how long what the service said to a peer counts. It is longer than
-	// the service holds a call without news, and short enough for a change to be
-	// heard in time where the peer falls silent.
-	vouchTime = 1400 * time.Millisecond
+	// batchDelay is the wait after a change before the next poll, so that one call fetches several.
+	batchDelay = 400 * time.Millisecond
+	// batchThreshold is the number of changes in a response from which the next poll follows at
+	// once. The store bounds the changes in a response, so a delay after a full one would limit
+	// throughput.
+	batchThreshold = 64
+	minRetryDelay  = 100 * time.Millisecond
+	maxRetryDelay  = 600 * time.Millisecond
+	// subscribedBackoffFactor lengthens the retry delay of a daemon that is subscribed to a peer:
+	// the peer forwards records as soon as the store answers again.
+	subscribedBackoffFactor = 3
+	// longPollWait is how long the store holds a poll without changes. It also bounds the time
+	// until a poll whose connection broke silently is noticed, and how old the leader's contact can
+	// get.
+	longPollWait = 700 * time.Millisecond
+	// immediateWait makes the store answer a poll at once.
+	immediateWait = time.Millisecond
+	// confirmationTTL is how long a peer's report of contact with the store is valid: longer than
+	// longPollWait, and short enough to notice a silent peer soon.
+	confirmationTTL = 1400 * time.Millisecond
 )
 
 // Names of dependencies in log lines.
@@ -60,67 +55,67 @@
 	dependencyPeer    = "records of a peer"
 )
 
-// Mirror follows the records under a prefix. It is a suture service.
+// Mirror keeps a copy of the records under a prefix. It is a suture service.
 type Mirror struct {
 	store  kv.ChangeStore
 	prefix string
 	log    logrus.FieldLogger
 	now    func() time.Time
 
-	// proofKey is the record that proofs are about, and proofLimit the age of the newest proof from which this daemon asks the service
-	// itself, whoever vouches; zero: none.
-	proofKey   string
-	proofLimit time.Duration
-	loaded     func()
-	notable    func(before, after kv.Pair) bool
-	turn       sync.Mutex // held while a change is taken in and handled
-	mutex      sync.Mutex
-	handlers   []subscription
-	pairs      map[string]kv.Pair
-	revision   int64 // up to which changes are known; zero before the first list
-	// outdated tells that the service was restored from a copy since that revision.
-	outdated bool
-	contact  time.Time // when the service last answered here
-	// vouched is when the service last answered the peer that passes its records on;
-	// zero once that is too long ago. It is never passed on itself: two peers that
-	// listen to each other would vouch for each other without end.
-	vouched time.Time
-	// provenHere and provenByPeer are moments at which the record that proofs are about was
-	// surely the newest here, by the service's answers to this daemon and by a peer's word; zero: never. Like
-	// vouched, a peer's word is never passed on.
-	provenHere   time.Time
-	provenByPeer time.Time
-	// heard is what the daemon that follows the service said itself; a directory passes it on.
-	heard   heardOf
-	reached bool // the service answered last
-	// listening tells that a peer passes its records on, whether or not it vouches for them.
-	listening bool
-	leading   bool          // this daemon follows the service for all
-	lead      chan struct{} // holds an element once it begins to
-	hurried   chan struct{} // holds an element once changes are not to be gathered
-	urgent    string        // key of the record whose changes are passed on at once
-	recent    changeLog
-	changed   chan struct{} // closed at the next answer of the service, or change
+	// verifiedKey is the record whose freshness VerifiedAt reports. Once its last verification is
+	// as old as maxAge, the mirror polls the store even if a peer confirms the records; zero: no
+	// limit.
+	verifiedKey string
+	maxAge      time.Duration
+	onLoaded    func()
+	forwards    func(before, after kv.Pair) bool
+	applyMutex  sync.Mutex // serializes changes and their handlers
+	mutex       sync.Mutex
+	handlers    []subscription
+	pairs       map[string]kv.Pair
+	revision    int64 // up to which changes are applied; zero before the first list
+	// outdated is set between the detection of a restore of the store and the next list.
+	outdated    bool
+	lastContact time.Time // when the store last answered this daemon
+	// confirmedAt is when the store last answered the peer that forwards its records; zero once
+	// that is too long ago. It is never forwarded: otherwise two peers could confirm each other
+	// forever.
+	confirmedAt time.Time
+	// verifiedLocally and verifiedByPeer are times as of which the record under verifiedKey was
+	// known to be current, from the store's responses and from a peer's reports; zero: never.
+	verifiedLocally time.Time
+	verifiedByPeer  time.Time
+	// leaderReport holds the times that the leader itself reported; a directory relays them.
+	leaderReport   leaderTimes
+	storeReachable bool // the last call to the store succeeded
+	// subscribed tells that a peer forwards its records, whether or not it confirms them.
+	subscribed    bool
+	leading       bool          // this daemon polls the store on behalf of all
+	becameLeader  chan struct{} // signaled when leading begins
+	pollNow       chan struct{} // signaled to end a batch early
+	urgentKey     string        // key of the record whose changes are not batched
+	recentChanges changeLog
+	changed       chan struct{} // closed on the next change or response of the store
 
-	// bulk is the prefix of the records that a daemon may do without, and bulkMost up to how many
-	// of them every daemon knows; zero: all of them.
-	bulk        string
-	bulkMost    int
-	sizeKey     string // of the record that says whether there are more
-	bulkChanged func(without bool)
-	bulkWanted  bool
-	without     bool // this daemon does without the bulk
-	tooLarge    bool // the bulk is too large for every daemon
-	others      int  // records that are not of the bulk
-	// recentOthers are the changes of those, and changedOthers is closed at the next answer of the
-	// service, or change of one.
-	recentOthers  changeLog
-	changedOthers chan struct{}
-	// loneTime returns how long after the last word of a peer a daemon that does without the bulk
-	// asks the service itself; nil: no later than others.
-	loneTime func() time.Duration
-	failed   bool // the last call for changes got no answer; of Serve only
-	// hasPeers tells whether a peer is being asked for its records; nil: none is.
+	// replicaRoot is the key prefix of replica records. With more than limit of them, daemons
+	// mirror only the other records, unless they require all; zero: no limit.
+	replicaRoot      string
+	limit            int
+	fleetSizeKey     string // of the record that tells whether the limit is exceeded
+	onOmitChanged    func(omitsReplicas bool)
+	replicasRequired bool
+	omitsReplicas    bool // this daemon does not mirror replica records
+	tooManyReplicas  bool // the number of replica records exceeds the limit
+	otherCount       int  // records other than those of replicas
+	// recentOtherChanges and otherChanged are recentChanges and changed for records other than
+	// those of replicas.
+	recentOtherChanges changeLog
+	otherChanged       chan struct{}
+	// fallbackDelay returns how long after a peer's last report a daemon without replica records
+	// polls the store itself; nil: as soon as other daemons.
+	fallbackDelay func() time.Duration
+	pollFailed    bool // the last poll failed; used by Serve only
+	// hasPeers tells whether the daemon has peers to subscribe to; nil: none.
 	hasPeers func() bool
 }
 
@@ -129,172 +124,173 @@
 	handle Handler
 }
 
-// NewMirror returns a mirror of the records under a prefix.
+// NewMirror returns a mirror of the records under a prefix; Serve fills it.
 func NewMirror(store kv.ChangeStore, prefix string, log logrus.FieldLogger) *Mirror {
-	return &Mirror{store: store, prefix: prefix, log: log, now: time.Now, pairs: map[string]kv.Pair{}, changed: make(chan struct{}), changedOthers: make(chan struct{}), lead: make(chan struct{}, 1), hurried: make(chan struct{}, 1)}
+	return &Mirror{store: store, prefix: prefix, log: log, now: time.Now, pairs: map[string]kv.Pair{}, changed: make(chan struct{}), otherChanged: make(chan struct{}), becameLeader: make(chan struct{}, 1), pollNow: make(chan struct{}, 1)}
 }
 
-// Clock replaces the clock by which answers and proofs grow old. It must be called before Serve.
-func (m *Mirror) Clock(now func() time.Time) { m.now = now }
+// SetClock replaces the clock by which confirmations and verifications age. It must be called
+// before Serve.
+func (m *Mirror) SetClock(now func() time.Time) { m.now = now }
 
-// Handle calls handle for each change under a prefix. All calls come one after the
-// other. It must be called before Serve.
+// Handle registers a handler for changes of the records under a prefix. Handlers are called one at
+// a time. It must be called before Serve.
 func (m *Mirror) Handle(prefix string, handle Handler) {
 	m.handlers = append(m.handlers, subscription{prefix, handle})
 }
 
-// Loaded calls loaded after each whole list was taken in. It must be called before
-// Serve.
-func (m *Mirror) Loaded(loaded func()) { m.loaded = loaded }
+// OnLoaded registers a function to be called after each complete list was applied. It must be
+// called before Serve.
+func (m *Mirror) OnLoaded(onLoaded func()) { m.onLoaded = onLoaded }
 
-// Notable tells which changes of a record are passed on to peers; without it, all
-// are. New records and those that are gone always are. It must be called before
-// Serve.
-func (m *Mirror) Notable(notable func(before, after kv.Pair) bool) { m.notable = notable }
+// SetForwardFilter limits which updates of a record are forwarded to peers; without a filter all
+// are. New and deleted records always are. It must be called before Serve.
+func (m *Mirror) SetForwardFilter(forwards func(before, after kv.Pair) bool) { m.forwards = forwards }
 
 // String names the service in the supervisor's events.
 func (m *Mirror) String() string { return "records" }
 
 // Serve implements suture.Service.
 func (m *Mirror) Serve(ctx context.Context) error {
-	pause := pauseFirst
-	whole := false // the list is known, and only changes are asked for
+	retryDelay := minRetryDelay
+	listed := false // the records are listed; only changes are polled
 	for ctx.Err() == nil {
-		if m.restWhileVouched(ctx) {
-			whole, pause = true, pauseFirst
+		if m.waitWhileConfirmed(ctx) {
+			listed, retryDelay = true, minRetryDelay
 			continue
 		}
-		if m.vouchedFor(m.now()) > 0 && m.prove(ctx) {
+		if m.confirmedFor(m.now()) > 0 && m.verify(ctx) {
 			continue
 		}
-		if m.lacksBulk() {
-			whole = false
+		if m.missingReplicas() {
+			listed = false
 		}
-		err := m.follow(ctx, &whole)
-		m.failed = err != nil
+		err := m.poll(ctx, &listed)
+		m.pollFailed = err != nil
 		switch {
 		case ctx.Err() != nil:
 		case err == nil:
-			pause = pauseFirst
+			retryDelay = minRetryDelay
 		case errors.Is(err, kv.ErrRestored):
-			m.outdate()
-			whole = false
-			m.awaitList(ctx)
+			m.markOutdated()
+			listed = false
+			m.awaitLeaderList(ctx)
 		case errors.Is(err, kv.ErrCompacted):
-			m.log.WithFields(logging.AtRevision(m.Revision())).Warn("the key-value service lacks changes; its records are listed again")
-			whole = false
-			m.awaitList(ctx)
+			m.log.WithFields(logging.AtRevision(m.Revision())).Warn("key-value service has compacted its history; listing records again")
+			listed = false
+			m.awaitLeaderList(ctx)
 		default:
-			m.lose(err)
-			sleep.For(ctx, m.stretched(pause))
-			pause = min(2*pause, pauseLongest)
+			m.markUnreachable(err)
+			sleep.For(ctx, m.backoff(retryDelay))
+			retryDelay = min(2*retryDelay, maxRetryDelay)
 		}
 	}
 	return ctx.Err()
 }
 
-// Lead tells whether this daemon follows the service for all: then it does so itself,
-// whoever vouches.
-func (m *Mirror) Lead(leading bool) {
+// SetLeading tells the mirror whether this daemon is the leader, which polls the store itself even
+// if a peer confirms the records.
+func (m *Mirror) SetLeading(leading bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if leading && !m.leading {
 		select {
-		case m.lead <- struct{}{}:
+		case m.becameLeader <- struct{}{}:
 		default:
 		}
 	}
 	m.leading = leading
 }
 
-// Leading tells whether this daemon follows the service for all.
+// Leading tells whether this daemon polls the store on behalf of all.
 func (m *Mirror) Leading() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.leading
 }
 
-// follow lists the records, unless they are known, or asks once for their changes.
-func (m *Mirror) follow(ctx context.Context, whole *bool) error {
-	if !*whole {
+// poll lists the records if that is still to be done, and otherwise polls once for changes.
+func (m *Mirror) poll(ctx context.Context, listed *bool) error {
+	if !*listed {
 		sent := m.now()
 		pairs, revision, err := m.list(ctx)
-		if errors.Is(err, errTold) {
-			*whole = true
+		if errors.Is(err, errRecordsFromPeer) {
+			*listed = true
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		m.take(pairs, revision)
-		m.answered(sent, sent)
-		*whole = true
-		m.awaitVouch(ctx)
+		m.applyList(pairs, revision)
+		m.contacted(sent, sent)
+		*listed = true
+		m.awaitConfirmation(ctx)
 		return nil
 	}
-	sent, isLone := m.now(), m.isLone()
-	events, revision, err := m.store.Changes(ctx, m.prefix, m.Revision(), m.wait(sent, isLone))
+	sent, isPartialPoller := m.now(), m.isPartialPoller()
+	events, revision, err := m.store.Changes(ctx, m.prefix, m.Revision(), m.pollWait(sent, isPartialPoller))
 	if err != nil {
 		return err
 	}
-	m.turn.Lock()
-	m.apply(events, revision)
-	m.turn.Unlock()
-	m.answered(m.now(), sent)
-	m.recordSize(ctx)
-	m.gather(ctx, events)
-	if isLone {
-		sleep.For(ctx, lonePause)
+	m.applyMutex.Lock()
+	m.applyChanges(events, revision)
+	m.applyMutex.Unlock()
+	m.contacted(m.now(), sent)
+	m.recordFleetSize(ctx)
+	m.awaitBatch(ctx, events)
+	if isPartialPoller {
+		sleep.For(ctx, partialPollPause)
 	}
 	return nil
 }
 
-// take takes in a list of the service, unless a peer has passed on newer records meanwhile.
-func (m *Mirror) take(pairs []kv.Pair, revision int64) {
-	m.turn.Lock()
-	defer m.turn.Unlock()
-	lacks := m.lacksBulk()
-	if known := m.Revision(); revision < known && !lacks {
+// applyList applies a list read from the store, unless a peer has forwarded newer records
+// meanwhile.
+func (m *Mirror) applyList(pairs []kv.Pair, revision int64) {
+	m.applyMutex.Lock()
+	defer m.applyMutex.Unlock()
+	missing := m.missingReplicas()
+	if known := m.Revision(); revision < known && !missing {
 		m.log.WithFields(logging.AtRevision(known)).WithField(logging.ListedRevision, kv.CountOf(revision)).
-			Warn("the records that the key-value service lists are left out: they lie behind those known here")
+			Warn("ignoring outdated list of the key-value service; a peer has forwarded newer records")
 		return
 	}
-	m.replace(pairs, revision, !m.WithoutBulk() || lacks)
+	m.replaceAll(pairs, revision, !m.OmitsReplicaRecords() || missing)
 }
 
-// notify wakes the streams to peers; where only the bulk changed, not those to peers that do
-// without it. The mutex is held.
+// notify wakes the streams to peers; with others unset, only those that include replica records.
+// Callers hold the mutex.
 func (m *Mirror) notify(others bool) {
 	close(m.changed)
 	m.changed = make(chan struct{})
 	if others {
-		close(m.changedOthers)
-		m.changedOthers = make(chan struct{})
+		close(m.otherChanged)
+		m.otherChanged = make(chan struct{})
 	}
 }
 
-// replace takes in a whole list: records that are not in it are gone. withBulk tells whether the
-// bulk is in it. The turn is held.
-func (m *Mirror) replace(pairs []kv.Pair, revision int64, withBulk bool) {
+// replaceAll applies a complete list: records that are not in it are deleted. withReplicas tells
+// whether the list includes replica records. Callers hold applyMutex.
+func (m *Mirror) replaceAll(pairs []kv.Pair, revision int64, withReplicas bool) {
 	m.mutex.Lock()
-	known, widened := m.pairs, m.without && withBulk
+	known, resumed := m.pairs, m.omitsReplicas && withReplicas
 	before := m.revision
-	m.pairs, m.others = make(map[string]kv.Pair, len(pairs)), 0
+	m.pairs, m.otherCount = make(map[string]kv.Pair, len(pairs)), 0
 	m.revision = revision
-	m.leaveEra(before)
-	if withBulk {
-		m.without = false
+	m.enterEra(before)
+	if withReplicas {
+		m.omitsReplicas = false
 	}
-	m.recent.restart(revision)
-	m.recentOthers.restart(revision)
-	var events, later []kv.Event
+	m.recentChanges.reset(revision)
+	m.recentOtherChanges.reset(revision)
+	var events, writtenDuringList []kv.Event
 	for _, pair := range pairs {
-		if !withBulk && m.inBulk(pair.Key) {
+		if !withReplicas && m.isReplica(pair.Key) {
 			continue
 		}
-		m.put(kv.Event{Pair: pair})
+		m.setRecord(kv.Event{Pair: pair})
 		if pair.ModRevision > revision {
-			later = append(later, kv.Event{Pair: pair}) // written while the list was read
+			writtenDuringList = append(writtenDuringList, kv.Event{Pair: pair}) // not covered by the list's revision
 		}
 		if before, had := known[pair.Key]; !had || before.ModRevision != pair.ModRevision {
 			events = append(events, kv.Event{Pair: pair})
@@ -305,53 +301,53 @@
 			events = append(events, kv.Event{Pair: kv.Pair{Key: key, ModRevision: revision}, Deleted: true})
 		}
 	}
-	slices.SortFunc(later, func(a, b kv.Event) int { return cmp.Compare(a.Pair.ModRevision, b.Pair.ModRevision) })
-	m.recent.add(later)
-	m.recentOthers.add(m.withoutBulk(later))
-	m.weighBulk()
+	slices.SortFunc(writtenDuringList, func(a, b kv.Event) int { return cmp.Compare(a.Pair.ModRevision, b.Pair.ModRevision) })
+	m.recentChanges.add(writtenDuringList)
+	m.recentOtherChanges.add(m.excludeReplicas(writtenDuringList))
+	m.checkReplicaCount()
 	m.notify(true)
 	m.mutex.Unlock()
-	m.noteRestore(before, revision, events)
-	if widened {
-		m.tellBulk(false)
+	m.markRestored(before, revision, events)
+	if resumed {
+		m.reportOmitChange(false)
 	}
 	m.dispatch(events)
-	if m.loaded != nil {
-		m.loaded()
+	if m.onLoaded != nil {
+		m.onLoaded()
 	}
 }
 
-// apply takes in changes that are whole up to a revision; the turn is held.
-func (m *Mirror) apply(events []kv.Event, revision int64) {
-	var news, passedOn []kv.Event
+// applyChanges applies changes that are complete up to a revision. Callers hold applyMutex.
+func (m *Mirror) applyChanges(events []kv.Event, revision int64) {
+	var applied, forwarded []kv.Event
 	m.mutex.Lock()
 	for _, event := range events {
 		before := m.pairs[event.Pair.Key]
 		if before.ModRevision >= event.Pair.ModRevision || event.Pair.ModRevision <= m.revision {
-			continue // known already
+			continue // already applied
 		}
-		if m.without && m.inBulk(event.Pair.Key) {
+		if m.omitsReplicas && m.isReplica(event.Pair.Key) {
 			continue
 		}
-		news = append(news, event)
-		if m.notable == nil || event.Deleted || before.ModRevision == 0 || m.notable(before, event.Pair) {
-			passedOn = append(passedOn, event)
+		applied = append(applied, event)
+		if m.forwards == nil || event.Deleted || before.ModRevision == 0 || m.forwards(before, event.Pair) {
+			forwarded = append(forwarded, event)
 		}
-		m.put(event)
+		m.setRecord(event)
 	}
-	others := m.withoutBulk(passedOn)
-	m.recent.add(passedOn)
-	m.recentOthers.add(others)
+	others := m.excludeReplicas(forwarded)
+	m.recentChanges.add(forwarded)
+	m.recentOtherChanges.add(others)
 	m.revision = max(m.revision, revision)
-	m.weighBulk()
-	if len(passedOn) > 0 {
+	m.checkReplicaCount()
+	if len(forwarded) > 0 {
 		m.notify(len(others) > 0)
 	}
 	m.mutex.Unlock()
-	m.dispatch(news)
+	m.dispatch(applied)
 }
 
-// dispatch calls the handlers; the turn is held.
+// dispatch calls the handlers. Callers hold applyMutex.
 func (m *Mirror) dispatch(events []kv.Event) {
 	for _, event := range events {
 		for _, known := range m.handlers {
@@ -362,14 +358,15 @@
 	}
 }
 
-// Revision returns the service's revision up to which records are known.
+// Revision returns the store's revision up to which changes are applied; zero before the first
+// list.
 func (m *Mirror) Revision() int64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.revision
 }
 
-// Get returns one record.
+// Get returns the record under a key.
 func (m *Mirror) Get(key string) (kv.Pair, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/records/records_test.go
+++ b/records/records_test.go
@@ -15,21 +15,21 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// fakeStore holds records; while silent, calls hang until their time is over, and
-// waits for changes that began before are never answered.
+// fakeStore is an in-memory store. While silent, calls fail after a timeout, and polls that began
+// before the silence are never answered.
 type fakeStore struct {
 	kv.ChangeStore
-	mutex     sync.Mutex
-	pairs     map[string]kv.Pair
-	revision  int64
-	silent    bool
-	compacted int64 // watches from before are refused
-	changed   chan struct{}
-	life      int // counts silences: a watch of an earlier life hears nothing
-	lists     int
-	calls     int  // for changes
-	whole     int  // of these, for changes of all records
-	refuse    bool // calls for changes are refused at once
+	mutex      sync.Mutex
+	pairs      map[string]kv.Pair
+	revision   int64
+	silent     bool
+	compacted  int64 // polls after an earlier revision are refused
+	changed    chan struct{}
+	generation int // counts silences; polls of an earlier generation get no answer
+	lists      int
+	calls      int  // polls for changes
+	fullCalls  int  // polls for changes of all records
+	refusing   bool // polls fail at once
 }
 
 func newFakeStore() *fakeStore {
@@ -45,31 +45,31 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *fakeStore) set(silent bool) {
+func (s *fakeStore) setSilent(silent bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.silent = silent
-	s.life++
+	s.generation++
 }
 
-// asked returns how often changes were asked for.
-func (s *fakeStore) asked() int {
+// changeCalls returns the number of polls for changes.
+func (s *fakeStore) changeCalls() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.calls
 }
 
-// askedForAll returns how often changes of all records were asked for.
-func (s *fakeStore) askedForAll() int {
+// fullChangeCalls returns the number of polls for changes of all records.
+func (s *fakeStore) fullChangeCalls() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.whole
+	return s.fullCalls
 }
 
-// refuseFor refuses calls for changes for a while, and tells how many there were.
+// refuseFor makes polls fail for a while, and returns how many there were.
 func (s *fakeStore) refuseFor(length time.Duration) (calls int) {
 	s.mutex.Lock()
-	s.refuse = true
+	s.refusing = true
 	close(s.changed)
 	s.changed = make(chan struct{})
 	before := s.calls
@@ -77,7 +77,7 @@
 	time.Sleep(length)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.refuse = false
+	s.refusing = false
 	return s.calls - before
 }
 
@@ -109,7 +109,7 @@
 	return pairs, s.revision, nil
 }
 
-// changesWait is how long a call waits for changes.
+// changesWait bounds how long the store holds a poll.
 const changesWait = 2 * time.Second
 
 func (s *fakeStore) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]kv.Event, int64, error) {
@@ -117,10 +117,10 @@
 		return nil, after, err
 	}
 	s.mutex.Lock()
-	life := s.life
+	generation := s.generation
 	s.calls++
 	if prefix == "" {
-		s.whole++
+		s.fullCalls++
 	}
 	s.mutex.Unlock()
 	timeout := time.After(min(wait, changesWait))
@@ -132,12 +132,12 @@
 				events = append(events, kv.Event{Pair: pair})
 			}
 		}
-		revision, changed, answers, compacted, refuse := s.revision, s.changed, life == s.life, after < s.compacted, s.refuse
+		revision, changed, answers, compacted, refusing := s.revision, s.changed, generation == s.generation, after < s.compacted, s.refusing
 		s.mutex.Unlock()
 		switch {
 		case answers && kv.EraOf(revision) > kv.EraOf(after):
 			return nil, after, kv.ErrRestored
-		case refuse:
+		case refusing:
 			return nil, after, kv.ErrUnavailable
 		case answers && compacted:
 			return nil, after, kv.ErrCompacted
@@ -157,36 +157,36 @@
 	}
 }
 
-// mirrorOf returns a mirror that does not follow its store yet.
-func mirrorOf(t *testing.T, store kv.ChangeStore) *Mirror {
+// newTestMirror returns a mirror that is not serving yet.
+func newTestMirror(t *testing.T, store kv.ChangeStore) *Mirror {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(t.Output())
 	return NewMirror(store, "", log)
 }
 
-// vouchFor lets a peer that knows nothing newer vouch for a while.
-func vouchFor(mirror *Mirror, most time.Duration) {
+// confirmFor simulates a peer that confirms the records for a while without newer ones.
+func confirmFor(mirror *Mirror, duration time.Duration) {
 	const pause = 500 * time.Millisecond
-	for range most / pause {
-		mirror.Take(Update{Revision: 1, Contact: time.Now()})
+	for range duration / pause {
+		mirror.ApplyUpdate(Update{Revision: 1, LastContact: time.Now()})
 		time.Sleep(pause)
 	}
 }
 
-// followedOne returns a store with one record and a mirror that has read it; stop ends the
-// mirror.
-func followedOne(t *testing.T) (store *fakeStore, mirror *Mirror, stop func()) {
+// startMirrorWithConfig returns a store with one record and a mirror that has read it; stop ends
+// the mirror.
+func startMirrorWithConfig(t *testing.T) (store *fakeStore, mirror *Mirror, stop func()) {
 	store = newFakeStore()
 	store.put("config", "1")
-	mirror, stop = followed(t, store)
+	mirror, stop = startMirror(t, store)
 	synctest.Wait()
 	return store, mirror, stop
 }
 
-func followed(t *testing.T, store *fakeStore, handlers ...Handler) (*Mirror, context.CancelFunc) {
+func startMirror(t *testing.T, store *fakeStore, handlers ...Handler) (*Mirror, context.CancelFunc) {
 	t.Helper()
-	mirror := mirrorOf(t, store)
+	mirror := newTestMirror(t, store)
 	for _, handler := range handlers {
 		mirror.Handle("", handler)
 	}
@@ -200,34 +200,34 @@
 	return string(pair.Value)
 }
 
-// Seen on a machine that froze while the store went silent: the watch from before
-// was never answered, and a configuration went unseen for ten seconds.
-func TestAWatchThatIsNeverAnsweredAgainIsReplacedOnceTheStoreAnswers(t *testing.T) {
+// A poll that was sent before an outage may never be answered; changes must be seen after it all
+// the same.
+func TestUnansweredPollIsReplacedOnceTheStoreAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, mirror, stop := followedOne(t)
+		store, mirror, stop := startMirrorWithConfig(t)
 		defer stop()
 		require.Equal(t, "1", value(mirror, "config"))
-		store.set(true)
+		store.setSilent(true)
 		time.Sleep(3 * time.Second)
-		require.False(t, mirror.Reached())
-		store.set(false)
+		require.False(t, mirror.StoreReachable())
+		store.setSilent(false)
 		store.put("config", "2")
 		time.Sleep(2 * time.Second)
 		require.Equal(t, "2", value(mirror, "config"))
-		require.True(t, mirror.Reached())
-		require.Equal(t, 1, store.lists, "the watch goes on where it was")
+		require.True(t, mirror.StoreReachable())
+		require.Equal(t, 1, store.lists, "polling resumes at the known revision")
 	})
 }
 
-func TestRecordsAreListedAgainAfterTheHistoryIsGone(t *testing.T) {
+func TestRecordsAreListedAgainAfterCompaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
 		store.put("servers/a", "1")
 		store.put("config", "1")
-		gone := []string{}
-		mirror, stop := followed(t, store, func(event kv.Event) {
+		deleted := []string{}
+		mirror, stop := startMirror(t, store, func(event kv.Event) {
 			if event.Deleted {
-				gone = append(gone, event.Pair.Key)
+				deleted = append(deleted, event.Pair.Key)
 			}
 		})
 		defer stop()
@@ -240,191 +240,189 @@
 		store.put("config", "2")
 		time.Sleep(3 * time.Second)
 		require.Equal(t, "2", value(mirror, "config"))
-		require.Equal(t, []string{"servers/a"}, gone)
+		require.Equal(t, []string{"servers/a"}, deleted)
 	})
 }
 
-// put makes an event of a record.
+// put returns an event that writes a record.
 func put(key, value string, revision int64) kv.Event {
 	return kv.Event{Pair: kv.Pair{Key: key, Value: []byte(value), ModRevision: revision}}
 }
 
-func TestAPeersRecordsAreTakenIfTheyAreNewerAndNeverGoBack(t *testing.T) {
+func TestPeerRecordsAreAppliedOnlyIfNewer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
-		store.set(true)
-		mirror, stop := followed(t, store)
+		store.setSilent(true)
+		mirror, stop := startMirror(t, store)
 		defer stop()
-		mirror.Take(Update{Revision: 9, Whole: true, Events: []kv.Event{put("config", "5", 5), put("servers/a", "1", 7)}})
-		mirror.Take(Update{Revision: 8, Whole: true, Events: []kv.Event{put("config", "4", 4)}})
-		mirror.Take(Update{Revision: 8, Events: []kv.Event{put("config", "4", 4)}})
+		mirror.ApplyUpdate(Update{Revision: 9, Whole: true, Events: []kv.Event{put("config", "5", 5), put("servers/a", "1", 7)}})
+		mirror.ApplyUpdate(Update{Revision: 8, Whole: true, Events: []kv.Event{put("config", "4", 4)}})
+		mirror.ApplyUpdate(Update{Revision: 8, Events: []kv.Event{put("config", "4", 4)}})
 		require.Equal(t, "5", value(mirror, "config"))
-		require.False(t, mirror.Reached(), "the peer does not vouch")
-		mirror.Take(Update{Revision: 12, Events: []kv.Event{{Pair: kv.Pair{Key: "servers/a", ModRevision: 12}, Deleted: true}}})
-		// A peer that is behind must not bring back what is gone.
-		mirror.Take(Update{Revision: 11, Events: []kv.Event{put("servers/a", "1", 7), put("servers/b", "1", 11)}})
+		require.False(t, mirror.StoreReachable(), "the peer does not confirm the records")
+		mirror.ApplyUpdate(Update{Revision: 12, Events: []kv.Event{{Pair: kv.Pair{Key: "servers/a", ModRevision: 12}, Deleted: true}}})
+		// A peer that is behind must not re-create a deleted record.
+		mirror.ApplyUpdate(Update{Revision: 11, Events: []kv.Event{put("servers/a", "1", 7), put("servers/b", "1", 11)}})
 		require.Empty(t, value(mirror, "servers/a"))
 		store.revision = 20
 		store.put("config", "6")
-		store.set(false)
+		store.setSilent(false)
 		time.Sleep(3 * time.Second)
 		require.Equal(t, "6", value(mirror, "config"))
 	})
 }
 
-func TestWhileAPeerVouchesTheStoreIsNotAskedAndAfterwardsItIs(t *testing.T) {
+func TestStoreIsPolledOnlyWithoutPeerConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, mirror, stop := followedOne(t)
+		store, mirror, stop := startMirrorWithConfig(t)
 		defer stop()
 		calls := func() int {
 			store.mutex.Lock()
 			defer store.mutex.Unlock()
 			return store.calls
 		}
-		// The call that waits when the peer begins to vouch ends in its own time.
-		vouchFor(mirror, 10*time.Second)
+		// The poll that is pending when the peer starts to confirm ends on its own.
+		confirmFor(mirror, 10*time.Second)
 		before := calls()
-		vouchFor(mirror, 10*time.Second)
+		confirmFor(mirror, 10*time.Second)
 		require.Equal(t, before, calls())
-		// The peer falls silent: a change is heard within the time that it vouched for.
+		// The peer falls silent: a change is seen once its confirmation has expired.
 		store.put("config", "2")
-		time.Sleep(vouchTime)
+		time.Sleep(confirmationTTL)
 		synctest.Wait()
 		require.Equal(t, "2", value(mirror, "config"))
 	})
 }
 
-func TestAPeerThatLastHeardLongAgoDoesNotVouch(t *testing.T) {
+func TestExpiredPeerContactDoesNotConfirm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, mirror, stop := followedOne(t)
+		store, mirror, stop := startMirrorWithConfig(t)
 		defer stop()
-		mirror.Take(Update{Revision: 1, Contact: time.Now().Add(-vouchTime)})
+		mirror.ApplyUpdate(Update{Revision: 1, LastContact: time.Now().Add(-confirmationTTL)})
 		store.put("config", "2")
 		synctest.Wait()
 		require.Equal(t, "2", value(mirror, "config"))
 	})
 }
 
-func TestAPeerGetsWhatItLacksAndOnlyWhatIsNotable(t *testing.T) {
-	mirror := mirrorOf(t, newFakeStore())
-	mirror.Notable(func(before, after kv.Pair) bool { return before.Value[0] != after.Value[0] })
-	mirror.replace([]kv.Pair{{Key: "servers/a", Value: []byte("ready"), ModRevision: 3}}, 10, true)
+func TestPeerGetsMissingAndForwardedChangesOnly(t *testing.T) {
+	mirror := newTestMirror(t, newFakeStore())
+	mirror.SetForwardFilter(func(before, after kv.Pair) bool { return before.Value[0] != after.Value[0] })
+	mirror.replaceAll([]kv.Pair{{Key: "servers/a", Value: []byte("ready"), ModRevision: 3}}, 10, true)
 
 	update, changed := mirror.since(view{revision: 4})
-	require.True(t, update.Whole, "what came before the list is not known one by one")
+	require.True(t, update.Whole, "the changes before the list are unknown")
 	require.Len(t, update.Events, 1)
 	update, _ = mirror.since(view{revision: 10})
 	require.False(t, update.Whole)
 	require.Empty(t, update.Events)
 
-	mirror.apply([]kv.Event{put("servers/a", "ready, more loaded", 11), put("servers/b", "ready", 12)}, 12)
-	mirror.answered(time.Now(), time.Now())
+	mirror.applyChanges([]kv.Event{put("servers/a", "ready, more loaded", 11), put("servers/b", "ready", 12)}, 12)
+	mirror.contacted(time.Now(), time.Now())
 	<-changed
 	update, _ = mirror.since(view{revision: 10})
 	require.Equal(t, []kv.Event{put("servers/b", "ready", 12)}, update.Events)
 	require.Equal(t, int64(12), update.Revision)
-	mirror.apply([]kv.Event{put("servers/a", "draining", 13), {Pair: kv.Pair{Key: "servers/b", ModRevision: 14}, Deleted: true}}, 14)
+	mirror.applyChanges([]kv.Event{put("servers/a", "draining", 13), {Pair: kv.Pair{Key: "servers/b", ModRevision: 14}, Deleted: true}}, 14)
 	update, _ = mirror.since(view{revision: 12})
 	require.Len(t, update.Events, 2)
 	update, _ = mirror.since(view{revision: 20})
-	require.Empty(t, update.Events, "the peer knows more")
+	require.Empty(t, update.Events, "the peer is ahead")
 }
 
-func TestThePeerOfALongHistoryGetsTheWholeListAgain(t *testing.T) {
+func TestChangeLogReportsTruncatedHistory(t *testing.T) {
 	log := changeLog{}
-	log.restart(0)
-	for revision := range int64(mostRecent + 5) {
+	log.reset(0)
+	for revision := range int64(maxRecentChanges + 5) {
 		log.add([]kv.Event{put("config", "x", revision+1)})
 	}
 	_, known := log.since(4)
 	require.False(t, known)
 	events, known := log.since(5)
 	require.True(t, known)
-	require.Len(t, events, mostRecent)
+	require.Len(t, events, maxRecentChanges)
 }
 
-func TestAnUpdateSurvivesItsMessage(t *testing.T) {
+func TestUpdateRoundTripsThroughMessage(t *testing.T) {
 	long := strings.Repeat("route ", 4000)
 	now := time.Now()
-	sent := Update{Revision: 9, Whole: true, Contact: now.Add(-time.Second), Events: []kv.Event{
+	sent := Update{Revision: 9, Whole: true, LastContact: now.Add(-time.Second), Events: []kv.Event{
 		put("servers/a", "1", 7), put("config", long, 8), {Pair: kv.Pair{Key: "servers/b", ModRevision: 9}, Deleted: true}}}
 	feed := &Feed{}
 	message := feed.message(sent, now)
 	require.Less(t, len(message.GetPacked()), len(long)/10)
 	require.Empty(t, message.GetRecords())
-	require.Equal(t, &message.GetPacked()[0], &feed.message(sent, now).GetPacked()[0], "peers that know the same share the work")
-	got, err := updateOf(message, now, time.Time{})
+	require.Equal(t, &message.GetPacked()[0], &feed.message(sent, now).GetPacked()[0], "peers at the same state share the encoded message")
+	got, err := decodeUpdate(message, now, time.Time{})
 	require.NoError(t, err)
 	require.Equal(t, sent, got)
-	_, err = updateOf(&rpc.RecordsUpdate{Packed: []byte("not gzipped")}, now, time.Time{})
+	_, err = decodeUpdate(&rpc.RecordsUpdate{Packed: []byte("not gzipped")}, now, time.Time{})
 	require.Error(t, err)
 	short := Update{Revision: 9, Events: []kv.Event{put("servers/a", "1", 9)}}
-	got, err = updateOf(feed.message(short, now), now, time.Time{})
+	got, err = decodeUpdate(feed.message(short, now), now, time.Time{})
 	require.NoError(t, err)
 	require.Equal(t, short, got)
-	never, err := updateOf(feed.message(Update{}, now), now, time.Time{})
+	noContact, err := decodeUpdate(feed.message(Update{}, now), now, time.Time{})
 	require.NoError(t, err)
-	require.True(t, never.Contact.IsZero())
+	require.True(t, noContact.LastContact.IsZero())
 }
 
-// Seen on a grown site: daemons that had listened to seeds in an outage went on to
-// vouch for each other after it, and heard of nothing for thirty seconds.
-func TestOnlyTheServicesOwnAnswerIsPassedOnAsContact(t *testing.T) {
+// If contact were forwarded, peers could keep confirming each other after an outage and miss
+// changes.
+func TestOnlyOwnStoreContactIsForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
-		store.set(true)
-		mirror, stop := followed(t, store)
+		store.setSilent(true)
+		mirror, stop := startMirror(t, store)
 		defer stop()
-		mirror.Take(Update{Revision: 1, Whole: true, Events: []kv.Event{put("config", "1", 1)}, Contact: time.Now()})
+		mirror.ApplyUpdate(Update{Revision: 1, Whole: true, Events: []kv.Event{put("config", "1", 1)}, LastContact: time.Now()})
 		require.True(t, mirror.InContact())
 		update, changed := mirror.since(view{revision: 0})
 		require.Len(t, update.Events, 1)
-		require.True(t, update.Contact.IsZero())
-		mirror.Take(Update{Revision: 1, Contact: time.Now()})
+		require.True(t, update.LastContact.IsZero())
+		mirror.ApplyUpdate(Update{Revision: 1, LastContact: time.Now()})
 		select {
 		case <-changed:
-			t.Fatal("a peer's contact is no news for others")
+			t.Fatal("a peer's contact woke the streams to other peers")
 		default:
 		}
-		time.Sleep(vouchTime)
+		time.Sleep(confirmationTTL)
 		require.False(t, mirror.InContact())
 	})
 }
 
-// A list is read page by page, so it may hold what was written after its revision;
-// the change that tells of it is then known already.
-func TestWhatWasWrittenWhileAListWasReadIsPassedOn(t *testing.T) {
-	mirror := mirrorOf(t, newFakeStore())
-	mirror.replace([]kv.Pair{{Key: "servers/a", Value: []byte("1"), ModRevision: 3}, {Key: "config", Value: []byte("2"), ModRevision: 12}}, 10, true)
-	mirror.apply([]kv.Event{put("config", "2", 12)}, 12)
+// A list is read in pages, so it may contain records that were written after its revision. The
+// changes that follow do not apply again, but peers still need them.
+func TestRecordsWrittenDuringListAreForwarded(t *testing.T) {
+	mirror := newTestMirror(t, newFakeStore())
+	mirror.replaceAll([]kv.Pair{{Key: "servers/a", Value: []byte("1"), ModRevision: 3}, {Key: "config", Value: []byte("2"), ModRevision: 12}}, 10, true)
+	mirror.applyChanges([]kv.Event{put("config", "2", 12)}, 12)
 	update, _ := mirror.since(view{revision: 10})
 	require.Equal(t, []kv.Event{put("config", "2", 12)}, update.Events)
 }
 
-// A daemon that listened to a peer and then takes the term must not wait for the
-// peer's word to age.
-func TestWhoFollowsTheServiceForAllBeginsAtOnce(t *testing.T) {
+// A daemon that becomes leader must not wait until its peer's confirmation has expired.
+func TestNewLeaderPollsTheStoreAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, mirror, stop := followedOne(t)
+		store, mirror, stop := startMirrorWithConfig(t)
 		defer stop()
-		vouchFor(mirror, 5*time.Second) // the call that waits at first ends
+		confirmFor(mirror, 5*time.Second) // the poll that is pending at first ends
 		store.put("config", "2")
 		synctest.Wait()
-		require.Equal(t, "1", value(mirror, "config"), "the peer vouches")
-		mirror.Lead(true)
+		require.Equal(t, "1", value(mirror, "config"), "the peer confirms the records")
+		mirror.SetLeading(true)
 		synctest.Wait()
 		require.Equal(t, "2", value(mirror, "config"))
 	})
 }
 
-// A change of who follows the service for all reaches the daemons through the one that
-// does: gathered with others, each change of the holder cost them 0.4 s.
-func TestAnUrgentRecordIsNotGatheredWithOthers(t *testing.T) {
+// A change of leadership reaches the other daemons through the leader; batching would delay it.
+func TestUrgentRecordIsNotBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
-		mirror := mirrorOf(t, store)
-		mirror.Urgent("term")
-		mirror.Lead(true)
+		mirror := newTestMirror(t, store)
+		mirror.SetUrgentKey("term")
+		mirror.SetLeading(true)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go func() { _ = mirror.Serve(ctx) }()
@@ -438,54 +436,53 @@
 		store.put("other", "1")
 		time.Sleep(time.Millisecond)
 		store.put("other", "2")
-		time.Sleep(gatherTime / 2)
-		require.Equal(t, "1", value(mirror, "other"), "changes that come together are asked for together")
-		mirror.Hurry() // after a write of this daemon's own
+		time.Sleep(batchDelay / 2)
+		require.Equal(t, "1", value(mirror, "other"), "changes are batched")
+		mirror.PollNow() // after a write by this daemon
 		time.Sleep(time.Millisecond)
 		require.Equal(t, "2", value(mirror, "other"))
 
-		mirror.Lead(false)
-		before := store.asked()
+		mirror.SetLeading(false)
+		before := store.changeCalls()
 		store.put("term", "taken again")
-		time.Sleep(gatherTime / 2)
-		require.Equal(t, before, store.asked(), "one call more of each of 300 daemons would not pay")
+		time.Sleep(batchDelay / 2)
+		require.Equal(t, before, store.changeCalls(), "only the leader polls for urgent changes at once")
 		stop()
 		synctest.Wait()
 	})
 }
 
-// Seen on days of Nitra large that take the store away: 300 daemons asked it 500 times a
-// second, though the holder of orders would have told them when it answered.
-func TestADaemonThatListensToAPeerAsksASilentServiceRarely(t *testing.T) {
-	calls := func(listening, leading bool) (count int) {
+// While the store is down, daemons that are subscribed to a peer must not overload it: the peer
+// reports when the store answers again.
+func TestSubscribedDaemonPollsAFailingStoreLessOften(t *testing.T) {
+	calls := func(subscribed, leading bool) (count int) {
 		synctest.Test(t, func(t *testing.T) {
-			store, mirror, stop := followedOne(t)
-			mirror.listen(listening)
-			mirror.Lead(leading)
+			store, mirror, stop := startMirrorWithConfig(t)
+			mirror.setSubscribed(subscribed)
+			mirror.SetLeading(leading)
 			count = store.refuseFor(4 * time.Second)
 			stop()
 			synctest.Wait()
 		})
 		return count
 	}
-	alone, listening := calls(false, false), calls(true, false)
-	require.LessOrEqual(t, 2*listening, alone, "half as many calls at the most")
-	require.Equal(t, alone, calls(true, true), "others rely on the one that follows for all")
+	alone, subscribed := calls(false, false), calls(true, false)
+	require.LessOrEqual(t, 2*subscribed, alone, "at most half as many calls")
+	require.Equal(t, alone, calls(true, true), "other daemons rely on the leader")
 }
 
-// Seen in a hunt (Nitra scale-1, seed 145547304609): the holder, cut off from the service,
-// learned a configuration of revision 64 and a removal of revision 63 from a peer, and passed
-// nothing on to a daemon that knew revision 63.
-func TestWhatAPeerPassesOnStaysInTheOrderOfRevisions(t *testing.T) {
-	source := mirrorOf(t, newFakeStore())
-	source.apply([]kv.Event{put("replica", "1", 62), {Pair: kv.Pair{Key: "replica", ModRevision: 63}, Deleted: true}, put("config", "2", 64)}, 64)
+// Guards against a relaying daemon that orders a deletion after a later change, and then forwards
+// nothing to a peer whose revision lies between the two.
+func TestForwardedChangesStayInRevisionOrder(t *testing.T) {
+	source := newTestMirror(t, newFakeStore())
+	source.applyChanges([]kv.Event{put("replica", "1", 62), {Pair: kv.Pair{Key: "replica", ModRevision: 63}, Deleted: true}, put("config", "2", 64)}, 64)
 	update, _ := source.since(view{})
-	taken, err := updateOf((&Feed{Mirror: source}).message(update, time.Now()), time.Now(), time.Time{})
+	decoded, err := decodeUpdate((&Feed{Mirror: source}).message(update, time.Now()), time.Now(), time.Time{})
 	require.NoError(t, err)
-	between := mirrorOf(t, newFakeStore())
-	between.Take(taken)
-	passedOn, _ := between.since(view{revision: 63})
-	require.EqualValues(t, 64, passedOn.Revision)
-	require.Len(t, passedOn.Events, 1)
-	require.Equal(t, "config", passedOn.Events[0].Pair.Key)
+	relay := newTestMirror(t, newFakeStore())
+	relay.ApplyUpdate(decoded)
+	forwarded, _ := relay.since(view{revision: 63})
+	require.EqualValues(t, 64, forwarded.Revision)
+	require.Len(t, forwarded.Events, 1)
+	require.Equal(t, "config", forwarded.Events[0].Pair.Key)
 }
--- a/records/relay.go
+++ b/records/relay.go
@@ -2,39 +2,38 @@
 
 import "time"
 
-// Where there are too many replicas for every daemon to know them, the others listen to directories,
-// and only those to the daemon that follows the service: it keeps ten streams and not a thousand, and
-// when it falls silent the directories follow the service themselves while the others notice nothing.
-// A word is passed on once at most, so that no two daemons can vouch for each other by it.
+// In a large fleet, directories subscribe to the leader and all other daemons to directories. The
+// leader then serves few streams, and if it falls silent, only the directories poll the store. A
+// report is relayed at most once, so that no two daemons can confirm each other.
 
-// heardOf are moments that the daemon that follows the service said itself.
-type heardOf struct {
-	contact time.Time // when the service last answered it
-	proven  time.Time // at which the records were surely the newest
+// leaderTimes holds the times reported by the leader itself.
+type leaderTimes struct {
+	lastContact time.Time // when the store last answered the leader
+	verifiedAt  time.Time // as of which its records were current
 }
 
-// hear takes in a peer's own word; the mutex is held.
-func (m *Mirror) hear(update Update, isProof bool) {
-	isNews := false
-	if m.revision > 0 && update.Contact.After(m.heard.contact) {
-		m.heard.contact, isNews = update.Contact, true
+// recordLeaderReport records an update that the peer did not relay. Callers hold the mutex.
+func (m *Mirror) recordLeaderReport(update Update, verifies bool) {
+	changed := false
+	if m.revision > 0 && update.LastContact.After(m.leaderReport.lastContact) {
+		m.leaderReport.lastContact, changed = update.LastContact, true
 	}
-	if isProof {
-		m.heard.proven, isNews = update.Proven, true
+	if verifies {
+		m.leaderReport.verifiedAt, changed = update.Verified, true
 	}
-	if isNews && m.bulkWanted {
+	if changed && m.replicasRequired {
 		m.notify(true)
 	}
 }
 
-// passOn makes an update tell what was heard of, where this daemon is a directory and that is newer
-// than its own word; the mutex is held.
-func (m *Mirror) passOn(update *Update) {
-	if !m.bulkWanted || m.leading || !m.heard.contact.After(update.Contact) {
+// relay replaces the times in an update by the leader's where this daemon is a directory and they
+// are newer than its own. Callers hold the mutex.
+func (m *Mirror) relay(update *Update) {
+	if !m.replicasRequired || m.leading || !m.leaderReport.lastContact.After(update.LastContact) {
 		return
 	}
-	update.Contact, update.SecondHand = m.heard.contact, true
-	if m.heard.proven.After(update.Proven) {
-		update.Proven = m.heard.proven
+	update.LastContact, update.SecondHand = m.leaderReport.lastContact, true
+	if m.leaderReport.verifiedAt.After(update.Verified) {
+		update.Verified = m.leaderReport.verifiedAt
 	}
 }
--- a/records/relay_test.go
+++ b/records/relay_test.go
@@ -9,84 +9,83 @@
 	"github.com/finchspoke/finchspoke/kv"
 )
 
-// tell lets one mirror hear what another says now, as a stream does.
-func tell(to, from *Mirror, revision int64) Update {
+// forward applies the current update of one mirror to another, as a stream does.
+func forward(to, from *Mirror, revision int64) Update {
 	update, _ := from.since(view{revision: revision})
 	now := time.Now()
 	message := (&Feed{Mirror: from}).message(update, now)
-	heard, err := updateOf(message, now, now)
+	received, err := decodeUpdate(message, now, now)
 	if err != nil {
 		panic(err)
 	}
-	to.Take(heard)
-	return heard
+	to.ApplyUpdate(received)
+	return received
 }
 
-func TestADirectoryPassesTheWordOfTheOneThatFollowsTheServiceOnOnce(t *testing.T) {
-	holder, directory, other, third := mirrorOf(t, newFakeStore()), mirrorOf(t, newFakeStore()), mirrorOf(t, newFakeStore()), mirrorOf(t, newFakeStore())
-	holder.replace([]kv.Pair{{Key: "config", Value: []byte("1"), ModRevision: 4}}, 5, true)
-	answered := time.Now().Add(-300 * time.Millisecond)
-	holder.answered(answered, answered)
-	directory.WantBulk(true)
-	other.WantBulk(true) // another directory: it does not pass on what it has from the first
+func TestDirectoryRelaysLeaderContactOnce(t *testing.T) {
+	leader, directory, other, third := newTestMirror(t, newFakeStore()), newTestMirror(t, newFakeStore()), newTestMirror(t, newFakeStore()), newTestMirror(t, newFakeStore())
+	leader.replaceAll([]kv.Pair{{Key: "config", Value: []byte("1"), ModRevision: 4}}, 5, true)
+	contacted := time.Now().Add(-300 * time.Millisecond)
+	leader.contacted(contacted, contacted)
+	directory.RequireReplicaRecords(true)
+	other.RequireReplicaRecords(true) // another directory: it does not relay what was relayed to it
 
-	update := tell(directory, holder, 0)
+	update := forward(directory, leader, 0)
 	require.False(t, update.SecondHand)
-	update = tell(other, directory, 0)
+	update = forward(other, directory, 0)
 	require.True(t, update.SecondHand)
 	require.True(t, other.InContact())
-	require.WithinDuration(t, answered, other.ProvenAt(), 5*time.Millisecond)
-	require.False(t, other.ProvenAt().After(answered), "what is proven never looks newer than it is")
+	require.WithinDuration(t, contacted, other.VerifiedAt(), 5*time.Millisecond)
+	require.False(t, other.VerifiedAt().After(contacted), "a verification never looks newer than it is")
 
-	update = tell(third, other, 0)
+	update = forward(third, other, 0)
 	require.Equal(t, "1", value(third, "config"))
-	require.True(t, update.Contact.IsZero())
-	require.False(t, third.InContact(), "the word was passed on once")
-	require.True(t, third.ProvenAt().IsZero())
+	require.True(t, update.LastContact.IsZero())
+	require.False(t, third.InContact(), "reports are relayed only once")
+	require.True(t, third.VerifiedAt().IsZero())
 }
 
-// Each takes the other for the daemon that follows the service: the moment of an answer would move on
-// with each message, and both would be in contact for ever.
-func TestTwoDirectoriesThatListenToEachOtherDoNotVouchForEachOther(t *testing.T) {
-	first, second := mirrorOf(t, newFakeStore()), mirrorOf(t, newFakeStore())
+// If reports were relayed more than once, two directories would keep each other's contact recent.
+func TestDirectoriesDoNotConfirmEachOther(t *testing.T) {
+	first, second := newTestMirror(t, newFakeStore()), newTestMirror(t, newFakeStore())
 	for _, one := range []*Mirror{first, second} {
-		one.replace([]kv.Pair{{Key: "config", Value: []byte("1"), ModRevision: 4}}, 5, true)
-		one.WantBulk(true)
+		one.replaceAll([]kv.Pair{{Key: "config", Value: []byte("1"), ModRevision: 4}}, 5, true)
+		one.RequireReplicaRecords(true)
 	}
-	answered := time.Now().Add(-vouchTime / 2)
-	first.answered(answered, answered)
+	contacted := time.Now().Add(-confirmationTTL / 2)
+	first.contacted(contacted, contacted)
 	for range 50 {
-		tell(second, first, 5)
-		tell(first, second, 5)
+		forward(second, first, 5)
+		forward(first, second, 5)
 		time.Sleep(time.Millisecond)
 	}
 	age, known := second.ContactAge()
 	require.True(t, known)
-	require.Greater(t, age, vouchTime/2+40*time.Millisecond, "it grows old as fast as time goes by")
-	require.False(t, second.ProvenAt().After(answered))
+	require.Greater(t, age, confirmationTTL/2+40*time.Millisecond, "the age advances with the clock")
+	require.False(t, second.VerifiedAt().After(contacted))
 }
 
-func TestADaemonThatIsNoDirectoryPassesNothingOn(t *testing.T) {
-	holder, daemon, other := mirrorOf(t, newFakeStore()), mirrorOf(t, newFakeStore()), mirrorOf(t, newFakeStore())
-	holder.replace(nil, 5, true)
-	holder.answered(time.Now(), time.Now())
-	tell(daemon, holder, 0)
+func TestOrdinaryDaemonRelaysNothing(t *testing.T) {
+	leader, daemon, other := newTestMirror(t, newFakeStore()), newTestMirror(t, newFakeStore()), newTestMirror(t, newFakeStore())
+	leader.replaceAll(nil, 5, true)
+	leader.contacted(time.Now(), time.Now())
+	forward(daemon, leader, 0)
 	require.True(t, daemon.InContact())
-	tell(other, daemon, 0)
+	forward(other, daemon, 0)
 	require.False(t, other.InContact())
 }
 
-// A directory that had not heard of the holder for a second told that its records were as old as its own
-// last call to the service, and a thousand daemons left it at once.
-func TestADirectoryTellsTheAgeOfWhatItHeardLast(t *testing.T) {
-	holder, directory := mirrorOf(t, newFakeStore()), mirrorOf(t, newFakeStore())
-	holder.replace(nil, 5, true)
-	directory.answered(time.Now().Add(-time.Minute), time.Now().Add(-time.Minute))
-	directory.WantBulk(true)
-	answered := time.Now().Add(-2 * time.Second)
-	holder.answered(answered, answered)
-	tell(directory, holder, 0)
-	require.False(t, directory.restWhileVouched(t.Context()), "the word is too old")
+// A directory whose last report from the leader has expired must report that report's age, not that
+// of its own older contact: otherwise all its subscribers would leave it.
+func TestDirectoryReportsAgeOfLastLeaderContact(t *testing.T) {
+	leader, directory := newTestMirror(t, newFakeStore()), newTestMirror(t, newFakeStore())
+	leader.replaceAll(nil, 5, true)
+	directory.contacted(time.Now().Add(-time.Minute), time.Now().Add(-time.Minute))
+	directory.RequireReplicaRecords(true)
+	contacted := time.Now().Add(-2 * time.Second)
+	leader.contacted(contacted, contacted)
+	forward(directory, leader, 0)
+	require.False(t, directory.waitWhileConfirmed(t.Context()), "the report has expired")
 	age, known := directory.ContactAge()
 	require.True(t, known)
 	require.Less(t, age, 3*time.Second)
--- a/records/subscriber.go
+++ b/records/subscriber.go
@@ -14,30 +14,28 @@
 )
 
 const (
-	// sourceCheck is the time between looks at whether the peer is still the right
-	// one.
-	sourceCheck = 200 * time.Millisecond
-	// sourcePatience is how long a peer that does not vouch is listened to while
-	// others may know more.
-	sourcePatience = time.Second
+	// leaderCheckInterval is how often the subscriber checks whether it follows the right peer.
+	leaderCheckInterval = 200 * time.Millisecond
+	// peerTimeout bounds a connection attempt, and how long the subscriber stays with a peer that
+	// does not confirm the records.
+	peerTimeout = time.Second
 )
 
 // Subscriber keeps one stream of records from a peer. It is a suture service.
 type Subscriber struct {
 	Daemon string
 	Mirror *Mirror
-	// Source returns the address of the daemon that follows the service for all, empty
-	// while none is known, and whether that is another one.
+	// Source returns the address of the leader, empty while none is known, and whether that is
+	// another daemon.
 	Source func() (address string, other bool)
-	// Deputy returns the address of the daemon to listen to while no source is known,
-	// so that not all of them ask the service; empty for the deputies themselves.
-	Deputy func() string
-	// Seeds returns addresses of peers to ask in turn while nobody vouches for the
-	// records.
+	// Standby returns the address of the daemon to follow while no leader is known, so that not all
+	// daemons poll the store; empty at the standbys themselves.
+	Standby func() string
+	// Seeds returns addresses of peers to try in turn while no peer confirms the records.
 	Seeds func() []string
 	Log   logrus.FieldLogger
 
-	round int // of the seeds
+	nextSeed int // index into the seeds
 }
 
 // String names the service in the supervisor's events.
@@ -45,43 +43,42 @@
 
 // Serve implements suture.Service.
 func (s *Subscriber) Serve(ctx context.Context) error {
-	// The service itself has time to answer first.
-	for sleep.For(ctx, sourceCheck) {
-		if address := s.next(); address != "" {
-			s.listen(ctx, address)
+	// The store gets time to answer first.
+	for sleep.For(ctx, leaderCheckInterval) {
+		if address := s.nextPeer(); address != "" {
+			s.subscribe(ctx, address)
 		}
 	}
 	return ctx.Err()
 }
 
-// next returns the peer to listen to; empty: none.
-func (s *Subscriber) next() string {
-	source, other := s.Source()
+// nextPeer returns the address of the peer to follow; empty: none.
+func (s *Subscriber) nextPeer() string {
+	leader, other := s.Source()
 	if s.Mirror.InContact() {
 		switch {
-		case source == "":
-			return s.Deputy()
+		case leader == "":
+			return s.Standby()
 		case !other:
-			return "" // this daemon follows the service for all
+			return "" // this daemon is the leader
 		}
-		return source
+		return leader
 	}
 	peers := s.Seeds()
-	if source != "" && other {
-		peers = append([]string{source}, peers...)
+	if leader != "" && other {
+		peers = append([]string{leader}, peers...)
 	}
 	if len(peers) == 0 {
 		return ""
 	}
-	s.round++
-	return peers[(s.round-1)%len(peers)]
+	s.nextSeed++
+	return peers[(s.nextSeed-1)%len(peers)]
 }
 
-var errNotVouching = errors.New("the peer does not hear from the key-value service")
+var errNotConfirming = errors.New("peer has no recent contact with the key-value service")
 
-// listen takes in a peer's records until the stream breaks, or another peer is to
-// be listened to.
-func (s *Subscriber) listen(ctx context.Context, address string) {
+// subscribe applies a peer's records until the stream breaks or another peer is to be followed.
+func (s *Subscriber) subscribe(ctx context.Context, address string) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	go s.supervise(ctx, address, cancel)
@@ -94,7 +91,7 @@
 }
 
 func (s *Subscriber) follow(ctx context.Context, address string, connected func()) error {
-	dialing, done := context.WithTimeout(ctx, sourcePatience)
+	dialing, done := context.WithTimeout(ctx, peerTimeout)
 	conn, err := transport.Dial(dialing, address)
 	done()
 	if err != nil {
@@ -105,24 +102,24 @@
 	return s.Mirror.followPeer(ctx, rpc.NewDRPCRecordsClient(conn), s.Daemon)
 }
 
-var errAllWanted = errors.New("this daemon is to know all replicas, and asks for their records")
+var errReplicasRequired = errors.New("this daemon now requires replica records; subscribing again")
 
-// supervise ends the stream once its peer is no longer the one to listen to.
+// supervise ends the stream once its peer is no longer the one to follow.
 func (s *Subscriber) supervise(ctx context.Context, address string, end context.CancelCauseFunc) {
-	vouched, all := time.Now(), s.Mirror.WantsAll()
-	for sleep.For(ctx, sourceCheck) {
-		source, _ := s.Source()
+	confirmedAt, all := time.Now(), s.Mirror.RequiresAll()
+	for sleep.For(ctx, leaderCheckInterval) {
+		leader, _ := s.Source()
 		inContact := s.Mirror.InContact()
 		if inContact {
-			vouched = time.Now()
+			confirmedAt = time.Now()
 		}
 		switch {
-		case !all && s.Mirror.lacksBulk():
-			end(errAllWanted)
-		case inContact && source != "" && source != address:
-			end(errors.New("another daemon follows the key-value service for all"))
-		case !inContact && time.Since(vouched) > sourcePatience:
-			end(errNotVouching)
+		case !all && s.Mirror.missingReplicas():
+			end(errReplicasRequired)
+		case inContact && leader != "" && leader != address:
+			end(errors.New("another daemon is the leader"))
+		case !inContact && time.Since(confirmedAt) > peerTimeout:
+			end(errNotConfirming)
 		}
 	}
 }
--- a/records/subscriber_test.go
+++ b/records/subscriber_test.go
@@ -7,27 +7,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestWhichPeerASubscriberListensTo(t *testing.T) {
-	mirror := mirrorOf(t, newFakeStore())
-	source, other, deputy := "", true, "seed:1"
+func TestSubscriberPeerSelection(t *testing.T) {
+	mirror := newTestMirror(t, newFakeStore())
+	source, isOther, standby := "", true, "seed:1"
 	subscriber := &Subscriber{
-		Mirror: mirror, Source: func() (string, bool) { return source, other }, Deputy: func() string { return deputy },
+		Mirror: mirror, Source: func() (string, bool) { return source, isOther }, Standby: func() string { return standby },
 		Seeds: func() []string { return []string{"seed:1", "seed:2"} },
 	}
-	require.Equal(t, "seed:1", subscriber.next(), "nobody vouches: the seeds in turn")
-	require.Equal(t, "seed:2", subscriber.next())
-	mirror.answered(time.Now(), time.Now())
-	require.Equal(t, "seed:1", subscriber.next(), "nobody follows the service for all: the deputy")
-	deputy = ""
-	require.Empty(t, subscriber.next(), "a deputy follows the service itself")
-	source = "holder:1"
-	require.Equal(t, "holder:1", subscriber.next())
-	other = false
-	require.Empty(t, subscriber.next(), "this daemon follows the service for all")
-	mirror.contact = time.Time{}
-	subscriber.round = 0
-	require.Equal(t, "seed:1", subscriber.next(), "the service does not answer here")
-	other = true
-	subscriber.round = 0
-	require.Equal(t, "holder:1", subscriber.next(), "the source first")
+	require.Equal(t, "seed:1", subscriber.nextPeer(), "no confirmation: the seeds in turn")
+	require.Equal(t, "seed:2", subscriber.nextPeer())
+	mirror.contacted(time.Now(), time.Now())
+	require.Equal(t, "seed:1", subscriber.nextPeer(), "no leader: the standby")
+	standby = ""
+	require.Empty(t, subscriber.nextPeer(), "a standby polls the store itself")
+	source = "leader:1"
+	require.Equal(t, "leader:1", subscriber.nextPeer())
+	isOther = false
+	require.Empty(t, subscriber.nextPeer(), "this daemon is the leader")
+	mirror.lastContact = time.Time{}
+	subscriber.nextSeed = 0
+	require.Equal(t, "seed:1", subscriber.nextPeer(), "the store does not answer this daemon")
+	isOther = true
+	subscriber.nextSeed = 0
+	require.Equal(t, "leader:1", subscriber.nextPeer(), "the leader first")
 }
--- a/records/update.go
+++ b/records/update.go
@@ -6,110 +6,109 @@
 	"github.com/finchspoke/finchspoke/kv"
 )
 
-// Update is what a peer passes on.
+// Update is a message by which a peer forwards records.
 type Update struct {
-	Revision int64 // of the service, up to which the peer knows the changes
-	// Whole tells that the events are all records there are, but for the bulk where it is left
-	// out.
+	Revision int64 // of the store, up to which the peer has applied changes
+	// Whole tells that the events are the complete list, except replica records where they are
+	// omitted.
 	Whole bool
-	// WithoutBulk tells that the bulk is left out.
-	WithoutBulk bool
-	Events      []kv.Event
-	// Contact is when the service last answered the peer itself; zero: never.
-	Contact time.Time
-	// Proven is a moment at which the peer's records were surely the newest; zero: none is
-	// known.
-	Proven time.Time
-	// SecondHand tells that contact and proof are what the peer heard of, and not its own.
+	// OmitsReplicaRecords tells that replica records are left out.
+	OmitsReplicaRecords bool
+	Events              []kv.Event
+	// LastContact is when the store last answered the peer; zero: never.
+	LastContact time.Time
+	// Verified is a time as of which the peer's records were current; zero: unknown.
+	Verified time.Time
+	// SecondHand tells that LastContact and Verified are relayed from the leader, not the peer's
+	// own.
 	SecondHand bool
 }
 
-// Take takes in what a peer passes on. What is older than what is known here is
-// left out. It returns false for an update that does not suit this daemon: the peer must not go on
-// as if its records were known here.
-func (m *Mirror) Take(update Update) (taken bool) {
-	if !m.takeRecords(update) {
+// ApplyUpdate applies a peer's update, except what is older than the mirror. It returns false for
+// an update that this daemon cannot use: the peer must not assume that its records were applied.
+func (m *Mirror) ApplyUpdate(update Update) (applied bool) {
+	if !m.applyRecords(update) {
 		return false
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.isOfEarlierEra(update) {
-		return true // once the peer hears of the restore, it passes on all records
+	if m.fromEarlierEra(update) {
+		return true // once the peer notices the restore, it sends all records
 	}
-	if m.revision > 0 && update.Contact.After(m.vouched) {
-		m.vouched = update.Contact
-		m.regain()
+	if m.revision > 0 && update.LastContact.After(m.confirmedAt) {
+		m.confirmedAt = update.LastContact
+		m.markReachable()
 	}
-	isProof := m.revision >= update.Revision && update.Proven.After(m.provenByPeer)
-	if isProof {
-		m.provenByPeer = update.Proven
+	verifies := m.revision >= update.Revision && update.Verified.After(m.verifiedByPeer)
+	if verifies {
+		m.verifiedByPeer = update.Verified
 	}
 	if !update.SecondHand {
-		m.hear(update, isProof)
+		m.recordLeaderReport(update, verifies)
 	}
 	return true
 }
 
-// takeRecords takes in a peer's records; it returns false where they do not suit this daemon.
-func (m *Mirror) takeRecords(update Update) bool {
-	m.turn.Lock()
-	defer m.turn.Unlock()
+// applyRecords applies a peer's records; it returns false if this daemon cannot use the update.
+func (m *Mirror) applyRecords(update Update) bool {
+	m.applyMutex.Lock()
+	defer m.applyMutex.Unlock()
 	m.mutex.Lock()
-	known, isEarlier := m.revision, m.isOfEarlierEra(update)
+	known, isEarlier := m.revision, m.fromEarlierEra(update)
 	m.mutex.Unlock()
 	if isEarlier {
 		return true
 	}
-	if !m.suits(update) {
+	if !m.accepts(update) {
 		return false
 	}
 	newer := update.Revision > known
-	if m.WithoutBulk() && !update.WithoutBulk {
-		newer = update.Revision >= known // the bulk is news
+	if m.OmitsReplicaRecords() && !update.OmitsReplicaRecords {
+		newer = update.Revision >= known // the replica records are new
 	}
 	switch {
-	case update.Whole && !newer && m.lacksBulk():
-		// The peer lies behind what is known here. Had its list been left out as if it were taken, only
-		// changes would follow: a directory that was named knew no replicas for 11 s.
+	case update.Whole && !newer && m.missingReplicas():
+		// If the outdated list counted as applied, the peer would send only later changes, and the
+		// replica records would stay missing.
 		return false
 	case newer && update.Whole:
 		pairs := make([]kv.Pair, 0, len(update.Events))
 		for _, event := range update.Events {
 			pairs = append(pairs, event.Pair)
 		}
-		m.replace(pairs, update.Revision, !update.WithoutBulk)
+		m.replaceAll(pairs, update.Revision, !update.OmitsReplicaRecords)
 	case !update.Whole:
-		m.apply(update.Events, update.Revision)
+		m.applyChanges(update.Events, update.Revision)
 	}
 	return true
 }
 
-// view is what a peer is told of.
+// view describes what a peer is to be sent.
 type view struct {
-	revision int64 // up to which the peer knows the changes
-	// without tells that the peer does without the bulk, or that it is to do so.
-	without bool
+	revision int64 // up to which the peer has applied changes
+	// omitsReplicas tells that the peer does not mirror replica records, or is to stop doing so.
+	omitsReplicas bool
 }
 
-// since returns what a peer lacks, and a channel that is closed when there is more. A peer that
-// knows more than this daemon lacks nothing.
+// since returns the changes that a peer is missing, and a channel that is closed when there are
+// more. A peer that is ahead of this daemon is missing nothing.
 func (m *Mirror) since(peer view) (Update, <-chan struct{}) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	update := Update{Revision: m.revision, Contact: m.contact, Proven: m.provenHere, WithoutBulk: peer.without || m.without}
-	m.passOn(&update)
-	recent, changed := &m.recent, m.changed
-	if update.WithoutBulk {
-		recent, changed = &m.recentOthers, m.changedOthers
+	update := Update{Revision: m.revision, LastContact: m.lastContact, Verified: m.verifiedLocally, OmitsReplicaRecords: peer.omitsReplicas || m.omitsReplicas}
+	m.relay(&update)
+	recentChanges, changed := &m.recentChanges, m.changed
+	if update.OmitsReplicaRecords {
+		recentChanges, changed = &m.recentOtherChanges, m.otherChanged
 	}
-	events, known := recent.since(peer.revision)
+	events, known := recentChanges.since(peer.revision)
 	if known {
 		update.Events = events
 		return update, changed
 	}
 	update.Whole = true
 	for key, pair := range m.pairs {
-		if !update.WithoutBulk || !m.inBulk(key) {
+		if !update.OmitsReplicaRecords || !m.isReplica(key) {
 			update.Events = append(update.Events, kv.Event{Pair: pair})
 		}
 	}
