--- a/discovery/client.go
+++ b/discovery/client.go
@@ -18,117 +18,116 @@
 )
 
 const (
-	// keepUnused is how long a daemon is told of what none of its callers asks for any more.
-	keepUnused = 60 * time.Second
-	// dropPause is the time between looks for that.
-	dropPause = 5 * time.Second
-	// connectTime bounds the way to a directory, and connectPause is the time before the next one is
-	// tried. A request that waits for word waits two seconds at most.
-	connectTime  = 400 * time.Millisecond
-	connectPause = 50 * time.Millisecond
-	// connectPauseMost bounds the pause, which doubles with each try in vain.
-	connectPauseMost = 400 * time.Millisecond
-	// silentTime is how long a directory may say nothing: it says something each second.
-	silentTime = 2500 * time.Millisecond
-	// staleTime is the age of a directory's knowledge from which another is asked, which may know
-	// more; staleAgain is the least time between two such changes, since while the key-value service
-	// is away all directories are alike.
-	staleTime  = 3 * time.Second
-	staleAgain = 15 * time.Second
-	// askPause gathers what several requests ask for at once.
-	askPause = time.Millisecond
+	// interestTTL is how long an interest is kept after its last request.
+	interestTTL = 60 * time.Second
+	// dropInterval is the time between checks for expired interests.
+	dropInterval = 5 * time.Second
+	// connectTimeout bounds a connection attempt, and minConnectDelay is the first delay between
+	// attempts. Both are short compared with the time that a request waits for discovery.
+	connectTimeout  = 400 * time.Millisecond
+	minConnectDelay = 50 * time.Millisecond
+	// maxConnectDelay bounds the delay, which doubles with each failed attempt.
+	maxConnectDelay = 400 * time.Millisecond
+	// silenceTimeout ends a stream without messages. It exceeds the directory's heartbeatInterval.
+	silenceTimeout = 2500 * time.Millisecond
+	// maxDirectoryAge is the age of a directory's records from which the client tries another
+	// directory. minStaleSwitchInterval limits such switches, because all directories get stale
+	// while the key-value service is unavailable.
+	maxDirectoryAge        = 3 * time.Second
+	minStaleSwitchInterval = 15 * time.Second
+	// interestBatchDelay batches the interests of concurrent requests.
+	interestBatchDelay = time.Millisecond
 )
 
 // dependency names the directory in log lines.
 const dependency = "directory of replicas"
 
 var (
-	errSilent = errors.New("the directory says nothing")
-	errStale  = errors.New("what the directory knows is old; another is asked")
-	errMoved  = errors.New("other daemons are directories now")
-	errIdle   = errors.New("this daemon knows all replicas itself")
+	errSilent       = errors.New("directory is silent")
+	errStale        = errors.New("records of the directory are stale; switching to another")
+	errNotDirectory = errors.New("the peer is no longer a directory")
+	errDisabled     = errors.New("this daemon mirrors all replicas itself")
 )
 
-// Client keeps a daemon's directory filled with the replicas that its callers need. It is a suture
-// service, and implements fleet.Interest.
+// Client keeps a daemon's view of the fleet filled with the replicas that its callers need. It is a
+// suture service, and implements fleet.Interest.
 type Client struct {
 	Daemon string
 	Zone   string
 	Fleet  *fleet.Directory
-	// Directories returns the addresses of daemons that know all replicas, in the order in which
-	// this one asks them.
+	// Directories returns the addresses of daemons that have all replicas, in order of preference.
 	Directories func() []string
 	Log         logrus.FieldLogger
 
-	mutex     sync.Mutex
-	interests map[Key]*wanted
-	added     []Key         // not asked for yet
-	wake      chan struct{} // holds an element while there is something to ask for
-	enabled   bool
-	switched  chan struct{} // closed when enabled changes
-	connected atomic.Bool   // a directory has answered since this client was enabled
-	round     int
-	current   string    // address of the directory that answers; empty: none does
-	staleAt   time.Time // when a directory was last left since its knowledge was old
+	mutex            sync.Mutex
+	interests        map[Key]*clientInterest
+	unsent           []Key         // not sent yet
+	wake             chan struct{} // signaled when unsent is not empty
+	enabled          bool
+	enabledChanged   chan struct{} // closed when enabled changes
+	connected        atomic.Bool   // a directory has answered since the client was enabled
+	attempts         int
+	directoryAddress string    // address of the connected directory; empty: none
+	leftStaleAt      time.Time // when a directory was last left because its records were stale
 }
 
-// wanted is what this daemon's callers ask for.
-type wanted struct {
-	used time.Time
-	told bool // by some directory, perhaps one before the present
+// clientInterest is the state of a target that this daemon's callers request.
+type clientInterest struct {
+	lastUsed time.Time
+	answered bool // by the current directory or an earlier one
 }
 
-// Prepare makes the client ready for use; it does nothing until it is enabled.
+// Prepare initializes the client, which stays idle until it is enabled.
 func (c *Client) Prepare() {
-	c.interests, c.wake, c.switched = map[Key]*wanted{}, make(chan struct{}, 1), make(chan struct{})
+	c.interests, c.wake, c.enabledChanged = map[Key]*clientInterest{}, make(chan struct{}, 1), make(chan struct{})
 }
 
-// Enable makes the client ask for replicas, or no more.
+// Enable starts or stops the client. It clears the client's interests.
 func (c *Client) Enable(enabled bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.enabled == enabled {
 		return
 	}
-	c.enabled, c.interests, c.added = enabled, map[Key]*wanted{}, nil
+	c.enabled, c.interests, c.unsent = enabled, map[Key]*clientInterest{}, nil
 	c.connected.Store(false)
-	close(c.switched)
-	c.switched = make(chan struct{})
+	close(c.enabledChanged)
+	c.enabledChanged = make(chan struct{})
 }
 
-// Connected tells whether a directory has answered.
+// Connected tells whether a directory has answered since the client was enabled.
 func (c *Client) Connected() bool { return c.connected.Load() }
 
 // Asked implements fleet.Interest.
-func (c *Client) Asked(service string, target fleet.Target) (told bool) {
+func (c *Client) Asked(service string, target fleet.Target) (answered bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	key := Key{service, target}
-	known := c.interests[key]
-	if known == nil {
-		known = &wanted{}
-		c.interests[key] = known
-		c.added = append(c.added, key)
+	interest := c.interests[key]
+	if interest == nil {
+		interest = &clientInterest{}
+		c.interests[key] = interest
+		c.unsent = append(c.unsent, key)
 		select {
 		case c.wake <- struct{}{}:
 		default:
 		}
 	}
-	known.used = time.Now()
-	return known.told
+	interest.lastUsed = time.Now()
+	return interest.answered
 }
 
-// Current returns the address of the directory that answers this daemon; empty: none does.
-func (c *Client) Current() string {
+// DirectoryAddress returns the address of the directory that serves this daemon; empty: none.
+func (c *Client) DirectoryAddress() string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.current
+	return c.directoryAddress
 }
 
 func (c *Client) setCurrent(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.current = address
+	c.directoryAddress = address
 }
 
 // String names the service in the supervisor's events.
@@ -136,56 +135,56 @@
 
 // Serve implements suture.Service.
 func (c *Client) Serve(ctx context.Context) error {
-	pause := connectPause
+	delay := minConnectDelay
 	for ctx.Err() == nil {
-		enabled, switched := c.state()
+		enabled, enabledChanged := c.state()
 		if !enabled {
 			select {
 			case <-ctx.Done():
-			case <-switched:
+			case <-enabledChanged:
 			}
 			continue
 		}
-		address := c.next()
+		address := c.nextDirectory()
 		if address == "" {
-			sleep.For(ctx, connectPause)
+			sleep.For(ctx, minConnectDelay)
 			continue
 		}
-		began := time.Now()
-		err := c.subscribe(ctx, address, switched)
+		started := time.Now()
+		err := c.subscribe(ctx, address, enabledChanged)
 		if ctx.Err() != nil {
 			break
 		}
-		if pause = min(2*pause, connectPauseMost); time.Since(began) > silentTime {
-			pause = connectPause
+		if delay = min(2*delay, maxConnectDelay); time.Since(started) > silenceTimeout {
+			delay = minConnectDelay
 		}
 		c.Log.WithFields(logrus.Fields{logging.Dependency: dependency, logging.Address: address, logging.Cause: err.Error()}).Info(logging.MessageDependencyLost)
-		sleep.For(ctx, pause)
+		sleep.For(ctx, delay)
 	}
 	return ctx.Err()
 }
 
-func (c *Client) state() (enabled bool, switched <-chan struct{}) {
+func (c *Client) state() (enabled bool, enabledChanged <-chan struct{}) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.enabled, c.switched
+	return c.enabled, c.enabledChanged
 }
 
-// next returns the directory to be asked; empty: none is known.
-func (c *Client) next() string {
+// nextDirectory returns the address of the directory to connect to; empty: none is known.
+func (c *Client) nextDirectory() string {
 	addresses := c.Directories()
 	if len(addresses) == 0 {
 		return ""
 	}
-	return addresses[c.round%len(addresses)]
+	return addresses[c.attempts%len(addresses)]
 }
 
 // subscribe keeps a stream to a directory until it breaks.
-func (c *Client) subscribe(ctx context.Context, address string, switched <-chan struct{}) error {
+func (c *Client) subscribe(ctx context.Context, address string, enabledChanged <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer func() { c.round++ }() // another is asked next
-	dialing, done := context.WithTimeout(ctx, connectTime)
+	defer func() { c.attempts++ }() // the next attempt uses another directory
+	dialing, done := context.WithTimeout(ctx, connectTimeout)
 	defer done()
 	conn, err := transport.Dial(dialing, address)
 	if err != nil {
@@ -196,49 +195,49 @@
 	if err != nil {
 		return errors.Wrap(err, "subscribe to a directory of replicas")
 	}
-	all := c.all()
-	if err := stream.Send(&rpc.Interest{DaemonId: c.Daemon, Zone: c.Zone, Added: messagesOf(all)}); err != nil {
+	allInterests := c.allInterests()
+	if err := stream.Send(&rpc.Interest{DaemonId: c.Daemon, Zone: c.Zone, Added: keyMessages(allInterests)}); err != nil {
 		return err
 	}
 	failed := make(chan error, 1)
-	heard := make(chan struct{}, 1)
-	var listening sync.WaitGroup
-	listening.Go(func() { failed <- c.listen(stream, address, len(all), heard) })
-	err = c.ask(ctx, stream, address, failed, heard, switched)
+	received := make(chan struct{}, 1)
+	var receiving sync.WaitGroup
+	receiving.Go(func() { failed <- c.receive(stream, address, len(allInterests), received) })
+	err = c.sendInterests(ctx, stream, address, failed, received, enabledChanged)
 	cancel()
 	_ = conn.Close()
-	listening.Wait()
+	receiving.Wait()
 	c.setCurrent("")
 	return err
 }
 
-// ask tells the directory what this daemon's callers ask for, until the stream breaks.
-func (c *Client) ask(ctx context.Context, stream rpc.DRPCDiscovery_SubscribeClient, address string, failed <-chan error, heard, switched <-chan struct{}) error {
-	drops := time.NewTicker(dropPause)
-	defer drops.Stop()
-	silence := time.NewTimer(silentTime)
+// sendInterests sends changes of this daemon's interests to the directory until the stream breaks.
+func (c *Client) sendInterests(ctx context.Context, stream rpc.DRPCDiscovery_SubscribeClient, address string, failed <-chan error, received, enabledChanged <-chan struct{}) error {
+	dropTicker := time.NewTicker(dropInterval)
+	defer dropTicker.Stop()
+	silence := time.NewTimer(silenceTimeout)
 	defer silence.Stop()
 	for {
 		var message *rpc.Interest
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-switched:
-			return errIdle
+		case <-enabledChanged:
+			return errDisabled
 		case err := <-failed:
 			return err
 		case <-silence.C:
 			return errSilent
-		case <-heard:
-			silence.Reset(silentTime)
+		case <-received:
+			silence.Reset(silenceTimeout)
 		case <-c.wake:
-			sleep.For(ctx, askPause)
-			message = &rpc.Interest{Added: messagesOf(c.takeAdded())}
-		case <-drops.C:
+			sleep.For(ctx, interestBatchDelay)
+			message = &rpc.Interest{Added: keyMessages(c.takeUnsent())}
+		case <-dropTicker.C:
 			if !slices.Contains(c.Directories(), address) {
-				return errMoved
+				return errNotDirectory
 			}
-			message = &rpc.Interest{Dropped: messagesOf(c.dropUnused())}
+			message = &rpc.Interest{Dropped: keyMessages(c.dropExpired())}
 		}
 		if len(message.GetAdded())+len(message.GetDropped()) > 0 {
 			if err := stream.Send(message); err != nil {
@@ -248,11 +247,11 @@
 	}
 }
 
-// all returns all interests; none of them is to be asked for apart.
-func (c *Client) all() []Key {
+// allInterests returns all interests, and clears the list of unsent ones, which they include.
+func (c *Client) allInterests() []Key {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.added = nil
+	c.unsent = nil
 	keys := make([]Key, 0, len(c.interests))
 	for key := range c.interests {
 		keys = append(keys, key)
@@ -260,39 +259,39 @@
 	return keys
 }
 
-func (c *Client) takeAdded() []Key {
+func (c *Client) takeUnsent() []Key {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	added := c.added
-	c.added = nil
-	return added
+	unsent := c.unsent
+	c.unsent = nil
+	return unsent
 }
 
-// dropUnused ends the interests that no request had for a while.
-func (c *Client) dropUnused() []Key {
+// dropExpired removes and returns the interests without recent requests.
+func (c *Client) dropExpired() []Key {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	var dropped []Key
+	var expired []Key
 	for key, known := range c.interests {
-		if known.told && time.Since(known.used) > keepUnused {
+		if known.answered && time.Since(known.lastUsed) > interestTTL {
 			delete(c.interests, key)
-			dropped = append(dropped, key)
+			expired = append(expired, key)
 		}
 	}
-	return dropped
+	return expired
 }
 
-// listen takes in what the directory tells. expected is how many interests the stream began with:
-// once it has answered them, replicas that it did not name are forgotten.
-func (c *Client) listen(stream rpc.DRPCDiscovery_SubscribeClient, address string, expected int, heard chan<- struct{}) error {
-	named, answered, isWhole := map[string]bool{}, 0, false
+// receive applies the directory's updates. expected is the number of interests that the stream
+// began with: once they are answered, replicas that the directory did not list are removed.
+func (c *Client) receive(stream rpc.DRPCDiscovery_SubscribeClient, address string, expected int, received chan<- struct{}) error {
+	listed, answered, complete := map[string]bool{}, 0, false
 	for first := true; ; first = false {
 		message, err := stream.Recv()
 		if err != nil {
 			return err
 		}
 		select {
-		case heard <- struct{}{}:
+		case received <- struct{}{}:
 		default:
 		}
 		if first {
@@ -300,10 +299,10 @@
 			c.setCurrent(address)
 			c.Log.WithFields(logrus.Fields{logging.Dependency: dependency, logging.Address: address}).Info(logging.MessageDependencyRegained)
 		}
-		c.take(message, named)
-		if answered += len(message.GetAnswered()); answered >= expected && !isWhole {
-			isWhole = true
-			c.Fleet.Retain(func(id string) bool { return named[id] })
+		c.applyUpdate(message, listed)
+		if answered += len(message.GetAnswered()); answered >= expected && !complete {
+			complete = true
+			c.Fleet.Retain(func(id string) bool { return listed[id] })
 		}
 		if c.isStale(message) {
 			return errStale
@@ -311,45 +310,45 @@
 	}
 }
 
-// take takes in one message.
-func (c *Client) take(message *rpc.ReplicaUpdate, named map[string]bool) {
+// applyUpdate applies one message of the directory.
+func (c *Client) applyUpdate(message *rpc.ReplicaUpdate, listed map[string]bool) {
 	now := time.Now()
-	for _, told := range message.GetReplicas() {
-		state := stateOf(told, now)
-		named[state.ID] = true
+	for _, replica := range message.GetReplicas() {
+		state := stateFromMessage(replica, now)
+		listed[state.ID] = true
 		c.Fleet.Learn(state, now)
 	}
 	for _, id := range message.GetGone() {
-		delete(named, id)
+		delete(listed, id)
 		c.Fleet.Gone(id)
 	}
 	for _, id := range message.GetReleased() {
-		delete(named, id)
+		delete(listed, id)
 		c.Fleet.Forget(id)
 	}
 	c.Fleet.Heard(now)
 	for _, one := range message.GetAnswered() {
-		c.answered(keyOf(one))
+		c.markAnswered(keyFromMessage(one))
 	}
 }
 
-// answered notes that an interest was answered, and wakes the requests that wait for it.
-func (c *Client) answered(key Key) {
+// markAnswered records that an interest was answered, and wakes the requests that wait for it.
+func (c *Client) markAnswered(key Key) {
 	c.mutex.Lock()
 	if known := c.interests[key]; known != nil {
-		known.told = true
+		known.answered = true
 	}
 	c.mutex.Unlock()
 	c.Fleet.Told(key.Service, key.Target)
 }
 
-// isStale tells whether another directory is to be asked, since what this one knows is old.
+// isStale tells whether to switch to another directory because the records of this one are too old.
 func (c *Client) isStale(message *rpc.ReplicaUpdate) bool {
 	age := time.Duration(message.GetContactAgeMs()) * time.Millisecond
 	now := time.Now()
-	if age < staleTime || now.Sub(c.staleAt) < staleAgain {
+	if age < maxDirectoryAge || now.Sub(c.leftStaleAt) < minStaleSwitchInterval {
 		return false
 	}
-	c.staleAt = now
+	c.leftStaleAt = now
 	return true
 }
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -1,13 +1,12 @@
-// Package discovery tells daemons of the replicas that their callers need, where there are too many
-// replicas for each daemon to know them all.
+// Package discovery gives daemons the replicas that their callers need, in fleets with too many
+// replicas for each daemon to mirror them all.
 //
-// A few daemons know all replicas: the holder of load orders and those that it names, the
-// directories. Every other daemon keeps one stream to a directory. It names the services and models
-// that its callers ask for, and is told of some replicas for each, of what changes on them, and of
-// their end. So what a daemon receives and keeps follows its own requests, and what a directory sends
-// follows them and the changes; neither is the product of daemons and replicas.
+// The leader and the directories that it names have all replicas. Every other daemon keeps one
+// stream to a directory, sends the services and models that its callers request, and receives some
+// replicas for each of them, with their later changes. Traffic and memory therefore grow with the
+// requests and changes of each daemon, not with the product of daemons and replicas.
 //
-// A daemon that loses its directory goes on with what it knows and asks another.
+// A daemon that loses its directory continues with the replicas it has and connects to another one.
 package discovery
 
 import (
@@ -17,13 +16,13 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// Key is what a daemon asks for: a service, with what has to be loaded on its replicas.
+// Key identifies an interest: a service, and the model and adapter to be loaded on its replicas.
 type Key struct {
 	Service string
 	Target  fleet.Target
 }
 
-func keyOf(message *rpc.InterestTarget) Key {
+func keyFromMessage(message *rpc.InterestTarget) Key {
 	return Key{Service: message.GetService(), Target: fleet.Target{Model: message.GetModel(), Adapter: message.GetAdapter()}}
 }
 
@@ -31,7 +30,7 @@
 	return &rpc.InterestTarget{Service: k.Service, Model: k.Target.Model, Adapter: k.Target.Adapter}
 }
 
-func messagesOf(keys []Key) []*rpc.InterestTarget {
+func keyMessages(keys []Key) []*rpc.InterestTarget {
 	messages := make([]*rpc.InterestTarget, 0, len(keys))
 	for _, key := range keys {
 		messages = append(messages, key.message())
@@ -39,7 +38,7 @@
 	return messages
 }
 
-// stateMessage makes the message of what is known of a replica.
+// stateMessage encodes the state of a replica.
 func stateMessage(state fleet.State, now time.Time) *rpc.ReplicaState {
 	loads := &rpc.ReplicaLoads{ReplicaId: state.ID, BornUnixMs: state.Born, Sequence: state.Sequence, InMemory: state.InMemory, OnDisk: state.OnDisk}
 	for model, adapters := range state.Holdings {
@@ -58,8 +57,8 @@
 	return message
 }
 
-// stateOf reads the message of what is known of a replica.
-func stateOf(message *rpc.ReplicaState, now time.Time) fleet.State {
+// stateFromMessage decodes the state of a replica.
+func stateFromMessage(message *rpc.ReplicaState, now time.Time) fleet.State {
 	loads := message.GetLoads()
 	state := fleet.State{
 		Entry: fleet.Entry{
@@ -70,8 +69,8 @@
 		Fence: message.GetFence(), Sequence: loads.GetSequence(), Loading: map[fleet.Target]time.Time{}, Requests: int(message.GetRunning()),
 	}
 	if message.GetLimit() != nil {
-		word := message.GetLimit().Word(now)
-		state.Limit = &word
+		limit := message.GetLimit().Word(now)
+		state.Limit = &limit
 	}
 	for _, held := range loads.GetModels() {
 		state.Holdings[held.GetModel()] = held.GetAdapters()
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -17,47 +17,47 @@
 )
 
 const (
-	testService = "press"
-	settleTime  = 3 * time.Second
-	settlePoll  = time.Millisecond
+	testService    = "press"
+	settleTimeout  = 3 * time.Second
+	settleInterval = time.Millisecond
 )
 
-// directory is a daemon that knows all replicas.
+// directory is a daemon that has all replicas.
 type directory struct {
 	*Server
-	address string
-	all     atomic.Bool
-	age     atomic.Int64 // of its knowledge
-	stop    context.CancelFunc
+	address  string
+	complete atomic.Bool
+	age      atomic.Int64 // of its records
+	stop     context.CancelFunc
 }
 
 func startDirectory(t *testing.T) *directory {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	made := &directory{address: listener.Addr().String()}
-	made.all.Store(true)
-	made.Server = &Server{
-		Fleet: fleet.NewDirectory("a", func() float64 { return 0 }), KnowsAll: made.all.Load, WillKnow: func() bool { return false }, Now: time.Now,
-		ContactAge: func() (time.Duration, bool) { return time.Duration(made.age.Load()), true },
+	d := &directory{address: listener.Addr().String()}
+	d.complete.Store(true)
+	d.Server = &Server{
+		Fleet: fleet.NewDirectory("a", func() float64 { return 0 }), HasAllReplicas: d.complete.Load, IsLoading: func() bool { return false }, Now: time.Now,
+		ContactAge: func() (time.Duration, bool) { return time.Duration(d.age.Load()), true },
 	}
-	made.Prepare()
-	made.Begin()
+	d.Prepare()
+	d.StartObserving()
 	server := transport.NewServer(listener)
-	require.NoError(t, rpc.DRPCRegisterDiscovery(server.Mux(), made.Server))
+	require.NoError(t, rpc.DRPCRegisterDiscovery(server.Mux(), d.Server))
 	ctx, stop := context.WithCancel(context.Background())
-	made.stop = stop
+	d.stop = stop
 	t.Cleanup(stop)
 	go func() { _ = server.Serve(ctx) }()
-	return made
+	return d
 }
 
-// put lists a replica that holds a model.
+// put lists a replica with the given models.
 func (d *directory) put(id, zone string, holdings fleet.Holdings) {
 	d.Fleet.Put(fleet.Entry{ID: id, Service: testService, Address: id + ":80", Zone: zone, Slots: 12, Holdings: holdings}, time.Now())
 }
 
-// daemon is one that asks directories.
+// daemon is a client of directories.
 type daemon struct {
 	*Client
 	fleet *fleet.Directory
@@ -67,32 +67,32 @@
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(t.Output())
-	made := &daemon{fleet: fleet.NewDirectory("a", func() float64 { return 0 })}
+	d := &daemon{fleet: fleet.NewDirectory("a", func() float64 { return 0 })}
 	var addresses []string
 	for _, one := range directories {
 		addresses = append(addresses, one.address)
 	}
-	made.Client = &Client{Daemon: "d", Zone: "a", Fleet: made.fleet, Directories: func() []string { return addresses }, Log: log}
-	made.Prepare()
-	made.fleet.Limit(made.Client)
-	made.Enable(true)
+	d.Client = &Client{Daemon: "d", Zone: "a", Fleet: d.fleet, Directories: func() []string { return addresses }, Log: log}
+	d.Prepare()
+	d.fleet.Limit(d.Client)
+	d.Enable(true)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
-		_ = made.Serve(ctx)
+		_ = d.Serve(ctx)
 		close(ended)
 	}()
 	t.Cleanup(func() {
 		stop()
-		<-ended // it writes to the test's log
+		<-ended // the goroutine writes to the test's log
 	})
-	return made
+	return d
 }
 
-// choose asks for a replica until the answer is no longer that nothing is known.
+// choose selects a replica, and waits while discovery is pending.
 func (d *daemon) choose(t *testing.T, target fleet.Target) (string, fleet.Miss) {
 	t.Helper()
-	for deadline := time.Now().Add(settleTime); time.Now().Before(deadline); {
+	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); {
 		changed := d.fleet.Changed(testService, target)
 		pick, miss := d.fleet.Choose(fleet.Ask{Service: testService, Target: target}, time.Now())
 		switch {
@@ -107,7 +107,7 @@
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
-	t.Fatal("no word came")
+	t.Fatal("no directory answered")
 	return "", fleet.Untold
 }
 
@@ -120,161 +120,162 @@
 
 func model(name string) fleet.Target { return fleet.Target{Model: name} }
 
-func TestADaemonIsToldOfTheReplicasThatItsCallersNeed(t *testing.T) {
+func TestDaemonLearnsOnlyRequestedReplicas(t *testing.T) {
 	t.Parallel()
-	known := startDirectory(t)
+	server := startDirectory(t)
 	for number := range 100 {
-		known.put(fmt.Sprintf("r%d", number), "b", fleet.Holdings{fmt.Sprintf("m%d", number): nil})
+		server.put(fmt.Sprintf("r%d", number), "b", fleet.Holdings{fmt.Sprintf("m%d", number): nil})
 	}
-	asking := startDaemon(t, known)
-	id, _ := asking.choose(t, model("m7"))
+	client := startDaemon(t, server)
+	id, _ := client.choose(t, model("m7"))
 	require.Equal(t, "r7", id)
-	require.Equal(t, 1, asking.fleet.Len(), "and of no others")
+	require.Equal(t, 1, client.fleet.Len(), "replicas that were not requested are unknown")
 }
 
-// A model that is loaded nowhere is to be loaded; a service without replicas serves nobody.
-func TestADaemonTellsAModelThatIsNotLoadedFromAServiceWithoutReplicas(t *testing.T) {
+// A model that no replica has loaded can be loaded; a service without replicas cannot serve.
+func TestNotLoadedIsDistinctFromNoReplica(t *testing.T) {
 	t.Parallel()
-	known := startDirectory(t)
-	asking := startDaemon(t, known)
-	_, miss := asking.choose(t, model("m"))
+	server := startDirectory(t)
+	client := startDaemon(t, server)
+	_, miss := client.choose(t, model("m"))
 	require.Equal(t, fleet.NoReplica, miss)
-	known.put("r1", "b", fleet.Holdings{"other": nil})
-	_, miss = asking.choose(t, model("nowhere"))
+	server.put("r1", "b", fleet.Holdings{"other": nil})
+	_, miss = client.choose(t, model("nowhere"))
 	require.Equal(t, fleet.NotLoaded, miss)
 }
 
-func TestADaemonIsToldOfSomeOfManyReplicasItsOwnZoneFirst(t *testing.T) {
+func TestDaemonLearnsSubsetPreferringItsZone(t *testing.T) {
 	t.Parallel()
-	known := startDirectory(t)
+	server := startDirectory(t)
 	for number := range 500 {
-		known.put(fmt.Sprintf("r%d", number), string("abcde"[number%5]), fleet.Holdings{"m": nil})
+		server.put(fmt.Sprintf("r%d", number), string("abcde"[number%5]), fleet.Holdings{"m": nil})
 	}
-	asking := startDaemon(t, known)
-	id, _ := asking.choose(t, model("m"))
-	require.Eventually(t, func() bool { return asking.fleet.Len() == shareMost }, settleTime, settlePoll)
-	entry, _ := asking.fleet.Entry(id)
+	client := startDaemon(t, server)
+	id, _ := client.choose(t, model("m"))
+	require.Eventually(t, func() bool { return client.fleet.Len() == maxReplicasPerKey }, settleTimeout, settleInterval)
+	entry, _ := client.fleet.Entry(id)
 	require.Equal(t, "a", entry.Zone)
 }
 
-func TestWhatChangesOnAReplicaIsTold(t *testing.T) {
+func TestReplicaChangesReachSubscribers(t *testing.T) {
 	t.Parallel()
-	known := startDirectory(t)
-	known.put("r1", "a", fleet.Holdings{"m": nil})
-	known.put("r2", "a", fleet.Holdings{"other": nil})
-	asking := startDaemon(t, known)
-	adapted := fleet.Target{Model: "m", Adapter: "a1"}
-	_, miss := asking.choose(t, adapted)
+	server := startDirectory(t)
+	server.put("r1", "a", fleet.Holdings{"m": nil})
+	server.put("r2", "a", fleet.Holdings{"other": nil})
+	client := startDaemon(t, server)
+	target := fleet.Target{Model: "m", Adapter: "a1"}
+	_, miss := client.choose(t, target)
 	require.Equal(t, fleet.AdapterAbsent, miss)
 
-	// The adapter is loaded elsewhere, together with the model.
-	known.Fleet.Confirm("r2", fleet.Confirmation{Fence: 3, Sequence: 1, Holdings: fleet.Holdings{"other": nil},
-		Loading: map[fleet.Target]time.Time{adapted: time.Now().Add(time.Minute)}}, time.Now())
+	// The adapter is loaded on another replica, together with the model.
+	server.Fleet.Confirm("r2", fleet.Confirmation{Fence: 3, Sequence: 1, Holdings: fleet.Holdings{"other": nil},
+		Loading: map[fleet.Target]time.Time{target: time.Now().Add(time.Minute)}}, time.Now())
 	require.Eventually(t, func() bool {
-		_, expected := asking.fleet.Expected(testService, adapted, time.Now())
+		_, expected := client.fleet.Expected(testService, target, time.Now())
 		return expected
-	}, settleTime, settlePoll)
-	known.Fleet.Confirm("r2", fleet.Confirmation{Fence: 3, Sequence: 2, Holdings: fleet.Holdings{"m": {"a1"}}}, time.Now())
+	}, settleTimeout, settleInterval)
+	server.Fleet.Confirm("r2", fleet.Confirmation{Fence: 3, Sequence: 2, Holdings: fleet.Holdings{"m": {"a1"}}}, time.Now())
 	require.Eventually(t, func() bool {
-		id, _ := asking.choose(t, adapted)
+		id, _ := client.choose(t, target)
 		return id == "r2"
-	}, settleTime, settlePoll)
+	}, settleTimeout, settleInterval)
 
-	known.Fleet.Others("r2", 9, time.Now())
+	server.Fleet.Others("r2", 9, time.Now())
 	require.Eventually(t, func() bool {
-		state, _ := asking.fleet.State("r2", time.Now())
+		state, _ := client.fleet.State("r2", time.Now())
 		return state.Requests == 9
-	}, settleTime, settlePoll)
+	}, settleTimeout, settleInterval)
 
-	leaving := fleet.Entry{ID: "r2", Service: testService, Address: "r2:80", Zone: "a", Slots: 12, Draining: true}
-	known.Fleet.Put(leaving, time.Now())
+	draining := fleet.Entry{ID: "r2", Service: testService, Address: "r2:80", Zone: "a", Slots: 12, Draining: true}
+	server.Fleet.Put(draining, time.Now())
 	require.Eventually(t, func() bool {
-		id, _ := asking.choose(t, adapted)
+		id, _ := client.choose(t, target)
 		return id == ""
-	}, settleTime, settlePoll)
-	known.Fleet.Remove("r2", time.Now())
-	require.Eventually(t, func() bool { return !asking.knows("r2")() }, settleTime, settlePoll)
+	}, settleTimeout, settleInterval)
+	server.Fleet.Remove("r2", time.Now())
+	require.Eventually(t, func() bool { return !client.knows("r2")() }, settleTimeout, settleInterval)
 }
 
-// Whoever breaks off with a replica asks whether it was going to end anyway.
-func TestAReplicaThatIsGoneIsForgottenThoughARequestIsThere(t *testing.T) {
+// A request in progress must not keep a removed replica known: after a failure it is checked
+// whether the replica has ended.
+func TestRemovedReplicaIsForgottenDuringRequest(t *testing.T) {
 	t.Parallel()
-	known := startDirectory(t)
-	known.put("r1", "a", fleet.Holdings{"m": nil})
-	asking := startDaemon(t, known)
-	asking.choose(t, model("m"))
-	pick, _ := asking.fleet.Choose(fleet.Ask{Service: testService, Target: model("m")}, time.Now())
-	known.Fleet.Remove("r1", time.Now())
-	require.Eventually(t, func() bool { return !asking.knows("r1")() }, settleTime, settlePoll)
+	server := startDirectory(t)
+	server.put("r1", "a", fleet.Holdings{"m": nil})
+	client := startDaemon(t, server)
+	client.choose(t, model("m"))
+	pick, _ := client.fleet.Choose(fleet.Ask{Service: testService, Target: model("m")}, time.Now())
+	server.Fleet.Remove("r1", time.Now())
+	require.Eventually(t, func() bool { return !client.knows("r1")() }, settleTimeout, settleInterval)
 	pick.Release(fleet.Unreachable, model("m"), time.Now())
 }
 
-// A crowded replica gives way to one with free places; its requests still end well.
-func TestACrowdedReplicaIsReplaced(t *testing.T) {
+// A saturated replica is replaced by one with free slots; its requests still end normally.
+func TestSaturatedReplicaIsReplaced(t *testing.T) {
 	t.Parallel()
-	known := startDirectory(t)
-	for number := range 3 * shareMost {
-		known.put(fmt.Sprintf("r%d", number), "a", fleet.Holdings{"m": nil})
+	server := startDirectory(t)
+	for number := range 3 * maxReplicasPerKey {
+		server.put(fmt.Sprintf("r%d", number), "a", fleet.Holdings{"m": nil})
 	}
-	asking := startDaemon(t, known)
-	asking.choose(t, model("m"))
-	pick, _ := asking.fleet.Choose(fleet.Ask{Service: testService, Target: model("m")}, time.Now())
-	known.Fleet.Others(pick.ID, 12, time.Now())
-	require.Eventually(t, func() bool { return asking.fleet.Len() == shareMost+1 }, settleTime, settlePoll)
-	require.Equal(t, map[string]uint32{pick.ID: 1}, asking.fleet.Running(), "what runs there is still counted")
+	client := startDaemon(t, server)
+	client.choose(t, model("m"))
+	pick, _ := client.fleet.Choose(fleet.Ask{Service: testService, Target: model("m")}, time.Now())
+	server.Fleet.Others(pick.ID, 12, time.Now())
+	require.Eventually(t, func() bool { return client.fleet.Len() == maxReplicasPerKey+1 }, settleTimeout, settleInterval)
+	require.Equal(t, map[string]uint32{pick.ID: 1}, client.fleet.Running(), "requests in progress are still counted")
 	pick.Release(fleet.Answered, model("m"), time.Now())
-	require.False(t, asking.knows(pick.ID)())
+	require.False(t, client.knows(pick.ID)())
 }
 
-func TestADaemonGoesOnWithAnotherDirectoryAndForgetsWhatIsGone(t *testing.T) {
+func TestFailoverToAnotherDirectory(t *testing.T) {
 	t.Parallel()
 	first, second := startDirectory(t), startDirectory(t)
 	for _, one := range []*directory{first, second} {
 		one.put("r1", "a", fleet.Holdings{"m": nil})
 	}
 	first.put("r2", "a", fleet.Holdings{"m": nil})
-	asking := startDaemon(t, first, second)
-	asking.choose(t, model("m"))
-	require.Eventually(t, asking.knows("r2"), settleTime, settlePoll)
+	client := startDaemon(t, first, second)
+	client.choose(t, model("m"))
+	require.Eventually(t, client.knows("r2"), settleTimeout, settleInterval)
 	first.stop()
-	require.Eventually(t, func() bool { return !asking.knows("r2")() }, settleTime, settlePoll)
-	require.True(t, asking.knows("r1")())
-	id, _ := asking.choose(t, model("m"))
-	require.Equal(t, "r1", id, "known all the while")
-	_, miss := asking.choose(t, model("other"))
-	require.Equal(t, fleet.NotLoaded, miss, "the second answers")
+	require.Eventually(t, func() bool { return !client.knows("r2")() }, settleTimeout, settleInterval)
+	require.True(t, client.knows("r1")())
+	id, _ := client.choose(t, model("m"))
+	require.Equal(t, "r1", id, "the replica stays known during the failover")
+	_, miss := client.choose(t, model("other"))
+	require.Equal(t, fleet.NotLoaded, miss, "the second directory answers")
 }
 
-func TestADaemonThatDoesNotKnowAllIsNoDirectory(t *testing.T) {
+func TestIncompleteDirectoryIsSkipped(t *testing.T) {
 	t.Parallel()
 	first, second := startDirectory(t), startDirectory(t)
-	first.all.Store(false)
+	first.complete.Store(false)
 	second.put("r1", "a", fleet.Holdings{"m": nil})
-	asking := startDaemon(t, first, second)
-	id, _ := asking.choose(t, model("m"))
+	client := startDaemon(t, first, second)
+	id, _ := client.choose(t, model("m"))
 	require.Equal(t, "r1", id)
 }
 
-func TestADirectoryThatLiesBehindIsLeftOnce(t *testing.T) {
+func TestStaleDirectoryIsLeftOnce(t *testing.T) {
 	t.Parallel()
 	first, second := startDirectory(t), startDirectory(t)
 	first.age.Store(int64(time.Minute))
 	second.age.Store(int64(time.Minute))
 	second.put("r1", "a", fleet.Holdings{"m": nil})
-	asking := startDaemon(t, first, second)
+	client := startDaemon(t, first, second)
 	require.Eventually(t, func() bool {
-		id, _ := asking.choose(t, model("m"))
+		id, _ := client.choose(t, model("m"))
 		return id == "r1"
-	}, settleTime, settlePoll)
-	time.Sleep(1500 * time.Millisecond) // beats go on
-	require.True(t, asking.knows("r1")(), "the key-value service is away: all are alike")
+	}, settleTimeout, settleInterval)
+	time.Sleep(1500 * time.Millisecond) // heartbeats continue
+	require.True(t, client.knows("r1")(), "all directories are equally stale")
 }
 
-// A message that names nothing, or nonsense, costs the directory nothing.
-func TestNonsenseDoesNoHarm(t *testing.T) {
+// Empty or malformed interests must not leave state at the directory.
+func TestMalformedInterestsLeaveNoState(t *testing.T) {
 	t.Parallel()
-	known := startDirectory(t)
-	conn, err := transport.Dial(t.Context(), known.address)
+	server := startDirectory(t)
+	conn, err := transport.Dial(t.Context(), server.address)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
 	stream, err := rpc.NewDRPCDiscoveryClient(conn).Subscribe(t.Context())
@@ -288,13 +289,13 @@
 	require.NoError(t, stream.Send(&rpc.Interest{Dropped: []*rpc.InterestTarget{nothing, {Adapter: "a"}}}))
 	require.NoError(t, stream.Close())
 	require.Eventually(t, func() bool {
-		known.hub.mutex.Lock()
-		defer known.hub.mutex.Unlock()
-		return len(known.hub.byKey) == 0 && len(known.hub.byReplica) == 0
-	}, settleTime, settlePoll, "nothing is left of a stream")
+		server.hub.mutex.Lock()
+		defer server.hub.mutex.Unlock()
+		return len(server.hub.byKey) == 0 && len(server.hub.byReplica) == 0
+	}, settleTimeout, settleInterval, "the hub keeps no state of a closed stream")
 }
 
-// What a change costs the directory is what those are that were told of the replica.
+// The cost of a change at the directory grows with the subscribers that were sent the replica.
 func BenchmarkChangeAtDirectory(b *testing.B) {
 	const (
 		daemons  = 1000
@@ -302,7 +303,7 @@
 	)
 	known := &Server{Fleet: fleet.NewDirectory("a", func() float64 { return 0 })}
 	known.Prepare()
-	known.Begin()
+	known.StartObserving()
 	now := time.Now()
 	entry := func(number int) fleet.Entry {
 		return fleet.Entry{ID: fmt.Sprintf("r%d", number), Service: testService, Zone: string("abcde"[number%5]), Slots: 12,
@@ -315,7 +316,7 @@
 	for number := range served {
 		served[number] = newSubscriber(known.Fleet, known.hub, fmt.Sprintf("d%d", number), string("abcde"[number%5]))
 		added := []*rpc.InterestTarget{{Service: testService, Model: "popular"}, {Service: testService, Model: fmt.Sprintf("m%d", number%574)}}
-		served[number].change(&rpc.Interest{Added: added}, now)
+		served[number].updateInterests(&rpc.Interest{Added: added}, now)
 	}
 	b.ReportAllocs()
 	for round := 0; b.Loop(); round++ {
@@ -323,7 +324,7 @@
 		for _, one := range served {
 			select {
 			case <-one.wake:
-				one.changes(now)
+				one.collectChanges(now)
 			default:
 			}
 		}
--- a/discovery/hub.go
+++ b/discovery/hub.go
@@ -6,24 +6,24 @@
 	"github.com/finchspoke/finchspoke/fleet"
 )
 
-// hub leads each change of the fleet to the subscribers that it concerns: those that were told of
-// the replica, and those that lack replicas for a target which it has gained.
+// hub routes changes of the fleet to the subscribers that they concern: those that were sent the
+// replica, and those that wait for replicas of a target that the replica has gained.
 type hub struct {
 	mutex     sync.Mutex
 	byReplica map[string]subscribers
-	byKey     map[Key]map[*subscriber]lacking
+	byKey     map[Key]map[*subscriber]waitingInterests
 }
 
 type subscribers map[*subscriber]struct{}
 
-// lacking are the interests of a subscriber for which a replica that gains a target matters.
-type lacking map[Key]struct{}
+// waitingInterests are a subscriber's interests that wait for a target to be gained.
+type waitingInterests map[Key]struct{}
 
 func newHub() *hub {
-	return &hub{byReplica: map[string]subscribers{}, byKey: map[Key]map[*subscriber]lacking{}}
+	return &hub{byReplica: map[string]subscribers{}, byKey: map[Key]map[*subscriber]waitingInterests{}}
 }
 
-// pending is what changed for a subscriber since it looked last.
+// pending collects the changes for a subscriber since its last update.
 type pending struct {
 	replicas map[string]struct{}
 	keys     map[Key]struct{}
@@ -37,71 +37,71 @@
 func (h *hub) observe(change fleet.Change) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	for one := range h.byReplica[change.ID] {
-		one.pending.replicas[change.ID] = struct{}{}
-		one.signal()
+	for sub := range h.byReplica[change.ID] {
+		sub.pending.replicas[change.ID] = struct{}{}
+		sub.signal()
 	}
 	for _, target := range change.Gained {
-		for one, interests := range h.byKey[Key{change.Service, target}] {
+		for sub, interests := range h.byKey[Key{change.Service, target}] {
 			for key := range interests {
-				one.pending.keys[key] = struct{}{}
+				sub.pending.keys[key] = struct{}{}
 			}
-			one.signal()
+			sub.signal()
 		}
 	}
 }
 
-// watch makes a subscriber hear of a replica's changes.
-func (h *hub) watch(one *subscriber, replica string) {
+// watch notifies a subscriber of a replica's changes until unwatch.
+func (h *hub) watch(sub *subscriber, replica string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.byReplica[replica] == nil {
 		h.byReplica[replica] = subscribers{}
 	}
-	h.byReplica[replica][one] = struct{}{}
+	h.byReplica[replica][sub] = struct{}{}
 }
 
-// unwatch ends watch.
-func (h *hub) unwatch(one *subscriber, replica string) {
+// unwatch ends the notifications that watch began.
+func (h *hub) unwatch(sub *subscriber, replica string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	delete(h.byReplica[replica], one)
+	delete(h.byReplica[replica], sub)
 	if len(h.byReplica[replica]) == 0 {
 		delete(h.byReplica, replica)
 	}
 }
 
-// lack makes a subscriber look again for an interest once a replica gains a target.
-func (h *hub) lack(one *subscriber, gained, interest Key) {
+// awaitGain makes a subscriber reselect replicas for an interest when a replica gains a target.
+func (h *hub) awaitGain(sub *subscriber, gained, interest Key) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.byKey[gained] == nil {
-		h.byKey[gained] = map[*subscriber]lacking{}
+		h.byKey[gained] = map[*subscriber]waitingInterests{}
 	}
-	if h.byKey[gained][one] == nil {
-		h.byKey[gained][one] = lacking{}
+	if h.byKey[gained][sub] == nil {
+		h.byKey[gained][sub] = waitingInterests{}
 	}
-	h.byKey[gained][one][interest] = struct{}{}
+	h.byKey[gained][sub][interest] = struct{}{}
 }
 
-// suffice ends lack.
-func (h *hub) suffice(one *subscriber, gained, interest Key) {
+// stopAwaiting ends the effect of awaitGain.
+func (h *hub) stopAwaiting(sub *subscriber, gained, interest Key) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	delete(h.byKey[gained][one], interest)
-	if len(h.byKey[gained][one]) == 0 {
-		delete(h.byKey[gained], one)
+	delete(h.byKey[gained][sub], interest)
+	if len(h.byKey[gained][sub]) == 0 {
+		delete(h.byKey[gained], sub)
 	}
 	if len(h.byKey[gained]) == 0 {
 		delete(h.byKey, gained)
 	}
 }
 
-// take returns what changed for a subscriber, and begins anew.
-func (h *hub) take(one *subscriber) pending {
+// takePending returns and clears the pending changes of a subscriber.
+func (h *hub) takePending(sub *subscriber) pending {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	taken := one.pending
-	one.pending = newPending()
+	taken := sub.pending
+	sub.pending = newPending()
 	return taken
 }
--- a/discovery/server.go
+++ b/discovery/server.go
@@ -12,41 +12,42 @@
 )
 
 const (
-	// beatPause is the longest time between two messages of a directory.
-	beatPause = time.Second
-	// gatherPause lets changes that come together be told in one message.
-	gatherPause = 10 * time.Millisecond
-	// never is the age of what there never was.
-	never = -1
+	// heartbeatInterval is the longest time between two messages of a directory.
+	heartbeatInterval = time.Second
+	// changeBatchDelay batches changes that occur close together into one message.
+	changeBatchDelay = 10 * time.Millisecond
+	// unknownAge is sent if the key-value service has never answered.
+	unknownAge = -1
 )
 
-// errNotAll ends a stream at a daemon that does not know all replicas.
-var errNotAll = errors.New("this daemon does not know all replicas; ask one that the holder of load orders names")
+// errIncomplete ends a stream at a daemon that does not have all replicas.
+var errIncomplete = errors.New("this daemon does not have all replicas; subscribe to a directory named by the leader")
 
-// Server tells daemons of replicas. It implements rpc.DRPCDiscoveryServer.
+// Server sends replicas to subscribed daemons. It implements rpc.DRPCDiscoveryServer.
 type Server struct {
 	Fleet *fleet.Directory
-	// KnowsAll tells whether the directory of this daemon holds all replicas.
-	KnowsAll func() bool
-	// WillKnow tells whether it is to hold them, and their records are being read.
-	WillKnow func() bool
-	// ContactAge returns how long ago the key-value service surely answered whoever follows it.
+	// HasAllReplicas tells whether Fleet holds all replicas.
+	HasAllReplicas func() bool
+	// IsLoading tells whether this daemon is a directory whose replica records are still being
+	// read.
+	IsLoading func() bool
+	// ContactAge returns how long ago the key-value service last answered the daemon that polls it.
 	ContactAge func() (age time.Duration, known bool)
-	// Now is the clock by which what is known of replicas grows old.
+	// Now is the clock by which the state of replicas ages.
 	Now func() time.Time
 
 	hub *hub
 }
 
-// Prepare makes the server ready for use.
+// Prepare initializes the server. It must be called before the other methods.
 func (s *Server) Prepare() { s.hub = newHub() }
 
-// Begin makes the server hear of changes, before the directory knows all replicas; End is for a
-// daemon that does not know them any more.
-func (s *Server) Begin() { s.Fleet.Observe(s.hub.observe) }
+// StartObserving subscribes the server to changes of the fleet. It must be called before the fleet
+// is complete.
+func (s *Server) StartObserving() { s.Fleet.Observe(s.hub.observe) }
 
-// End ends Begin.
-func (s *Server) End() { s.Fleet.Observe(nil) }
+// StopObserving ends the subscription, on a daemon that no longer keeps all replicas.
+func (s *Server) StopObserving() { s.Fleet.Observe(nil) }
 
 // Subscribe implements rpc.DRPCDiscoveryServer.
 func (s *Server) Subscribe(stream rpc.DRPCDiscovery_SubscribeStream) error {
@@ -54,19 +55,19 @@
 	if err != nil {
 		return err
 	}
-	if !s.awaitAll(stream.Context()) {
-		return errNotAll
+	if !s.awaitLoaded(stream.Context()) {
+		return errIncomplete
 	}
-	served := newSubscriber(s.Fleet, s.hub, first.GetDaemonId(), first.GetZone())
-	defer served.end()
-	asked, failed := make(chan *rpc.Interest), make(chan error, 1)
-	go func() { failed <- hear(stream, asked) }()
-	message := served.change(first, s.Now())
-	beat := time.NewTicker(beatPause)
-	defer beat.Stop()
+	sub := newSubscriber(s.Fleet, s.hub, first.GetDaemonId(), first.GetZone())
+	defer sub.unsubscribe()
+	interests, failed := make(chan *rpc.Interest), make(chan error, 1)
+	go func() { failed <- receiveInterests(stream, interests) }()
+	message := sub.updateInterests(first, s.Now())
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
 	for {
 		if message != nil {
-			if err := stream.Send(s.aged(message)); err != nil {
+			if err := stream.Send(s.withContactAge(message)); err != nil {
 				return err
 			}
 		}
@@ -76,56 +77,56 @@
 			return stream.Context().Err()
 		case err := <-failed:
 			return err
-		case <-beat.C:
+		case <-heartbeat.C:
 			message = &rpc.ReplicaUpdate{}
-		case interest := <-asked:
-			message = served.change(interest, s.Now())
-		case <-served.wake:
-			sleep.For(stream.Context(), gatherPause)
-			message = served.changes(s.Now())
+		case interest := <-interests:
+			message = sub.updateInterests(interest, s.Now())
+		case <-sub.wake:
+			sleep.For(stream.Context(), changeBatchDelay)
+			message = sub.collectChanges(s.Now())
 		}
-		if !s.KnowsAll() {
-			return errNotAll
+		if !s.HasAllReplicas() {
+			return errIncomplete
 		}
 	}
 }
 
 const (
-	// allTime is how long a daemon that is about to know all replicas keeps others waiting: less than
-	// they wait for a word. A thousand that came again each 50 ms cost a new holder more than the list.
-	allTime = 2 * time.Second
-	allPoll = 20 * time.Millisecond
+	// loadTimeout is how long subscribers are kept waiting while replica records are read.
+	// Rejecting them would make them all reconnect at short intervals.
+	loadTimeout      = 2 * time.Second
+	loadPollInterval = 20 * time.Millisecond
 )
 
-// awaitAll waits until this daemon knows all replicas, if it soon will.
-func (s *Server) awaitAll(ctx context.Context) bool {
-	until := s.Now().Add(allTime)
-	for !s.KnowsAll() && s.WillKnow() && s.Now().Before(until) {
-		if !sleep.For(ctx, allPoll) {
+// awaitLoaded waits until this daemon has all replicas, if they are being loaded.
+func (s *Server) awaitLoaded(ctx context.Context) bool {
+	until := s.Now().Add(loadTimeout)
+	for !s.HasAllReplicas() && s.IsLoading() && s.Now().Before(until) {
+		if !sleep.For(ctx, loadPollInterval) {
 			return false
 		}
 	}
-	return s.KnowsAll()
+	return s.HasAllReplicas()
 }
 
-// hear passes on what the daemon asks for until the stream breaks.
-func hear(stream rpc.DRPCDiscovery_SubscribeStream, asked chan<- *rpc.Interest) error {
+// receiveInterests passes on the daemon's messages until the stream breaks.
+func receiveInterests(stream rpc.DRPCDiscovery_SubscribeStream, interests chan<- *rpc.Interest) error {
 	for {
 		message, err := stream.Recv()
 		if err != nil {
 			return err
 		}
 		select {
-		case asked <- message:
+		case interests <- message:
 		case <-stream.Context().Done():
 			return stream.Context().Err()
 		}
 	}
 }
 
-// aged notes in a message how old the directory's knowledge may be.
-func (s *Server) aged(message *rpc.ReplicaUpdate) *rpc.ReplicaUpdate {
-	message.ContactAgeMs = never
+// withContactAge sets the age of the directory's records in a message.
+func (s *Server) withContactAge(message *rpc.ReplicaUpdate) *rpc.ReplicaUpdate {
+	message.ContactAgeMs = unknownAge
 	if age, known := s.ContactAge(); known {
 		message.ContactAgeMs = max(0, age.Milliseconds())
 	}
--- a/discovery/subscriber.go
+++ b/discovery/subscriber.go
@@ -8,34 +8,33 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// shareMost is how many replicas a daemon is told of for a target. With one in twenty lost at once,
-// eight leave more than the two or three that a request may try; each costs the daemon some 300
-// bytes of memory and the directory a message when it changes.
-const shareMost = 8
+// maxReplicasPerKey bounds the replicas that a daemon is sent for a target. It leaves enough of
+// them for the retries of a request if some fail at once, at little cost in memory and updates.
+const maxReplicasPerKey = 8
 
-// subscriber is one daemon's stream, as its directory keeps it. Its methods are called by the
-// stream's goroutine; pending is the hub's.
+// subscriber is the state of a daemon's stream at its directory. The stream's goroutine calls its
+// methods; the hub owns pending.
 type subscriber struct {
-	fleet     *fleet.Directory
-	hub       *hub
-	daemon    string
-	zone      string
-	wake      chan struct{}
-	pending   pending
-	interests map[Key]*interest
-	told      map[string]map[Key]struct{} // interests by the replicas that were told of for them
+	fleet         *fleet.Directory
+	hub           *hub
+	daemon        string
+	zone          string
+	wake          chan struct{}
+	pending       pending
+	interests     map[Key]*interest
+	keysByReplica map[string]map[Key]struct{} // interests by the replicas that were sent for them
 }
 
-// interest is what a subscriber was told for one key.
+// interest is the state of one key of a subscriber.
 type interest struct {
 	replicas []string
-	lacks    []Key // what replicas may gain that matters
+	awaited  []Key // targets whose gain by a replica matters
 }
 
-func newSubscriber(known *fleet.Directory, hub *hub, daemon, zone string) *subscriber {
+func newSubscriber(directory *fleet.Directory, hub *hub, daemon, zone string) *subscriber {
 	return &subscriber{
-		fleet: known, hub: hub, daemon: daemon, zone: zone, wake: make(chan struct{}, 1), pending: newPending(),
-		interests: map[Key]*interest{}, told: map[string]map[Key]struct{}{},
+		fleet: directory, hub: hub, daemon: daemon, zone: zone, wake: make(chan struct{}, 1), pending: newPending(),
+		interests: map[Key]*interest{}, keysByReplica: map[string]map[Key]struct{}{},
 	}
 }
 
@@ -46,28 +45,28 @@
 	}
 }
 
-// change takes in what the daemon asks for now, and tells it what is new.
-func (s *subscriber) change(message *rpc.Interest, now time.Time) *rpc.ReplicaUpdate {
+// updateInterests applies a message of the daemon and returns the replicas to send.
+func (s *subscriber) updateInterests(message *rpc.Interest, now time.Time) *rpc.ReplicaUpdate {
 	update := newUpdate()
 	for _, one := range message.GetDropped() {
-		s.drop(keyOf(one), update)
+		s.drop(keyFromMessage(one), update)
 	}
 	for _, one := range message.GetAdded() {
-		key := keyOf(one)
+		key := keyFromMessage(one)
 		if s.interests[key] == nil {
 			s.interests[key] = &interest{}
-			s.review(key, update, now)
+			s.selectReplicas(key, update, now)
 		}
 		update.message.Answered = append(update.message.Answered, one)
 	}
 	return s.finish(update, now)
 }
 
-// changes tells what changed for the daemon since the last word.
-func (s *subscriber) changes(now time.Time) *rpc.ReplicaUpdate {
-	update, changed := newUpdate(), s.hub.take(s)
+// collectChanges returns the changes since the last update to the daemon.
+func (s *subscriber) collectChanges(now time.Time) *rpc.ReplicaUpdate {
+	update, changed := newUpdate(), s.hub.takePending(s)
 	for replica := range changed.replicas {
-		if s.told[replica] == nil {
+		if s.keysByReplica[replica] == nil {
 			continue
 		}
 		state, known := s.fleet.State(replica, now)
@@ -76,23 +75,23 @@
 		} else {
 			update.replicas[replica] = struct{}{}
 		}
-		isCrowded := 2*state.Requests > state.Slots
-		for key := range s.told[replica] {
-			if isCrowded || !s.fleet.Serves(replica, key.Target, now) {
+		isSaturated := 2*state.Requests > state.Slots
+		for key := range s.keysByReplica[replica] {
+			if isSaturated || !s.fleet.Serves(replica, key.Target, now) {
 				changed.keys[key] = struct{}{}
 			}
 		}
 	}
 	for key := range changed.keys {
-		s.review(key, update, now)
+		s.selectReplicas(key, update, now)
 	}
 	return s.finish(update, now)
 }
 
-// update is a message that is being made.
+// update is a message under construction.
 type update struct {
 	message  *rpc.ReplicaUpdate
-	replicas map[string]struct{} // to be told of
+	replicas map[string]struct{} // to be sent
 	released map[string]struct{}
 }
 
@@ -100,10 +99,10 @@
 	return &update{message: &rpc.ReplicaUpdate{}, replicas: map[string]struct{}{}, released: map[string]struct{}{}}
 }
 
-// finish fills in what is known of the replicas that are told of.
+// finish adds the states of the selected replicas and returns the message.
 func (s *subscriber) finish(update *update, now time.Time) *rpc.ReplicaUpdate {
 	for replica := range update.released {
-		if s.told[replica] == nil {
+		if s.keysByReplica[replica] == nil {
 			s.hub.unwatch(s, replica)
 			if !slices.Contains(update.message.Gone, replica) {
 				update.message.Released = append(update.message.Released, replica)
@@ -119,75 +118,75 @@
 	return update.message
 }
 
-// review chooses the replicas for an interest again.
-func (s *subscriber) review(key Key, update *update, now time.Time) {
-	known := s.interests[key]
-	if known == nil {
+// selectReplicas selects the replicas of an interest anew.
+func (s *subscriber) selectReplicas(key Key, update *update, now time.Time) {
+	current := s.interests[key]
+	if current == nil {
 		return // dropped meanwhile
 	}
-	chosen, serving := s.fleet.Share(key.Service, key.Target, s.daemon, s.zone, shareMost, now)
-	for _, replica := range known.replicas {
-		if !slices.Contains(chosen, replica) {
+	selected, serving := s.fleet.Share(key.Service, key.Target, s.daemon, s.zone, maxReplicasPerKey, now)
+	for _, replica := range current.replicas {
+		if !slices.Contains(selected, replica) {
 			s.release(replica, key, update)
 		}
 	}
-	for _, replica := range chosen {
-		if s.told[replica] == nil {
-			s.told[replica] = map[Key]struct{}{}
+	for _, replica := range selected {
+		if s.keysByReplica[replica] == nil {
+			s.keysByReplica[replica] = map[Key]struct{}{}
 			s.hub.watch(s, replica)
 			update.replicas[replica] = struct{}{}
 		}
-		s.told[replica][key] = struct{}{}
+		s.keysByReplica[replica][key] = struct{}{}
 	}
-	known.replicas = chosen
-	s.await(key, known, serving)
+	current.replicas = selected
+	s.awaitGains(key, current, serving)
 }
 
-// await notes of which gains the interest hears: of those of its target while too few serve it, and
-// of those of the model while none does.
-func (s *subscriber) await(key Key, known *interest, serving int) {
-	var lacks []Key
-	if serving < shareMost {
-		lacks = append(lacks, key)
+// awaitGains determines whose gain makes the interest select again: its own target's while too few
+// replicas serve it, and the model's while none does.
+func (s *subscriber) awaitGains(key Key, current *interest, serving int) {
+	var awaited []Key
+	if serving < maxReplicasPerKey {
+		awaited = append(awaited, key)
 	}
 	if serving == 0 && key.Target.Adapter != "" {
-		lacks = append(lacks, Key{key.Service, fleet.Target{Model: key.Target.Model}})
+		awaited = append(awaited, Key{key.Service, fleet.Target{Model: key.Target.Model}})
 	}
-	for _, gained := range known.lacks {
-		if !slices.Contains(lacks, gained) {
-			s.hub.suffice(s, gained, key)
+	for _, gained := range current.awaited {
+		if !slices.Contains(awaited, gained) {
+			s.hub.stopAwaiting(s, gained, key)
 		}
 	}
-	for _, gained := range lacks {
-		s.hub.lack(s, gained, key)
+	for _, gained := range awaited {
+		s.hub.awaitGain(s, gained, key)
 	}
-	known.lacks = lacks
+	current.awaited = awaited
 }
 
-// release notes that a replica is not told of for an interest any more.
+// release notes that a replica is no longer sent for an interest.
 func (s *subscriber) release(replica string, key Key, update *update) {
-	delete(s.told[replica], key)
-	if len(s.told[replica]) == 0 {
-		delete(s.told, replica)
+	delete(s.keysByReplica[replica], key)
+	if len(s.keysByReplica[replica]) == 0 {
+		delete(s.keysByReplica, replica)
 		update.released[replica] = struct{}{}
 	}
 }
 
-// drop ends an interest.
+// drop removes an interest.
 func (s *subscriber) drop(key Key, update *update) {
-	known := s.interests[key]
-	if known == nil {
+	current := s.interests[key]
+	if current == nil {
 		return
 	}
-	for _, replica := range known.replicas {
+	for _, replica := range current.replicas {
 		s.release(replica, key, update)
 	}
-	s.await(key, known, shareMost)
+	s.awaitGains(key, current, maxReplicasPerKey)
 	delete(s.interests, key)
 }
 
-// end takes the subscriber out of the hub.
-func (s *subscriber) end() {
+// unsubscribe removes the subscriber from the hub.
+func (s *subscriber) unsubscribe() {
 	update := newUpdate()
 	for key := range s.interests {
 		s.drop(key, update)
--- a/node/replicas.go
+++ b/node/replicas.go
@@ -50,7 +50,7 @@
 	k := &replicaKnowledge{node: n, lone: loneTime + time.Duration(rand.Float64()*float64(loneSpread))}
 	k.client = &discovery.Client{Daemon: n.config.ID, Zone: n.config.Zone, Fleet: n.fleet, Directories: k.directories, Log: n.log}
 	k.client.Prepare()
-	k.server = &discovery.Server{Fleet: n.fleet, KnowsAll: k.whole.Load, WillKnow: n.mirror.RequiresAll, ContactAge: n.mirror.ContactAge, Now: time.Now}
+	k.server = &discovery.Server{Fleet: n.fleet, HasAllReplicas: k.whole.Load, IsLoading: n.mirror.RequiresAll, ContactAge: n.mirror.ContactAge, Now: time.Now}
 	k.server.Prepare()
 	return k
 }
@@ -63,7 +63,7 @@
 func (k *replicaKnowledge) changed(without bool) {
 	if without {
 		k.whole.Store(false)
-		k.server.End()
+		k.server.StopObserving()
 		k.node.fleet.Limit(k.client)
 		k.client.Enable(true)
 		return
@@ -77,7 +77,7 @@
 	isWhole := k.node.mirror.HasAll()
 	if isWhole && !k.whole.Load() {
 		k.node.fleet.Whole()
-		k.server.Begin()
+		k.server.StartObserving()
 		k.node.holder.RegistryChanged("")
 	}
 	k.whole.Store(isWhole)
@@ -110,7 +110,7 @@
 	if !k.node.mirror.OmitsReplicaRecords() || k.node.mirror.Leading() {
 		return ""
 	}
-	current := k.client.Current()
+	current := k.client.DirectoryAddress()
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if !slices.Contains(k.addresses, current) {
