--- a/election/election.go
+++ b/election/election.go
@@ -1,10 +1,9 @@
-// Package election gives one daemon at a time a term under a lease in the key-value
-// service. The term's fence rises from each term to the next, so whoever is given
-// orders can tell an earlier holder from a later one.
+// Package election gives one daemon at a time a term as the leader, under a lease in the key-value
+// service (the store). Each term has a higher fencing token than the one before, by which receivers
+// of load orders tell an earlier leader from a later one.
 //
-// A lease that cannot be renewed is not lost at once: while the service is down for
-// all, nobody else can take a term either. What the holder may do meanwhile is for
-// the holder to decide; Standing tells how sure the term is.
+// A lease that cannot be renewed is not lost at once: while the store is down for all daemons, no
+// other daemon can take a term either. TermStatus tells the leader how far it can rely on its term.
 package election
 
 import (
@@ -24,72 +23,75 @@
 	"github.com/finchspoke/finchspoke/sleep"
 )
 
-// Holder is the record of who holds the term.
-type Holder struct {
+// Leader is the record of the daemon that holds the term.
+type Leader struct {
 	Daemon  string `json:"daemon"`
-	Address string `json:"address"` // where daemons reach it
-	// Nonce tells this write from every other, so that a lost answer can be settled.
+	Address string `json:"address"` // where other daemons reach it
+	// Nonce distinguishes this write from all others, so that a write with a lost response can be
+	// resolved.
 	Nonce string `json:"nonce"`
-	// Handover tells that the holder has given the term up and gives no more orders: the
-	// next may take it at once. Nil while it holds the term.
+	// Handover is set once the leader has given up the term and sends no more load orders: the next
+	// leader may take it at once. Nil during the term.
 	Handover *Handover `json:"handover,omitempty"`
-	// Era is the service's when the record was written. A record that came back out of a copy names an
-	// earlier one than its revision does. Nil in a record of an earlier version, which is taken as it stands.
+	// Era is the store's era when the record was written. A record that a restore brought back has
+	// an earlier one than its revision. Nil in records of earlier versions, which are used as they
+	// are.
 	Era *int64 `json:"era,omitempty"`
-	// Fence is the revision of the record; it is not part of the value.
+	// Fence is the revision of the record, and serves as the fencing token. It is not part of the
+	// value.
 	Fence int64 `json:"-"`
 }
 
-// cameBack tells whether a restore of the service brought the record back: since it was written, others
-// may have held the term.
-func (h Holder) cameBack() bool { return h.Era != nil && *h.Era < kv.EraOf(h.Fence) }
+// fromBackup tells whether a restore of the store brought the record back: other daemons may have
+// held the term since it was written.
+func (l Leader) fromBackup() bool { return l.Era != nil && *l.Era < kv.EraOf(l.Fence) }
 
-// ParseHolder reads a holder's record.
-func ParseHolder(pair kv.Pair) (Holder, error) {
-	var holder Holder
-	if err := json.Unmarshal(pair.Value, &holder); err != nil {
-		return Holder{}, errors.Wrap(err, "read the record of the order holder")
+// ParseLeader decodes a leader record.
+func ParseLeader(pair kv.Pair) (Leader, error) {
+	var leader Leader
+	if err := json.Unmarshal(pair.Value, &leader); err != nil {
+		return Leader{}, errors.Wrap(err, "decode the leader record")
 	}
-	holder.Fence = pair.ModRevision
-	return holder, nil
+	leader.Fence = pair.ModRevision
+	return leader, nil
 }
 
-// Standing is how sure a daemon is of its term.
-type Standing uint8
+// TermStatus tells how far a daemon can rely on its term.
+type TermStatus uint8
 
-// The standings.
+// Values of TermStatus.
 const (
-	// None means that the daemon holds no term.
-	None Standing = iota
-	// Unsure means that the lease may be over: it was not renewed in time, and the
-	// service was not asked lately.
-	Unsure
-	// Blind means that the lease was not renewed in time because the service does
-	// not answer.
-	Blind
-	// Sure means that the lease holds.
-	Sure
+	// NoTerm means that the daemon holds no term.
+	NoTerm TermStatus = iota
+	// TermUncertain means that the lease may have expired: it was not renewed in time, and the
+	// store was not called recently.
+	TermUncertain
+	// TermStoreUnreachable means that the lease was not renewed in time because the store does not
+	// answer.
+	TermStoreUnreachable
+	// TermValid means that the lease is in effect.
+	TermValid
 )
 
-// Config is what an election needs.
+// Config configures an election.
 type Config struct {
 	Key     string
 	Daemon  string
 	Address string
 	TTL     time.Duration
-	// Informed tells whether this daemon knows when a holder was last at work; nil
-	// if it makes no difference.
-	Informed func() bool
-	// Delay is how much later than others this daemon campaigns: one on a weak machine
-	// leaves the term to those on strong ones. Nil: none.
-	Delay func() time.Duration
-	// Written is called after this daemon has written the record; nil: nothing is.
-	Written func()
+	// HasLeaderHistory tells whether this daemon knows when a leader was last active; nil: it makes
+	// no difference.
+	HasLeaderHistory func() bool
+	// CampaignDelay is how much later than others this daemon campaigns, so that daemons on
+	// stronger machines go first. Nil: none.
+	CampaignDelay func() time.Duration
+	// OnWritten is called after this daemon has written the record; nil: not used.
+	OnWritten func()
 	// Now is the clock of leases; nil: time.Now.
 	Now func() time.Time
 }
 
-// Election campaigns for the term and keeps it. It is a suture service.
+// Election campaigns for the term and renews it. It is a suture service.
 type Election struct {
 	Config
 	store kv.LeaseStore
@@ -97,41 +99,41 @@
 	now   func() time.Time
 
 	mutex sync.Mutex
-	// vacancy is what a campaign may replace once the term is free; nil while another's record stands.
+	// vacancy is the term that a campaign may take; nil while another daemon's record is in effect.
 	vacancy *vacancy
-	// own is what this daemon may take its term up again from, without waiting for a lease: the record of an
-	// earlier process, which is gone, or what a restore left in place of its own. Nil if there is none.
-	own       *vacancy
-	reclaimed bool // the term before this one was this daemon's
-	// offer is a record whose holder has given the term up, and offeredAt when it was heard
-	// of. Its fence is zero if there is none.
-	offer     Holder
-	offeredAt time.Time
-	inherited *Inheritance // of this daemon's term; nil if the term was not handed over
-	current   Holder
-	term      Holder // of this daemon; its nonce is empty without a term
-	lease     kv.LeaseID
-	renewed   time.Time // when the last renewal that succeeded was sent
-	attempted time.Time // when the last renewal that failed was given up
-	resigned  bool      // for good: this daemon stops
-	yielding  bool      // the term is being handed over
-	wake      chan struct{}
-	failures  int // campaigns without an answer since the last with one; of Serve only
-	onHolder  []func(Holder)
+	// reclaimable is the term that this daemon may take without waiting for a lease to expire: the
+	// record of its own earlier process, or the state that a restore left of its own record. Nil:
+	// none.
+	reclaimable *vacancy
+	reclaimed   bool // the previous term was this daemon's
+	// offer is a record whose leader has given up the term, and offeredAt when it was received. Its
+	// fence is zero if there is none.
+	offer           Leader
+	offeredAt       time.Time
+	inherited       *Inheritance // of this daemon's term; nil if the term was not handed over
+	current         Leader
+	term            Leader // of this daemon; its nonce is empty without a term
+	lease           kv.LeaseID
+	renewedAt       time.Time // when the last successful renewal was sent
+	renewalFailedAt time.Time // when the last failed renewal ended
+	resigned        bool      // this daemon stops and campaigns no more
+	handingOver     bool      // the term is being handed over
+	wake            chan struct{}
+	failedCampaigns int // since the last one with a response; used by Serve only
+	listeners       []func(Leader)
 }
 
 const (
-	renewsPerTTL = 3
-	// sureShare is the share of the lease's time for which a renewal vouches.
-	sureShare = 0.8
-	// blindShare is how lately, as a share of the lease's time, the service must
-	// have been asked for its silence to be known.
-	blindShare    = 0.5
-	campaignPause = 250 * time.Millisecond
-	callTimeout   = 800 * time.Millisecond
+	renewalsPerTTL = 3
+	// validShare is the share of the lease's TTL for which a renewal keeps the term valid.
+	validShare = 0.8
+	// unreachableShare is the share of the lease's TTL for which a failed renewal counts as recent.
+	unreachableShare = 0.5
+	campaignInterval = 250 * time.Millisecond
+	callTimeout      = 800 * time.Millisecond
 )
 
-// New returns an election that has not been told of any record.
+// New returns an election that has not observed any record yet.
 func New(config Config, store kv.LeaseStore, log logrus.FieldLogger) *Election {
 	now := config.Now
 	if now == nil {
@@ -140,86 +142,86 @@
 	return &Election{Config: config, store: store, log: log, now: now, wake: make(chan struct{}, 1)}
 }
 
-// Listen calls listener, one call at a time, whenever the holder's record changes;
-// an empty holder means that nobody holds the term.
-func (e *Election) Listen(listener func(Holder)) { e.onHolder = append(e.onHolder, listener) }
+// AddListener registers a function that is called whenever the leader record changes, one call at a
+// time; an empty Leader means that no daemon holds the term.
+func (e *Election) AddListener(listener func(Leader)) { e.listeners = append(e.listeners, listener) }
 
-// Observe takes in a change of the record, as the mirror of the service's records
-// sees it.
+// Observe applies a change of the record that the mirror of the store's records has received.
 func (e *Election) Observe(event kv.Event) {
-	holder := Holder{}
+	leader := Leader{}
 	if !event.Deleted {
-		parsed, err := ParseHolder(event.Pair)
+		parsed, err := ParseLeader(event.Pair)
 		if err != nil {
-			e.log.WithError(err).Warn("a record is not used")
+			e.log.WithError(err).Warn("ignoring an invalid leader record")
 			return
 		}
-		holder = parsed
+		leader = parsed
 	}
 	e.mutex.Lock()
 	if event.Pair.ModRevision < e.current.Fence {
 		e.mutex.Unlock()
-		return // from before the record that is known
+		return // older than the known record
 	}
-	holder = e.take(holder, event)
+	leader = e.applyRecord(leader, event)
 	e.mutex.Unlock()
-	e.log.WithFields(logrus.Fields{logging.Holder: holder.Daemon, logging.Fence: holder.Fence, logging.HandedOver: holder.Handover != nil}).
+	e.log.WithFields(logrus.Fields{logging.Leader: leader.Daemon, logging.Fence: leader.Fence, logging.HandedOver: leader.Handover != nil}).
 		Info(logging.MessageHolderChanged)
 	e.signal()
-	for _, listener := range e.onHolder {
-		listener(holder)
+	for _, listener := range e.listeners {
+		listener(leader)
 	}
 }
 
-// reasonRestored is why a term ends whose record a restore took away.
-const reasonRestored = "the key-value service was restored from a copy"
+// reasonRestored is logged for a term whose record a restore removed.
+const reasonRestored = "the key-value service was restored from a backup"
 
-// take notes what the record is now, and returns who holds the term by it; an empty holder means that nobody
-// does. The mutex is held.
-func (e *Election) take(holder Holder, event kv.Event) Holder {
+// applyRecord records the current state of the record and returns the leader by it; empty: none.
+// Callers hold the mutex.
+func (e *Election) applyRecord(leader Leader, event kv.Event) Leader {
 	before := e.current.Fence
-	e.current, e.vacancy, e.own, e.offer = holder, nil, nil, Holder{}
-	e.checkTerm(holder, event)
+	e.current, e.vacancy, e.reclaimable, e.offer = leader, nil, nil, Leader{}
+	e.checkTerm(leader, event)
 	switch {
 	case event.Deleted && !isRestored(before, event.Pair.ModRevision):
 		e.vacancy = &vacancy{}
-	case event.Deleted, holder.cameBack():
-		// Whoever held the term before the restore may not have heard of it, and counts on its lease.
-		e.vacancy = &vacancy{base: holder.Fence, opens: e.now().Add(e.TTL)}
-	case holder.Handover != nil:
-		e.offer, e.offeredAt = holder, e.now()
-	case holder.Daemon == e.Daemon && e.term.Nonce == "":
-		e.own = &vacancy{base: holder.Fence}
+	case event.Deleted, leader.fromBackup():
+		// The leader before the restore may not know of it and may still rely on its lease.
+		e.vacancy = &vacancy{replaces: leader.Fence, opensAt: e.now().Add(e.TTL)}
+	case leader.Handover != nil:
+		e.offer, e.offeredAt = leader, e.now()
+	case leader.Daemon == e.Daemon && e.term.Nonce == "":
+		e.reclaimable = &vacancy{replaces: leader.Fence}
 	}
-	if holder.cameBack() {
-		e.current = Holder{Fence: holder.Fence}
+	if leader.fromBackup() {
+		e.current = Leader{Fence: leader.Fence}
 	}
 	return e.current
 }
 
-// isRestored tells whether the service was restored between two revisions.
+// isRestored tells whether the store was restored between two revisions.
 func isRestored(before, after int64) bool { return kv.EraOf(after) > kv.EraOf(before) }
 
-// checkTerm ends this daemon's term where its record does not stand any more; the mutex is held.
-func (e *Election) checkTerm(holder Holder, event kv.Event) {
+// checkTerm ends this daemon's term if its record is no longer in effect. Callers hold the mutex.
+func (e *Election) checkTerm(leader Leader, event kv.Event) {
 	switch {
 	case e.term.Nonce == "":
-	case isRestored(e.term.Fence, event.Pair.ModRevision) && (event.Deleted || holder.cameBack()):
-		e.loseTerm(reasonRestored)
-		e.own = &vacancy{base: holder.Fence}
-	case e.term.Nonce != holder.Nonce:
-		e.loseTerm("another record stands")
+	case isRestored(e.term.Fence, event.Pair.ModRevision) && (event.Deleted || leader.fromBackup()):
+		e.endTerm(reasonRestored)
+		e.reclaimable = &vacancy{replaces: leader.Fence}
+	case e.term.Nonce != leader.Nonce:
+		e.endTerm("replaced by another record")
 	}
 }
 
-// Vacate takes in that no record was found when the service's records of a revision were read.
-func (e *Election) Vacate(revision int64) {
+// ObserveAbsent processes a list of the store's records, as of a revision, that lacks the leader
+// record.
+func (e *Election) ObserveAbsent(revision int64) {
 	e.mutex.Lock()
 	switch {
 	case e.term.Nonce != "" && isRestored(e.term.Fence, revision):
-		// The record was lost before the mirror had seen it.
-		e.loseTerm(reasonRestored)
-		e.own = &vacancy{}
+		// The record was lost before the mirror had received it.
+		e.endTerm(reasonRestored)
+		e.reclaimable = &vacancy{}
 	case e.current.Nonce == "" && e.term.Nonce == "" && e.vacancy == nil:
 		e.vacancy = &vacancy{}
 	}
@@ -234,42 +236,42 @@
 	}
 }
 
-// loseTerm ends this daemon's term; the mutex is held.
-func (e *Election) loseTerm(reason string) {
+// endTerm ends this daemon's term. Callers hold the mutex.
+func (e *Election) endTerm(reason string) {
 	e.log.WithFields(logrus.Fields{logging.Fence: e.term.Fence, logging.Reason: reason}).Warn(logging.MessageTermLost)
-	e.term, e.lease = Holder{}, kv.LeaseID{}
+	e.term, e.lease = Leader{}, kv.LeaseID{}
 }
 
-// Term returns the fence of this daemon's term and how sure it is.
-func (e *Election) Term() (fence int64, standing Standing) {
+// Term returns the fencing token of this daemon's term and its status.
+func (e *Election) Term() (fence int64, status TermStatus) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.term.Nonce == "" || e.resigned || e.yielding {
-		return 0, None
+	if e.term.Nonce == "" || e.resigned || e.handingOver {
+		return 0, NoTerm
 	}
 	now := e.now()
 	switch {
-	case now.Sub(e.renewed) < time.Duration(sureShare*float64(e.TTL)):
-		return e.term.Fence, Sure
-	case now.Sub(e.attempted) < time.Duration(blindShare*float64(e.TTL)):
-		return e.term.Fence, Blind
+	case now.Sub(e.renewedAt) < time.Duration(validShare*float64(e.TTL)):
+		return e.term.Fence, TermValid
+	case now.Sub(e.renewalFailedAt) < time.Duration(unreachableShare*float64(e.TTL)):
+		return e.term.Fence, TermStoreUnreachable
 	}
-	return e.term.Fence, Unsure
+	return e.term.Fence, TermUncertain
 }
 
-// HolderAddress returns the address of the holder that is known; empty: none.
-func (e *Election) HolderAddress() string {
+// LeaderAddress returns the address of the known leader; empty: none.
+func (e *Election) LeaderAddress() string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.current.Address
 }
 
-// Deposed ends the term because someone with a higher fence was seen.
-func (e *Election) Deposed(reason string) {
+// StepDown ends the term because a higher fencing token was observed.
+func (e *Election) StepDown(reason string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.term.Nonce != "" {
-		e.loseTerm(reason)
+		e.endTerm(reason)
 	}
 }
 
@@ -280,25 +282,25 @@
 func (e *Election) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		e.mutex.Lock()
-		holding, resigned := e.term.Nonce != "", e.resigned || e.yielding
+		holding, resigned := e.term.Nonce != "", e.resigned || e.handingOver
 		e.mutex.Unlock()
 		_, opensIn, open := e.opening()
 		switch {
 		case holding && !resigned:
 			e.renew(ctx)
-			e.rest(ctx, e.TTL/renewsPerTTL)
+			e.waitOrWake(ctx, e.TTL/renewalsPerTTL)
 		case open && !resigned:
 			e.campaign(ctx)
-			e.rest(ctx, campaignPause)
+			e.waitOrWake(ctx, campaignInterval)
 		default:
-			e.rest(ctx, cmp.Or(opensIn, e.TTL))
+			e.waitOrWake(ctx, cmp.Or(opensIn, e.TTL))
 		}
 	}
 	return ctx.Err()
 }
 
-func (e *Election) rest(ctx context.Context, most time.Duration) {
-	timer := time.NewTimer(most)
+func (e *Election) waitOrWake(ctx context.Context, timeout time.Duration) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -312,32 +314,32 @@
 	staggerStep  = 20 * time.Millisecond
 )
 
-// stagger delays this daemon's campaigns, so that not all ask at once.
+// stagger returns a delay by which the daemons' campaigns are spread.
 func (e *Election) stagger() time.Duration {
 	return time.Duration(rendezvous.Score(e.Key, e.Daemon)%staggerSteps) * staggerStep
 }
 
-// handicap lets daemons campaign first that know when the last holder was at work.
-func (e *Election) handicap() time.Duration {
-	if e.Informed == nil || e.Informed() {
+// historyDelay lets daemons that know when the last leader was active campaign first.
+func (e *Election) historyDelay() time.Duration {
+	if e.HasLeaderHistory == nil || e.HasLeaderHistory() {
 		return 0
 	}
-	return uninformedDelay
+	return noHistoryDelay
 }
 
-func (e *Election) delay() time.Duration {
-	if e.Delay == nil {
+func (e *Election) campaignDelay() time.Duration {
+	if e.CampaignDelay == nil {
 		return 0
 	}
-	return e.Delay()
+	return e.CampaignDelay()
 }
 
-// uninformedDelay is how much later a daemon campaigns that knows of no holder.
-const uninformedDelay = 300 * time.Millisecond
+// noHistoryDelay is the extra delay of a daemon that does not know when a leader was last active.
+const noHistoryDelay = 300 * time.Millisecond
 
 // campaign tries to take the term.
 func (e *Election) campaign(ctx context.Context) {
-	if from, _, _ := e.opening(); !from.reclaimed && !sleep.For(ctx, e.delay()+e.stagger()+e.handicap()) {
+	if from, _, _ := e.opening(); !from.reclaimed && !sleep.For(ctx, e.campaignDelay()+e.stagger()+e.historyDelay()) {
 		return
 	}
 	opening, _, open := e.opening()
@@ -346,118 +348,120 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, e.TTL)
 	defer cancel()
-	store := kv.Hurried{LeaseStore: e.store, Timeout: e.patience()}
+	store := kv.Hurried{LeaseStore: e.store, Timeout: e.campaignCallTimeout()}
 	sent := e.now()
 	lease, err := store.GrantLease(ctx, e.TTL)
 	if err != nil {
-		e.campaignFailed(err)
+		e.recordCampaignFailure(err)
 		return
 	}
-	term := Holder{Daemon: e.Daemon, Address: e.Address, Nonce: uuid.NewString(), Era: &lease.Era}
-	result, err := kv.CommitResolved(ctx, store, e.replacing(opening.base, term, lease))
+	term := Leader{Daemon: e.Daemon, Address: e.Address, Nonce: uuid.NewString(), Era: &lease.Era}
+	result, err := kv.CommitResolved(ctx, store, e.replaceTxn(opening.replaces, term, lease))
 	if err == nil && result.Succeeded && kv.EraOf(result.Revision) != lease.Era {
-		// The condition may have held for another record that got the revision again.
+		// The condition may have matched a different record that got the same revision after the
+		// restore.
 		err = kv.ErrRestored
 	}
 	if err == nil && !result.Succeeded {
 		e.mutex.Lock()
-		e.vacancy, e.own, e.offer = nil, nil, Holder{} // until the mirror says otherwise
+		e.vacancy, e.reclaimable, e.offer = nil, nil, Leader{} // until the next observed change
 		e.mutex.Unlock()
 	}
 	if err != nil {
-		e.campaignFailed(err)
+		e.recordCampaignFailure(err)
 	}
 	if err != nil || !result.Succeeded {
-		// The record, if it came after all, is bound to the lease.
-		e.endLease(ctx, lease)
+		// If the write takes effect later, the record ends with the lease.
+		e.revokeLease(ctx, lease)
 		return
 	}
-	term.Fence, e.failures = result.Revision, 0
-	e.begin(term, lease, sent, opening)
+	term.Fence, e.failedCampaigns = result.Revision, 0
+	e.beginTerm(term, lease, sent, opening)
 }
 
-// replacing is the transaction that replaces the term's record of a revision (zero: none) by another.
-func (e *Election) replacing(revision int64, record Holder, lease kv.LeaseID) kv.Txn {
+// replaceTxn returns the transaction that replaces the record at a revision (zero: none) by
+// another.
+func (e *Election) replaceTxn(revision int64, record Leader, lease kv.LeaseID) kv.Txn {
 	value, err := json.Marshal(record)
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // cannot fail for these types
 	}
 	return kv.Txn{Conditions: []kv.Condition{{Key: e.Key, ModRevision: revision}}, Puts: []kv.Put{{Key: e.Key, Value: value, Lease: lease}}}
 }
 
-// campaignFailed notes that the service did not answer a campaign.
-func (e *Election) campaignFailed(cause error) {
-	e.failures++
-	e.log.WithField(logging.Cause, cause.Error()).Info("a campaign for the term got no answer")
+// recordCampaignFailure records and logs that the store did not answer a campaign.
+func (e *Election) recordCampaignFailure(cause error) {
+	e.failedCampaigns++
+	e.log.WithField(logging.Cause, cause.Error()).Info("campaign failed")
 }
 
-// endLease ends a lease that is not needed any more.
-func (e *Election) endLease(ctx context.Context, lease kv.LeaseID) {
+// revokeLease revokes a lease that is no longer needed.
+func (e *Election) revokeLease(ctx context.Context, lease kv.LeaseID) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
 	if err := e.store.EndLease(ctx, lease); err != nil {
-		e.log.WithField(logging.Cause, err.Error()).Info("a lease is not ended; it runs out by itself")
+		e.log.WithField(logging.Cause, err.Error()).Info("cannot revoke a lease; it will expire")
 	}
 }
 
 const (
-	// patienceFirst is how long a call of a campaign waits for its answer: a lost one
-	// must not cost the time of a term. It doubles with each campaign that fails, for
-	// a service that is slow.
-	patienceFirst = 400 * time.Millisecond
-	patienceMost  = 1600 * time.Millisecond
+	// minCampaignCallTimeout bounds a call of a campaign, because a lost response must not delay
+	// the term. The timeout doubles with each failed campaign, in case the store is slow.
+	minCampaignCallTimeout = 400 * time.Millisecond
+	maxCampaignCallTimeout = 1600 * time.Millisecond
 )
 
-// patience returns how long a call of the next campaign waits for its answer.
-func (e *Election) patience() time.Duration {
-	return min(patienceMost, patienceFirst<<min(e.failures, 4))
+// campaignCallTimeout returns the timeout of the next campaign's calls.
+func (e *Election) campaignCallTimeout() time.Duration {
+	return min(maxCampaignCallTimeout, minCampaignCallTimeout<<min(e.failedCampaigns, 4))
 }
 
-// opening is what a campaign begins from.
+// opening describes the term that a campaign tries to take.
 type opening struct {
-	base      int64        // revision of the record to be replaced; zero: there is none
-	reclaimed bool         // the term before was this daemon's
-	inherited *Inheritance // nil unless its holder handed the term over
+	replaces  int64        // revision of the record to be replaced; zero: none
+	reclaimed bool         // the previous term was this daemon's
+	inherited *Inheritance // nil unless the previous leader handed the term over
 }
 
 // vacancy is a term that may be taken.
 type vacancy struct {
-	base  int64     // revision of the record to be replaced; zero: there is none
-	opens time.Time // nobody takes it before
+	replaces int64     // revision of the record to be replaced; zero: none
+	opensAt  time.Time // the term may not be taken before
 }
 
-// opening returns what a campaign may begin from, if the term is open to one, and else when to look again.
-func (e *Election) opening() (from opening, lookIn time.Duration, open bool) {
+// opening returns the term that a campaign may take if open is set, and otherwise when to check
+// again.
+func (e *Election) opening() (from opening, retryIn time.Duration, open bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	switch {
-	case e.own != nil:
-		return opening{base: e.own.base, reclaimed: true}, 0, true
+	case e.reclaimable != nil:
+		return opening{replaces: e.reclaimable.replaces, reclaimed: true}, 0, true
 	case e.offer.Fence > 0:
-		return opening{base: e.offer.Fence, inherited: e.offer.Handover.inheritance(e.offeredAt)}, 0, true
+		return opening{replaces: e.offer.Fence, inherited: e.offer.Handover.inheritance(e.offeredAt)}, 0, true
 	case e.vacancy == nil:
 		return opening{}, e.TTL, false
 	}
-	lookIn = max(0, e.vacancy.opens.Sub(e.now()))
-	return opening{base: e.vacancy.base}, lookIn, lookIn == 0
+	retryIn = max(0, e.vacancy.opensAt.Sub(e.now()))
+	return opening{replaces: e.vacancy.replaces}, retryIn, retryIn == 0
 }
 
-// begin notes a term that was taken and tells the listeners.
-func (e *Election) begin(term Holder, lease kv.LeaseID, sent time.Time, from opening) {
+// beginTerm records a term that was taken and calls the listeners.
+func (e *Election) beginTerm(term Leader, lease kv.LeaseID, sent time.Time, from opening) {
 	e.mutex.Lock()
 	e.reclaimed, e.inherited = from.reclaimed, from.inherited
-	e.term, e.lease, e.renewed, e.attempted, e.current = term, lease, sent, time.Time{}, term
-	e.vacancy, e.own, e.offer = nil, nil, Holder{}
+	e.term, e.lease, e.renewedAt, e.renewalFailedAt, e.current = term, lease, sent, time.Time{}, term
+	e.vacancy, e.reclaimable, e.offer = nil, nil, Leader{}
 	e.mutex.Unlock()
-	e.log.WithFields(logrus.Fields{logging.Holder: e.Daemon, logging.Fence: term.Fence, logging.Reclaimed: from.reclaimed, logging.HandedOver: from.inherited != nil}).
+	e.log.WithFields(logrus.Fields{logging.Leader: e.Daemon, logging.Fence: term.Fence, logging.Reclaimed: from.reclaimed, logging.HandedOver: from.inherited != nil}).
 		Info(logging.MessageTermBegins)
-	for _, listener := range e.onHolder {
+	for _, listener := range e.listeners {
 		listener(term)
 	}
 }
 
-// Reclaimed tells whether the term before this one was this daemon's, by an earlier process or before a
-// restore of the service, so that no other holder's orders can be recent.
+// Reclaimed tells whether the previous term was this daemon's, under an earlier process or before a
+// restore of the store, so that no other leader can have sent load orders recently.
 func (e *Election) Reclaimed() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -477,14 +481,14 @@
 	switch {
 	case e.lease != lease:
 	case err == nil:
-		e.renewed = sent
+		e.renewedAt = sent
 	case errors.Is(err, kv.ErrNoLease):
-		e.loseTerm("the lease is over")
+		e.endTerm("the lease has expired")
 		e.vacancy = &vacancy{}
 	case errors.Is(err, kv.ErrRestored):
-		// Observe, or Vacate, tells what the restore left of the record. Until then the lease is as sure as it
-		// was: nobody else takes the term within its time.
+		// Observe or ObserveAbsent reports what the restore left of the record. Until then no other
+		// daemon takes the term within the lease's TTL.
 	default:
-		e.attempted = e.now()
+		e.renewalFailedAt = e.now()
 	}
 }
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -20,49 +20,49 @@
 	testTTL = 2 * time.Second
 )
 
-// oneRecord is a store with one record under a lease, which tells all elections of
-// its changes as the mirror of records does.
-type oneRecord struct {
+// recordStore is a store with one record under a lease. It reports changes to all elections, as the
+// mirror of records does.
+type recordStore struct {
 	kv.LeaseStore
-	mutex    sync.Mutex
-	pair     kv.Pair
-	held     bool
-	revision int64
-	lease    kv.LeaseID // that the record is bound to
-	leases   kv.LeaseID // granted so far
-	expiry   *time.Timer
-	silent   map[string]bool // daemons that get no answer
-	// overwritten tells that a record was replaced while it stood.
-	overwritten bool
-	loseNext    bool // the next write is done and not answered
-	loseGrants  int  // so many leases are granted and not answered
-	told        []*Election
+	mutex       sync.Mutex
+	pair        kv.Pair
+	present     bool
+	revision    int64
+	lease       kv.LeaseID // of the record
+	lastLease   kv.LeaseID // last one granted
+	expiry      *time.Timer
+	unreachable map[string]bool // daemons whose calls fail
+	// overwritten tells that a write replaced an existing record.
+	overwritten    bool
+	loseNextAnswer bool // the next write succeeds without a response
+	lostGrants     int  // number of grants that succeed without a response
+	observers      []*Election
 }
 
-// view is the store as one daemon reaches it.
-type view struct {
-	*oneRecord
+// storeView is the store as seen by one daemon.
+type storeView struct {
+	*recordStore
 	daemon string
 }
 
-func (v view) answers() error {
+func (v storeView) checkReachable() error {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	if v.silent[v.daemon] {
+	if v.unreachable[v.daemon] {
 		return kv.ErrUncertain
 	}
 	return nil
 }
 
-func (v view) GrantLease(ctx context.Context, _ time.Duration) (kv.LeaseID, error) {
-	if err := v.answers(); err != nil {
+func (v storeView) GrantLease(ctx context.Context, _ time.Duration) (kv.LeaseID, error) {
+	if err := v.checkReachable(); err != nil {
 		return kv.LeaseID{}, err
 	}
 	v.mutex.Lock()
-	v.leases = kv.LeaseID{Number: v.leases.Number + 1, Era: kv.EraOf(v.revision)}
-	lease, lost := v.leases, v.loseGrants > 0
+	v.lastLease = kv.LeaseID{Number: v.lastLease.Number + 1, Era: kv.EraOf(v.revision)}
+	lease, lost := v.lastLease, v.lostGrants > 0
 	if lost {
-		v.loseGrants--
+		v.lostGrants--
 	}
 	v.mutex.Unlock()
 	if lost {
@@ -72,8 +72,8 @@
 	return lease, nil
 }
 
-func (v view) KeepLease(_ context.Context, lease kv.LeaseID) error {
-	if err := v.answers(); err != nil {
+func (v storeView) KeepLease(_ context.Context, lease kv.LeaseID) error {
+	if err := v.checkReachable(); err != nil {
 		return err
 	}
 	v.mutex.Lock()
@@ -81,16 +81,16 @@
 	switch {
 	case lease.Era != kv.EraOf(v.revision):
 		return kv.ErrRestored
-	case !v.held || lease != v.lease:
+	case !v.present || lease != v.lease:
 		return kv.ErrNoLease
 	}
 	v.expiry.Reset(testTTL)
 	return nil
 }
 
-func (v view) EndLease(_ context.Context, lease kv.LeaseID) error {
+func (v storeView) EndLease(_ context.Context, lease kv.LeaseID) error {
 	v.mutex.Lock()
-	bound := v.held && lease == v.lease
+	bound := v.present && lease == v.lease
 	v.mutex.Unlock()
 	if bound {
 		v.remove()
@@ -98,234 +98,233 @@
 	return nil
 }
 
-func (v view) Get(context.Context, string) (kv.Pair, bool, error) {
-	if err := v.answers(); err != nil {
+func (v storeView) Get(context.Context, string) (kv.Pair, bool, error) {
+	if err := v.checkReachable(); err != nil {
 		return kv.Pair{}, false, err
 	}
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return v.pair, v.held, nil
+	return v.pair, v.present, nil
 }
 
-func (v view) Commit(_ context.Context, txn kv.Txn) (kv.TxnResult, error) {
-	if err := v.answers(); err != nil {
+func (v storeView) Commit(_ context.Context, txn kv.Txn) (kv.TxnResult, error) {
+	if err := v.checkReachable(); err != nil {
 		return kv.TxnResult{}, err
 	}
 	v.mutex.Lock()
-	standing := int64(0)
-	if v.held {
-		standing = v.pair.ModRevision
+	current := int64(0)
+	if v.present {
+		current = v.pair.ModRevision
 	}
-	if len(txn.Conditions) > 0 && txn.Conditions[0].ModRevision != standing {
+	if len(txn.Conditions) > 0 && txn.Conditions[0].ModRevision != current {
 		defer v.mutex.Unlock()
 		return kv.TxnResult{Current: []kv.Pair{v.pair}}, nil
 	}
-	v.overwritten = v.overwritten || v.held
-	if v.held {
+	v.overwritten = v.overwritten || v.present
+	if v.present {
 		v.expiry.Stop()
 	}
 	v.revision++
-	v.pair, v.held = kv.Pair{Key: testKey, Value: txn.Puts[0].Value, ModRevision: v.revision}, true
+	v.pair, v.present = kv.Pair{Key: testKey, Value: txn.Puts[0].Value, ModRevision: v.revision}, true
 	v.lease = txn.Puts[0].Lease
 	v.expiry = time.AfterFunc(testTTL, v.remove)
-	pair, lost := v.pair, v.loseNext
-	v.loseNext = false
+	pair, lost := v.pair, v.loseNextAnswer
+	v.loseNextAnswer = false
 	v.mutex.Unlock()
-	v.tell(kv.Event{Pair: pair})
+	v.notify(kv.Event{Pair: pair})
 	if lost {
 		return kv.TxnResult{}, kv.ErrUncertain
 	}
 	return kv.TxnResult{Succeeded: true, Revision: pair.ModRevision}, nil
 }
 
-// stands tells whether there is a record.
-func (r *oneRecord) stands() bool {
+// hasRecord tells whether there is a record.
+func (r *recordStore) hasRecord() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.held
+	return r.present
 }
 
-func (r *oneRecord) remove() {
+func (r *recordStore) remove() {
 	r.mutex.Lock()
-	if !r.held {
+	if !r.present {
 		r.mutex.Unlock()
 		return
 	}
-	r.held = false
+	r.present = false
 	r.expiry.Stop()
 	r.revision++
 	event := kv.Event{Pair: kv.Pair{Key: testKey, ModRevision: r.revision}, Deleted: true}
 	r.mutex.Unlock()
-	r.tell(event)
+	r.notify(event)
 }
 
-func (r *oneRecord) tell(event kv.Event) {
+func (r *recordStore) notify(event kv.Event) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, one := range r.told {
-		if !r.silent[one.Daemon] {
+	for _, one := range r.observers {
+		if !r.unreachable[one.Daemon] {
 			go one.Observe(event)
 		}
 	}
 }
 
-func quietLog() logrus.FieldLogger {
+func discardLog() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-func elections(t *testing.T, informed map[string]bool, daemons ...string) (*oneRecord, map[string]*Election) {
+func startElections(t *testing.T, withHistory map[string]bool, daemons ...string) (*recordStore, map[string]*Election) {
 	t.Helper()
-	store := &oneRecord{silent: map[string]bool{}}
-	return store, electionsAt(t, store, informed, daemons...)
+	store := &recordStore{unreachable: map[string]bool{}}
+	return store, startElectionsAt(t, store, withHistory, daemons...)
 }
 
-func electionsAt(t *testing.T, store *oneRecord, informed map[string]bool, daemons ...string) map[string]*Election {
+func startElectionsAt(t *testing.T, store *recordStore, withHistory map[string]bool, daemons ...string) map[string]*Election {
 	t.Helper()
-	log := quietLog()
-	made := map[string]*Election{}
+	log := discardLog()
+	elections := map[string]*Election{}
 	for _, daemon := range daemons {
-		one := New(Config{Key: testKey, Daemon: daemon, Address: daemon + ":1", TTL: testTTL, Informed: func() bool { return informed[daemon] }}, view{store, daemon}, log)
-		made[daemon] = one
-		store.told = append(store.told, one)
+		one := New(Config{Key: testKey, Daemon: daemon, Address: daemon + ":1", TTL: testTTL, HasLeaderHistory: func() bool { return withHistory[daemon] }}, storeView{store, daemon}, log)
+		elections[daemon] = one
+		store.observers = append(store.observers, one)
 	}
-	for _, one := range made {
-		one.Vacate(0)
+	for _, one := range elections {
+		one.ObserveAbsent(0)
 		go func() { _ = one.Serve(t.Context()) }()
 	}
-	return made
+	return elections
 }
 
-func holders(made map[string]*Election) []string {
+func leaders(elections map[string]*Election) []string {
 	var names []string
-	for name, one := range made {
-		if _, standing := one.Term(); standing != None {
+	for name, one := range elections {
+		if _, status := one.Term(); status != NoTerm {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-func TestOneDaemonHoldsTheTermAndTheInformedCampaignFirst(t *testing.T) {
+func TestDaemonsWithLeaderHistoryCampaignFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, made := elections(t, map[string]bool{"c": true}, "a", "b", "c")
+		_, elections := startElections(t, map[string]bool{"c": true}, "a", "b", "c")
 		time.Sleep(5 * testTTL)
-		require.Equal(t, []string{"c"}, holders(made))
-		_, standing := made["c"].Term()
-		require.Equal(t, Sure, standing, "the lease is renewed")
+		require.Equal(t, []string{"c"}, leaders(elections))
+		_, status := elections["c"].Term()
+		require.Equal(t, TermValid, status, "the lease is renewed")
 	})
 }
 
-// A daemon whose mirror of the records lags campaigns though another holds the term.
-func TestACampaignAgainstARecordThatStandsIsRefused(t *testing.T) {
+// A daemon whose mirror lags may campaign although another daemon holds the term.
+func TestCampaignAgainstExistingRecordIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, made := elections(t, map[string]bool{"a": true}, "a", "b")
+		store, elections := startElections(t, map[string]bool{"a": true}, "a", "b")
 		store.mutex.Lock()
-		store.told = store.told[:1] // b hears of nothing
+		store.observers = store.observers[:1] // b observes nothing
 		store.mutex.Unlock()
 		time.Sleep(3 * testTTL)
-		require.Equal(t, []string{"a"}, holders(made))
+		require.Equal(t, []string{"a"}, leaders(elections))
 		require.False(t, store.overwritten)
 	})
 }
 
-func TestATermThatEndsIsTakenByAnotherWithAHigherFence(t *testing.T) {
+func TestNextTermHasHigherFence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, made := elections(t, map[string]bool{"c": true}, "a", "b", "c")
+		_, elections := startElections(t, map[string]bool{"c": true}, "a", "b", "c")
 		time.Sleep(time.Second)
-		before, _ := made["c"].Term()
-		made["c"].Resign(t.Context(), func() Handover { return Handover{} })
+		before, _ := elections["c"].Term()
+		elections["c"].Resign(t.Context(), func() Handover { return Handover{} })
 		time.Sleep(2 * time.Second)
-		next := holders(made)
+		next := leaders(elections)
 		require.Len(t, next, 1)
 		require.NotEqual(t, "c", next[0])
-		after, _ := made[next[0]].Term()
+		after, _ := elections[next[0]].Term()
 		require.Greater(t, after, before)
 	})
 }
 
-func TestAHolderWithoutTheStoreKnowsWhetherItAskedLately(t *testing.T) {
+func TestTermStatusWhileTheStoreIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, made := elections(t, nil, "a")
+		store, elections := startElections(t, nil, "a")
 		time.Sleep(time.Second)
 		store.mutex.Lock()
-		store.silent["a"] = true
-		store.expiry.Stop() // a store that is down for all lets leases wait
+		store.unreachable["a"] = true
+		store.expiry.Stop() // leases do not expire while the store is down for all daemons
 		store.mutex.Unlock()
 		time.Sleep(2 * testTTL)
-		_, standing := made["a"].Term()
-		require.Equal(t, Blind, standing)
-		// As after a freeze: nothing was asked for a while.
-		made["a"].now = func() time.Time { return time.Now().Add(testTTL) }
-		_, standing = made["a"].Term()
-		require.Equal(t, Unsure, standing)
+		_, status := elections["a"].Term()
+		require.Equal(t, TermStoreUnreachable, status)
+		// As after a suspension: the store was not called recently.
+		elections["a"].now = func() time.Time { return time.Now().Add(testTTL) }
+		_, status = elections["a"].Term()
+		require.Equal(t, TermUncertain, status)
 	})
 }
 
-func TestAHolderThatWasCutOffLosesItsTermWhenItHears(t *testing.T) {
+func TestPartitionedLeaderEndsItsTermOnNewerRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, made := elections(t, map[string]bool{"a": true}, "a", "b")
+		store, elections := startElections(t, map[string]bool{"a": true}, "a", "b")
 		time.Sleep(time.Second)
-		require.Equal(t, []string{"a"}, holders(made))
+		require.Equal(t, []string{"a"}, leaders(elections))
 		store.mutex.Lock()
-		store.silent["a"] = true
+		store.unreachable["a"] = true
 		store.mutex.Unlock()
 		time.Sleep(2 * testTTL)
-		require.ElementsMatch(t, []string{"a", "b"}, holders(made), "it cannot know yet; its fence is the lower one")
-		old, _ := made["a"].Term()
-		newer, _ := made["b"].Term()
+		require.ElementsMatch(t, []string{"a", "b"}, leaders(elections), "the partitioned leader cannot know yet; its fence is lower")
+		old, _ := elections["a"].Term()
+		newer, _ := elections["b"].Term()
 		require.Greater(t, newer, old)
 		store.mutex.Lock()
-		store.silent["a"] = false
+		store.unreachable["a"] = false
 		pair := store.pair
 		store.mutex.Unlock()
-		made["a"].Observe(kv.Event{Pair: pair})
-		require.Equal(t, []string{"b"}, holders(made))
+		elections["a"].Observe(kv.Event{Pair: pair})
+		require.Equal(t, []string{"b"}, leaders(elections))
 	})
 }
 
-func TestALostAnswerToACampaignIsSettled(t *testing.T) {
+func TestUncertainCampaignWriteIsResolved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, made := elections(t, nil, "a")
+		store, elections := startElections(t, nil, "a")
 		store.mutex.Lock()
-		store.loseNext = true
+		store.loseNextAnswer = true
 		store.mutex.Unlock()
 		time.Sleep(time.Second)
-		require.Equal(t, []string{"a"}, holders(made))
-		fence, _ := made["a"].Term()
+		require.Equal(t, []string{"a"}, leaders(elections))
+		fence, _ := elections["a"].Term()
 		require.Equal(t, store.pair.ModRevision, fence)
-		var holder Holder
-		require.NoError(t, json.Unmarshal(store.pair.Value, &holder))
-		require.Equal(t, "a", holder.Daemon)
+		var leader Leader
+		require.NoError(t, json.Unmarshal(store.pair.Value, &leader))
+		require.Equal(t, "a", leader.Daemon)
 	})
 }
 
-func TestAnOldRecordDoesNotReplaceANewerOne(t *testing.T) {
+func TestOutdatedEventIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, made := elections(t, nil, "a")
+		store, elections := startElections(t, nil, "a")
 		time.Sleep(time.Second)
-		fence, _ := made["a"].Term()
-		made["a"].Observe(kv.Event{Pair: kv.Pair{Key: testKey, ModRevision: fence - 1}, Deleted: true})
-		require.Equal(t, []string{"a"}, holders(made))
-		require.True(t, store.stands())
+		fence, _ := elections["a"].Term()
+		elections["a"].Observe(kv.Event{Pair: kv.Pair{Key: testKey, ModRevision: fence - 1}, Deleted: true})
+		require.Equal(t, []string{"a"}, leaders(elections))
+		require.True(t, store.hasRecord())
 	})
 }
 
-// Seen on the users' days that kill the holder first: no orders for three seconds,
-// though its machine was back after half of one.
-func TestAProcessThatStartsAgainTakesUpItsDaemonsTermAtOnce(t *testing.T) {
+// Guards against a restarted leader that waits until its own lease has expired.
+func TestRestartedDaemonReclaimsItsTermAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		log := quietLog()
-		store := &oneRecord{silent: map[string]bool{}}
+		log := discardLog()
+		store := &recordStore{unreachable: map[string]bool{}}
 		start := func(daemon string) (*Election, context.CancelFunc) {
-			one := New(Config{Key: testKey, Daemon: daemon, Address: daemon + ":1", TTL: testTTL}, view{store, daemon}, log)
+			one := New(Config{Key: testKey, Daemon: daemon, Address: daemon + ":1", TTL: testTTL}, storeView{store, daemon}, log)
 			store.mutex.Lock()
-			store.told = append(store.told, one)
-			if store.held {
+			store.observers = append(store.observers, one)
+			if store.present {
 				go one.Observe(kv.Event{Pair: store.pair})
 			} else {
-				one.Vacate(0)
+				one.ObserveAbsent(0)
 			}
 			store.mutex.Unlock()
 			ctx, kill := context.WithCancel(t.Context())
@@ -334,129 +333,129 @@
 		}
 		first, kill := start("a")
 		time.Sleep(testTTL)
-		fence, standing := first.Term()
-		require.Equal(t, Sure, standing)
+		fence, status := first.Term()
+		require.Equal(t, TermValid, status)
 		require.False(t, first.Reclaimed())
 		other, stop := start("b")
 		defer stop()
 		time.Sleep(testTTL)
 		kill()
 		store.mutex.Lock()
-		store.told = store.told[1:]
+		store.observers = store.observers[1:]
 		store.mutex.Unlock()
 		time.Sleep(testTTL / 10)
-		again, end := start("a")
+		restarted, end := start("a")
 		defer end()
 		time.Sleep(testTTL / 10)
-		higher, standing := again.Term()
-		require.Equal(t, Sure, standing)
+		higher, status := restarted.Term()
+		require.Equal(t, TermValid, status)
 		require.Greater(t, higher, fence)
-		require.True(t, again.Reclaimed())
+		require.True(t, restarted.Reclaimed())
 		time.Sleep(3 * testTTL)
-		_, standing = again.Term()
-		require.Equal(t, Sure, standing)
-		_, standing = other.Term()
-		require.Equal(t, None, standing, "another daemon's record is not taken up")
+		_, status = restarted.Term()
+		require.Equal(t, TermValid, status)
+		_, status = other.Term()
+		require.Equal(t, NoTerm, status, "another daemon's record is not reclaimed")
 	})
 }
 
-// Seen on a grown site: the answer to a campaign's first call was lost, and the term
-// stood open for a second and a half more.
-func TestALostAnswerDelaysACampaignOnlyBriefly(t *testing.T) {
+// Guards against a lost response that delays a campaign for most of a term.
+func TestLostGrantDelaysCampaignBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, _ := elections(t, nil)
-		store.loseGrants = 1
-		one := New(Config{Key: testKey, Daemon: "a", Address: "a:1", TTL: testTTL}, view{store, "a"}, quietLog())
-		store.told = append(store.told, one)
-		one.Vacate(0)
+		store, _ := startElections(t, nil)
+		store.lostGrants = 1
+		one := New(Config{Key: testKey, Daemon: "a", Address: "a:1", TTL: testTTL}, storeView{store, "a"}, discardLog())
+		store.observers = append(store.observers, one)
+		one.ObserveAbsent(0)
 		go func() { _ = one.Serve(t.Context()) }()
-		time.Sleep(patienceFirst + 2*campaignPause + staggerSteps*2*staggerStep)
-		_, standing := one.Term()
-		require.Equal(t, Sure, standing)
+		time.Sleep(minCampaignCallTimeout + 2*campaignInterval + staggerSteps*2*staggerStep)
+		_, status := one.Term()
+		require.Equal(t, TermValid, status)
 	})
 }
 
-// Seen on days that stop all daemons in turn: no orders for three seconds after each stop
-// of the holder, though it knew when it had given the last.
-func TestAPlannedStopHandsTheTermOverWithTheTimesOfItsOrders(t *testing.T) {
+// Guards against a planned stop after which the next leader waits although the times of the last
+// load orders are known.
+func TestResignHandsOverLastOrderTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, made := elections(t, map[string]bool{"c": true}, "a", "b", "c")
+		store, elections := startElections(t, map[string]bool{"c": true}, "a", "b", "c")
 		time.Sleep(time.Second)
-		require.Equal(t, []string{"c"}, holders(made))
-		before, _ := made["c"].Term()
+		require.Equal(t, []string{"c"}, leaders(elections))
+		before, _ := elections["c"].Term()
 		stopped := time.Now()
-		made["c"].Resign(t.Context(), func() Handover {
-			_, standing := made["c"].Term()
-			require.Equal(t, None, standing, "no order is given any more when the times are asked for")
+		elections["c"].Resign(t.Context(), func() Handover {
+			_, status := elections["c"].Term()
+			require.Equal(t, NoTerm, status, "orders must have stopped before their times are read")
 			return Handover{LastOrderMs: map[string]int64{"r1": 400}, WaitMs: 100}
 		})
 		synctest.Wait()
-		require.Empty(t, holders(made))
-		require.True(t, store.stands(), "the record stays, and offers the term")
+		require.Empty(t, leaders(elections))
+		require.True(t, store.hasRecord(), "the record stays and offers the term")
 		time.Sleep(500 * time.Millisecond)
-		next := holders(made)
+		next := leaders(elections)
 		require.Len(t, next, 1)
 		require.NotEqual(t, "c", next[0])
-		after, _ := made[next[0]].Term()
+		after, _ := elections[next[0]].Term()
 		require.Greater(t, after, before)
-		require.False(t, made[next[0]].Reclaimed())
-		inherited := made[next[0]].Inherited()
+		require.False(t, elections[next[0]].Reclaimed())
+		inherited := elections[next[0]].Inherited()
 		require.NotNil(t, inherited)
 		require.Equal(t, map[string]time.Time{"r1": stopped.Add(-400 * time.Millisecond)}, inherited.LastOrders)
-		require.Equal(t, stopped.Add(100*time.Millisecond), inherited.Begins)
+		require.Equal(t, stopped.Add(100*time.Millisecond), inherited.NotBefore)
 	})
 }
 
-// An offer that nobody takes goes with its lease, as a record of a dead holder does.
-func TestAnOfferThatCannotBeWrittenEndsTheLease(t *testing.T) {
+// If the offer cannot be written, the record must end with its lease.
+func TestFailedHandoverRevokesTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, made := elections(t, map[string]bool{"a": true}, "a", "b")
+		store, elections := startElections(t, map[string]bool{"a": true}, "a", "b")
 		time.Sleep(time.Second)
 		store.mutex.Lock()
-		store.pair.ModRevision++ // as if another write had come between
+		store.pair.ModRevision++ // as if another write had intervened
 		store.mutex.Unlock()
-		made["a"].Resign(t.Context(), func() Handover { return Handover{} })
+		elections["a"].Resign(t.Context(), func() Handover { return Handover{} })
 		time.Sleep(time.Second)
-		require.Equal(t, []string{"b"}, holders(made))
-		require.Nil(t, made["b"].Inherited(), "the times of earlier orders are not known")
+		require.Equal(t, []string{"b"}, leaders(elections))
+		require.Nil(t, elections["b"].Inherited(), "the times of earlier orders are unknown")
 	})
 }
 
-// A daemon that yields its term gives no more orders, and may take it again if no other does.
-func TestAYieldedTermGoesToWhoCampaignsFirst(t *testing.T) {
+// A daemon that hands over its term sends no more load orders, and may take the term again if no
+// other daemon does.
+func TestHandedOverTermGoesToFirstCampaigner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, made := elections(t, map[string]bool{"weak": true}, "weak")
+		store, elections := startElections(t, map[string]bool{"weak": true}, "weak")
 		time.Sleep(time.Second)
-		weak := made["weak"]
-		before, standing := weak.Term()
-		require.Equal(t, Sure, standing)
-		yield := func() {
-			require.True(t, weak.Yielding())
-			require.False(t, weak.Yielding(), "it is being handed over")
-			_, standing := weak.Term()
-			require.Equal(t, None, standing)
-			weak.Yield(t.Context(), func() Handover { return Handover{LastOrderMs: map[string]int64{"r1": 10}} })
+		weak := elections["weak"]
+		before, status := weak.Term()
+		require.Equal(t, TermValid, status)
+		handOver := func() {
+			require.True(t, weak.BeginHandover())
+			require.False(t, weak.BeginHandover(), "a handover is in progress")
+			_, status := weak.Term()
+			require.Equal(t, NoTerm, status)
+			weak.CompleteHandover(t.Context(), func() Handover { return Handover{LastOrderMs: map[string]int64{"r1": 10}} })
 		}
-		yield()
+		handOver()
 		time.Sleep(time.Second)
-		again, standing := weak.Term()
-		require.Equal(t, Sure, standing, "nobody else took it")
-		require.Greater(t, again, before)
+		renewed, status := weak.Term()
+		require.Equal(t, TermValid, status, "no other daemon campaigned")
+		require.Greater(t, renewed, before)
 		require.NotNil(t, weak.Inherited())
 
-		strong := New(Config{Key: testKey, Daemon: "strong", Address: "strong:1", TTL: testTTL}, view{store, "strong"}, quietLog())
+		strong := New(Config{Key: testKey, Daemon: "strong", Address: "strong:1", TTL: testTTL}, storeView{store, "strong"}, discardLog())
 		store.mutex.Lock()
-		store.told = append(store.told, strong)
+		store.observers = append(store.observers, strong)
 		store.mutex.Unlock()
 		go func() { _ = strong.Serve(t.Context()) }()
-		weak.Delay = func() time.Duration { return 300 * time.Millisecond }
-		yield()
+		weak.CampaignDelay = func() time.Duration { return 300 * time.Millisecond }
+		handOver()
 		time.Sleep(time.Second)
-		_, standing = strong.Term()
-		require.Equal(t, Sure, standing)
+		_, status = strong.Term()
+		require.Equal(t, TermValid, status)
 		require.Contains(t, strong.Inherited().LastOrders, "r1")
-		_, standing = weak.Term()
-		require.Equal(t, None, standing)
-		require.False(t, weak.Yielding(), "there is nothing to hand over")
+		_, status = weak.Term()
+		require.Equal(t, NoTerm, status)
+		require.False(t, weak.BeginHandover(), "there is nothing to hand over")
 	})
 }
--- a/election/handover.go
+++ b/election/handover.go
@@ -11,75 +11,74 @@
 	"github.com/finchspoke/finchspoke/logging"
 )
 
-// Handover is what the next holder must know to keep its distance from the orders of
-// earlier ones. Times are in ms before, or after, the record was written.
+// Handover tells the next leader how to space its load orders from earlier ones. Times are in ms
+// before or after the record was written.
 type Handover struct {
-	// LastOrderMs is how long ago each replica got its last order, for those that got one
-	// lately.
+	// LastOrderMs is how long ago each replica with a recent load order received its last one.
 	LastOrderMs map[string]int64 `json:"last_order_ms,omitempty"`
-	// WaitMs is how long no replica may be given an order.
+	// WaitMs is for how long no replica may receive a load order.
 	WaitMs int64 `json:"wait_ms,omitempty"`
 }
 
-// Inheritance is a handover as the next holder counts it, by its own clock.
+// Inheritance is a handover converted to the next leader's clock.
 type Inheritance struct {
 	LastOrders map[string]time.Time // by replica
-	Begins     time.Time            // no order is given before
+	NotBefore  time.Time            // no load order may be sent before
 }
 
-// inheritance counts the handover's times from when its record was heard of, which is later
-// than when it was written.
-func (h *Handover) inheritance(heard time.Time) *Inheritance {
-	inherited := &Inheritance{LastOrders: make(map[string]time.Time, len(h.LastOrderMs)), Begins: heard.Add(time.Duration(h.WaitMs) * time.Millisecond)}
+// inheritance converts the handover to times relative to when its record was received, which is
+// later than when it was written.
+func (h *Handover) inheritance(receivedAt time.Time) *Inheritance {
+	inherited := &Inheritance{LastOrders: make(map[string]time.Time, len(h.LastOrderMs)), NotBefore: receivedAt.Add(time.Duration(h.WaitMs) * time.Millisecond)}
 	for replica, age := range h.LastOrderMs {
-		inherited.LastOrders[replica] = heard.Add(-time.Duration(age) * time.Millisecond)
+		inherited.LastOrders[replica] = receivedAt.Add(-time.Duration(age) * time.Millisecond)
 	}
 	return inherited
 }
 
-// Inherited returns what the holder before this daemon's term handed over; nil if the term
-// was not handed over.
+// Inherited returns what the previous leader handed over; nil if this daemon's term was not handed
+// over.
 func (e *Election) Inherited() *Inheritance {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.inherited
 }
 
-// Resign ends the term, if this daemon has it, and campaigns no more. handover is asked,
-// once no order is given any more, for what the next holder must know.
+// Resign ends this daemon's term, if it has one, and its campaigns. handover is called once no load
+// order is sent any more, and returns what the next leader must know.
 func (e *Election) Resign(ctx context.Context, handover func() Handover) {
 	e.mutex.Lock()
 	e.resigned = true
 	e.mutex.Unlock()
-	e.giveUp(ctx, handover)
+	e.releaseTerm(ctx, handover)
 }
 
-// Yielding begins to hand the term over to whoever campaigns first: Term tells of none from
-// now on, and Yield has to follow. It returns false if there is no term to hand over.
-func (e *Election) Yielding() bool {
+// BeginHandover starts to hand over the term: Term reports none from now on, and the caller must
+// call CompleteHandover. It returns false if there is no term to hand over.
+func (e *Election) BeginHandover() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if e.term.Nonce == "" || e.resigned || e.yielding {
+	if e.term.Nonce == "" || e.resigned || e.handingOver {
 		return false
 	}
-	e.yielding = true
+	e.handingOver = true
 	return true
 }
 
-// Yield hands over the term. This daemon goes on to campaign for it, after its own delay.
-func (e *Election) Yield(ctx context.Context, handover func() Handover) {
-	e.giveUp(ctx, handover)
+// CompleteHandover hands over the term. This daemon keeps campaigning, after its own delay.
+func (e *Election) CompleteHandover(ctx context.Context, handover func() Handover) {
+	e.releaseTerm(ctx, handover)
 	e.mutex.Lock()
-	e.yielding = false
+	e.handingOver = false
 	if e.term.Nonce != "" {
-		e.loseTerm("handed over")
+		e.endTerm("handed over")
 	}
 	e.mutex.Unlock()
 	e.signal()
 }
 
-// giveUp offers the term to others, or ends it at least.
-func (e *Election) giveUp(ctx context.Context, handover func() Handover) {
+// releaseTerm offers the term to other daemons, or at least revokes its lease.
+func (e *Election) releaseTerm(ctx context.Context, handover func() Handover) {
 	defer e.signal()
 	e.mutex.Lock()
 	term, lease := e.term, e.lease
@@ -87,28 +86,28 @@
 	if lease == (kv.LeaseID{}) {
 		return
 	}
-	err := e.handOver(ctx, term, lease, handover())
+	err := e.writeHandover(ctx, term, lease, handover())
 	if err == nil {
-		e.written()
+		e.notifyWritten()
 		return
 	}
-	// A handover that comes late finds no record to replace once the lease is over.
-	e.log.WithFields(logrus.Fields{logging.Fence: term.Fence, logging.Cause: err.Error()}).Warn("the term is not handed over; its lease is ended")
-	e.endLease(ctx, lease)
+	// A write that is delayed finds no record to replace once the lease is revoked.
+	e.log.WithFields(logrus.Fields{logging.Fence: term.Fence, logging.Cause: err.Error()}).Warn("cannot hand over the term; revoking its lease")
+	e.revokeLease(ctx, lease)
 }
 
-func (e *Election) written() {
-	if e.Written != nil {
-		e.Written()
+func (e *Election) notifyWritten() {
+	if e.OnWritten != nil {
+		e.OnWritten()
 	}
 }
 
-// handOver replaces the term's record by one that offers the term, under the same lease.
-func (e *Election) handOver(ctx context.Context, term Holder, lease kv.LeaseID, handover Handover) error {
+// writeHandover replaces the term's record by one that offers the term, under the same lease.
+func (e *Election) writeHandover(ctx context.Context, term Leader, lease kv.LeaseID, handover Handover) error {
 	term.Handover = &handover
-	result, err := e.store.Commit(ctx, e.replacing(term.Fence, term, lease))
+	result, err := e.store.Commit(ctx, e.replaceTxn(term.Fence, term, lease))
 	if err == nil && !result.Succeeded {
-		err = errors.New("another record stands")
+		err = errors.New("the record was replaced meanwhile")
 	}
 	return err
 }
--- a/election/restore_test.go
+++ b/election/restore_test.go
@@ -11,179 +11,180 @@
 	"github.com/finchspoke/finchspoke/kv"
 )
 
-// recordCopy is the state of a store at a moment.
-type recordCopy struct {
-	pair  kv.Pair
-	held  bool
-	count int64
+// storeBackup is the state of a store at a point in time.
+type storeBackup struct {
+	pair    kv.Pair
+	present bool
+	count   int64
 }
 
-func (r *oneRecord) copied() recordCopy {
+func (r *recordStore) backup() storeBackup {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return recordCopy{r.pair, r.held, kv.CountOf(r.revision)}
+	return storeBackup{r.pair, r.present, kv.CountOf(r.revision)}
 }
 
-// restore makes the store go on from a copy in its next era; the lease of the record in it runs anew.
-func (r *oneRecord) restore(from recordCopy) {
+// restore makes the store continue from a backup in its next era; the lease of the restored record
+// starts anew.
+func (r *recordStore) restore(from storeBackup) {
 	r.mutex.Lock()
 	era := kv.EraOf(r.revision) + 1
 	if r.expiry != nil {
 		r.expiry.Stop()
 	}
 	r.revision = kv.RevisionIn(era, from.count)
-	r.pair, r.held = from.pair, from.held
+	r.pair, r.present = from.pair, from.present
 	r.pair.ModRevision = kv.RevisionIn(era, kv.CountOf(from.pair.ModRevision))
 	r.lease = kv.LeaseID{}
 	event := kv.Event{Pair: r.pair}
-	if r.held {
+	if r.present {
 		r.expiry = time.AfterFunc(testTTL, r.remove)
 	} else {
 		event = kv.Event{Pair: kv.Pair{Key: testKey, ModRevision: r.revision}, Deleted: true}
 	}
 	r.mutex.Unlock()
-	r.tell(event)
+	r.notify(event)
 }
 
-func TestAHolderWhoseRecordARestoreTookAwayTakesItsTermUpAgain(t *testing.T) {
+func TestLeaderReclaimsTermLostInRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &oneRecord{silent: map[string]bool{}}
-		nothing := store.copied()
-		made := electionsAt(t, store, nil, "a", "b", "c")
+		store := &recordStore{unreachable: map[string]bool{}}
+		nothing := store.backup()
+		elections := startElectionsAt(t, store, nil, "a", "b", "c")
 		time.Sleep(time.Second)
-		held := holders(made)
-		require.Len(t, held, 1)
-		before, _ := made[held[0]].Term()
+		leading := leaders(elections)
+		require.Len(t, leading, 1)
+		before, _ := elections[leading[0]].Term()
 		store.restore(nothing)
 		time.Sleep(10 * time.Millisecond)
-		require.Equal(t, held, holders(made))
-		after, standing := made[held[0]].Term()
-		require.Equal(t, Sure, standing)
+		require.Equal(t, leading, leaders(elections))
+		after, status := elections[leading[0]].Term()
+		require.Equal(t, TermValid, status)
 		require.Greater(t, after, before)
-		require.True(t, made[held[0]].Reclaimed(), "no other holder's orders can be recent")
+		require.True(t, elections[leading[0]].Reclaimed(), "no other leader can have sent load orders recently")
 		time.Sleep(3 * testTTL)
-		require.Equal(t, held, holders(made))
+		require.Equal(t, leading, leaders(elections))
 	})
 }
 
-// The service may be restored after it has given a campaign its lease, and the revision that the campaign
-// replaces may be another record's by then.
-func TestACampaignThatARestoreCutInTwoTakesNoTerm(t *testing.T) {
+// The store may be restored between the lease grant and the write of a campaign, and another record
+// may then have the revision that the campaign replaces.
+func TestCampaignInterruptedByRestoreFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &oneRecord{silent: map[string]bool{}}
-		one := New(Config{Key: testKey, Daemon: "a", Address: "a:1", TTL: testTTL}, restoringStore{view{store, "a"}}, quietLog())
-		one.Vacate(0)
+		store := &recordStore{unreachable: map[string]bool{}}
+		one := New(Config{Key: testKey, Daemon: "a", Address: "a:1", TTL: testTTL}, restoringStore{storeView{store, "a"}}, discardLog())
+		one.ObserveAbsent(0)
 		go func() { _ = one.Serve(t.Context()) }()
 		time.Sleep(testTTL)
-		_, standing := one.Term()
-		require.Equal(t, None, standing)
+		_, status := one.Term()
+		require.Equal(t, NoTerm, status)
 	})
 }
 
 // restoringStore is restored before each write.
-type restoringStore struct{ view }
+type restoringStore struct{ storeView }
 
 func (s restoringStore) Commit(ctx context.Context, txn kv.Txn) (kv.TxnResult, error) {
-	s.restore(recordCopy{})
-	return s.view.Commit(ctx, txn)
+	s.restore(storeBackup{})
+	return s.storeView.Commit(ctx, txn)
 }
 
-// The mirror had not seen the record that the restore took away, so nothing tells that it is gone.
-func TestATermWhoseRecordWasNeverSeenIsTakenUpAgainAfterARestore(t *testing.T) {
+// The restore removed a record that the mirror had not received, so no deletion is observed.
+func TestUnobservedTermIsReclaimedAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &oneRecord{silent: map[string]bool{}}
-		nothing := store.copied()
-		one := New(Config{Key: testKey, Daemon: "a", Address: "a:1", TTL: testTTL}, view{store, "a"}, quietLog())
-		one.Vacate(0)
+		store := &recordStore{unreachable: map[string]bool{}}
+		nothing := store.backup()
+		one := New(Config{Key: testKey, Daemon: "a", Address: "a:1", TTL: testTTL}, storeView{store, "a"}, discardLog())
+		one.ObserveAbsent(0)
 		go func() { _ = one.Serve(t.Context()) }()
 		time.Sleep(testTTL)
-		before, standing := one.Term()
-		require.Equal(t, Sure, standing)
-		store.restore(nothing) // tells nobody
-		one.Vacate(kv.RevisionIn(1, 0))
+		before, status := one.Term()
+		require.Equal(t, TermValid, status)
+		store.restore(nothing) // without an event
+		one.ObserveAbsent(kv.RevisionIn(1, 0))
 		time.Sleep(10 * time.Millisecond)
-		after, standing := one.Term()
-		require.Equal(t, Sure, standing)
+		after, status := one.Term()
+		require.Equal(t, TermValid, status)
 		require.Greater(t, after, before)
 	})
 }
 
-// A holder that has not heard of the restore counts on its lease, though the service has lost it.
-func TestATermThatARestoreTookAwayIsNotTakenWhileItsHolderIsSure(t *testing.T) {
+// A leader that does not know of the restore relies on its lease, although the store has lost it.
+func TestTermLostInRestoreStaysClosedWhileItsLeaseIsValid(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &oneRecord{silent: map[string]bool{}}
-		nothing := store.copied()
-		made := electionsAt(t, store, nil, "a", "b", "c")
+		store := &recordStore{unreachable: map[string]bool{}}
+		nothing := store.backup()
+		elections := startElectionsAt(t, store, nil, "a", "b", "c")
 		time.Sleep(time.Second)
-		cutOff := holders(made)[0]
+		partitioned := leaders(elections)[0]
 		store.mutex.Lock()
-		store.silent[cutOff] = true
+		store.unreachable[partitioned] = true
 		store.mutex.Unlock()
 		store.restore(nothing)
 		for range 200 {
 			time.Sleep(testTTL / 100)
-			_, standing := made[cutOff].Term()
-			for name, one := range made {
-				if _, other := one.Term(); name != cutOff && other != None {
-					require.NotEqual(t, Sure, standing, "%s took the term of %s", name, cutOff)
+			_, status := elections[partitioned].Term()
+			for name, one := range elections {
+				if _, other := one.Term(); name != partitioned && other != NoTerm {
+					require.NotEqual(t, TermValid, status, "%s took the term of %s", name, partitioned)
 				}
 			}
 		}
-		require.Len(t, holders(made), 2, "the one that is cut off, and the next")
+		require.Len(t, leaders(elections), 2, "the partitioned leader and its successor")
 	})
 }
 
-// A restore brings back the record, or the offer, of whoever held the term before the one that holds it.
-func TestAnEarlierHoldersRecordThatARestoreBroughtBackIsReplaced(t *testing.T) {
-	for name, offered := range map[string]bool{"its record": false, "its offer": true} {
+// A restore may bring back the record or offer of an earlier leader.
+func TestRestoredRecordOfEarlierLeaderIsReplaced(t *testing.T) {
+	for name, offered := range map[string]bool{"record": false, "offer": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				store := &oneRecord{silent: map[string]bool{}}
-				made := electionsAt(t, store, map[string]bool{"a": true}, "a", "b", "c")
+				store := &recordStore{unreachable: map[string]bool{}}
+				elections := startElectionsAt(t, store, map[string]bool{"a": true}, "a", "b", "c")
 				time.Sleep(time.Second)
-				require.Equal(t, []string{"a"}, holders(made))
-				earlier := store.copied()
-				made["a"].Resign(t.Context(), func() Handover { return Handover{} })
+				require.Equal(t, []string{"a"}, leaders(elections))
+				earlier := store.backup()
+				elections["a"].Resign(t.Context(), func() Handover { return Handover{} })
 				if offered {
-					earlier = store.copied()
+					earlier = store.backup()
 				}
 				time.Sleep(testTTL)
-				next := holders(made)
+				next := leaders(elections)
 				require.Len(t, next, 1)
-				before, _ := made[next[0]].Term()
+				before, _ := elections[next[0]].Term()
 
-				again := New(Config{Key: testKey, Daemon: "a", Address: "a:2", TTL: testTTL}, view{store, "a"}, quietLog())
+				restarted := New(Config{Key: testKey, Daemon: "a", Address: "a:2", TTL: testTTL}, storeView{store, "a"}, discardLog())
 				store.mutex.Lock()
-				store.told = append(store.told, again) // a process that starts as the copy comes back
+				store.observers = append(store.observers, restarted) // a process that starts during the restore
 				store.mutex.Unlock()
-				made["a"] = again
+				elections["a"] = restarted
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
-				go func() { _ = again.Serve(ctx) }()
+				go func() { _ = restarted.Serve(ctx) }()
 				store.restore(earlier)
 				time.Sleep(10 * time.Millisecond)
-				require.Equal(t, next, holders(made))
-				after, _ := made[next[0]].Term()
+				require.Equal(t, next, leaders(elections))
+				after, _ := elections[next[0]].Term()
 				require.Greater(t, after, before)
 			})
 		})
 	}
 }
 
-// Whoever held the term is lost with the record: the one that came back is replaced once its time is over.
-func TestARecordThatARestoreBroughtBackStandsForALeaseAtMost(t *testing.T) {
+// If the leader is lost with its record, the restored record is replaced after one TTL.
+func TestRestoredRecordExpiresAfterOneTTL(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &oneRecord{silent: map[string]bool{}}
-		made := electionsAt(t, store, map[string]bool{"a": true}, "a", "b")
+		store := &recordStore{unreachable: map[string]bool{}}
+		elections := startElectionsAt(t, store, map[string]bool{"a": true}, "a", "b")
 		time.Sleep(time.Second)
-		earlier := store.copied()
+		earlier := store.backup()
 		store.mutex.Lock()
-		store.silent["a"] = true
+		store.unreachable["a"] = true
 		store.mutex.Unlock()
 		store.restore(earlier)
 		time.Sleep(2 * testTTL)
-		fence, standing := made["b"].Term()
-		require.Equal(t, Sure, standing)
+		fence, status := elections["b"].Term()
+		require.Equal(t, TermValid, status)
 		require.EqualValues(t, 1, kv.EraOf(fence))
 	})
 }
--- a/limiter/bench_test.go
+++ b/limiter/bench_test.go
@@ -22,7 +22,7 @@
 		b.Run(fmt.Sprintf("%d daemons", daemons), func(b *testing.B) {
 			log, _ := test.NewNullLogger()
 			held := &Server{
-				Bounds: testBounds, Table: &routing.Store{}, Term: func() (int64, election.Standing) { return 1, election.Sure },
+				Bounds: testBounds, Table: &routing.Store{}, Term: func() (int64, election.TermStatus) { return 1, election.TermValid },
 				First: func() bool { return true }, Reached: func() float64 { return 1 }, LimitOf: func(string) float64 { return 1 }, Log: log,
 			}
 			held.Begin()
--- a/limiter/client.go
+++ b/limiter/client.go
@@ -41,7 +41,7 @@
 type Client struct {
 	Bounds quota.Bounds
 	// Holder returns the address of the holder; empty: none is known.
-	Holder func() string
+	Leader func() string
 	// Needed tells whether a tenant has a limit; nil: one has. Where none has, a thousand daemons
 	// need no stream to the holder.
 	Needed func() bool
@@ -115,7 +115,7 @@
 		if !isNeeded {
 			c.notNeeded()
 		}
-		if address := c.Holder(); address != "" && isNeeded {
+		if address := c.Leader(); address != "" && isNeeded {
 			answered, err := c.borrow(ctx, address)
 			if answered {
 				pause = connectPause
@@ -216,7 +216,7 @@
 
 // unfit tells why the holder at an address is not to be asked any more; nil: it is.
 func (c *Client) unfit(address string) error {
-	if c.Holder() != address {
+	if c.Leader() != address {
 		return errOther
 	}
 	c.mutex.Lock()
--- a/limiter/owner.go
+++ b/limiter/owner.go
@@ -17,7 +17,7 @@
 func (s *Server) Begin() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if term, standing := s.Term(); term != 0 && standing == election.Sure {
+	if term, standing := s.Term(); term != 0 && standing == election.TermValid {
 		s.refresh(term, s.now())
 	}
 }
@@ -51,12 +51,12 @@
 // What is given out is the part of the limit of those daemons that reach this one: the others use their
 // own shares, or ask another holder. So a holder that can't reach the key-value service goes on, and two
 // that believe in their terms at the same time together give out no more than the limit.
-func (s *Server) askBook(ask permit.Ask, standing election.Standing, now time.Time) permit.Answer {
+func (s *Server) askBook(ask permit.Ask, standing election.TermStatus, now time.Time) permit.Answer {
 	reached := 1.0
 	if s.Reached != nil {
 		reached = s.Reached()
 	}
-	if standing == election.Unsure || reached <= 0 {
+	if standing == election.TermUncertain || reached <= 0 {
 		return permit.Answer{RetryIn: unsureReturn}
 	}
 	return s.book.Ask(s.turnAsked(ask), reached, now)
@@ -74,7 +74,7 @@
 }
 
 // answerPermit answers a question for a permit; the mutex is held.
-func (s *Server) answerPermit(id uint64, asked *rpc.PermitQuestion, standing election.Standing, now time.Time) *rpc.QuotaAnswer {
+func (s *Server) answerPermit(id uint64, asked *rpc.PermitQuestion, standing election.TermStatus, now time.Time) *rpc.QuotaAnswer {
 	ask := permit.Ask{
 		Replica: asked.GetReplica().Incarnation(), PerSecond: asked.GetPerSecond(),
 		Priority: int(asked.GetPriority()), Patience: time.Duration(asked.GetPatienceMs()) * time.Millisecond,
--- a/limiter/permits_test.go
+++ b/limiter/permits_test.go
@@ -34,7 +34,7 @@
 	log, _ := test.NewNullLogger()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	made := &owner{term: &term{fence: 1, standing: election.Sure}, address: listener.Addr().String(), first: first}
+	made := &owner{term: &term{fence: 1, standing: election.TermValid}, address: listener.Addr().String(), first: first}
 	made.reached.Store(100)
 	made.Server = &Server{
 		Bounds: testBounds, Table: &routing.Store{}, Term: made.get, First: func() bool { return first },
@@ -117,10 +117,10 @@
 	_, _ = client.AskPermit(t.Context(), permitAsk(1, 0))
 	_, none := client.AskPermit(t.Context(), permitAsk(1, 0))
 	require.InDelta(t, 2, none.RetryIn.Seconds(), 0.1)
-	held.set(1, election.Blind)
+	held.set(1, election.TermStoreUnreachable)
 	_, none = client.AskPermit(t.Context(), permitAsk(1, 0))
 	require.Greater(t, none.RetryIn, 2*time.Second, "it goes on without the key-value service")
-	held.set(1, election.Unsure)
+	held.set(1, election.TermUncertain)
 	refused, none := client.AskPermit(t.Context(), permitAsk(1, time.Second))
 	require.Nil(t, refused, "another may have begun")
 	require.Equal(t, unsureReturn, none.RetryIn)
@@ -160,7 +160,7 @@
 	var daemons atomic.Int64
 	client.Daemons = func() int { return int(daemons.Load()) }
 	ask := permitAsk(1000, 10*time.Millisecond)
-	held.set(0, election.None)
+	held.set(0, election.NoTerm)
 	require.Eventually(t, func() bool {
 		none, _ := client.AskPermit(t.Context(), ask)
 		return none == nil
@@ -198,7 +198,7 @@
 	held := startOwner(t, true)
 	held.Begin()
 	for _, asked := range []*rpc.PermitQuestion{{}, {PerSecond: -1}, {PatienceMs: -5}} {
-		require.False(t, held.answerPermit(7, asked, election.Sure, time.Now()).GetGranted())
+		require.False(t, held.answerPermit(7, asked, election.TermValid, time.Now()).GetGranted())
 	}
 	held.ledger.Heard("d1", time.Now())
 	held.book.Return(fleet.Incarnation{})
@@ -231,7 +231,7 @@
 	var needed, passed atomic.Int64
 	needed.Store(1)
 	log, _ := test.NewNullLogger()
-	client := &Client{Bounds: testBounds, Holder: func() string { return held.address }, Needed: func() bool { return needed.Load() == 1 },
+	client := &Client{Bounds: testBounds, Leader: func() string { return held.address }, Needed: func() bool { return needed.Load() == 1 },
 		Now: func() time.Time { return time.Now().Add(time.Duration(passed.Load())) }, Log: log}
 	client.Prepare()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/limiter/server.go
+++ b/limiter/server.go
@@ -25,7 +25,7 @@
 	Bounds quota.Bounds
 	Table  *routing.Store
 	// Term returns the fence of this daemon's term, and how sure it is.
-	Term func() (fence int64, standing election.Standing)
+	Term func() (fence int64, standing election.TermStatus)
 	// First tells that no daemon can have held the term before.
 	First func() bool
 	// Now is the clock of credit and limits; nil: time.Now.
@@ -83,7 +83,7 @@
 	// The lease is looked at under the mutex, so that nothing is granted after a pause in
 	// which it ran out.
 	term, standing := s.Term()
-	unsure := standing == election.Blind || standing == election.Unsure
+	unsure := standing == election.TermStoreUnreachable || standing == election.TermUncertain
 	if term == 0 || fence != 0 && fence != term || unsure && term != s.fence {
 		return nil, errNotHolding
 	}
--- a/loader/demand.go
+++ b/loader/demand.go
@@ -41,7 +41,7 @@
 }
 
 // demandOf sums the demand of all daemons; the mutex is held.
-func (h *Holder) demandOf(now time.Time) map[demand.Key]loading.Demand {
+func (h *Leader) demandOf(now time.Time) map[demand.Key]loading.Demand {
 	total := map[demand.Key]loading.Demand{}
 	for key, arrivals := range h.rates {
 		arrivals.decay(now)
--- a/loader/directories.go
+++ b/loader/directories.go
@@ -52,7 +52,7 @@
 
 // refreshDirectories names directories where there are too many replicas for every daemon to know
 // them; the mutex is held.
-func (h *Holder) refreshDirectories(now time.Time) {
+func (h *Leader) refreshDirectories(now time.Time) {
 	if h.TooManyReplicas == nil || now.Sub(h.directories.lookedAt) < directoriesPause || !h.mostAttached(now) {
 		return
 	}
@@ -101,7 +101,7 @@
 
 // mostAttached tells whether the term is old enough for directories to be named: most of the daemons
 // that the last holder had have attached. The mutex is held.
-func (h *Holder) mostAttached(now time.Time) bool {
+func (h *Leader) mostAttached(now time.Time) bool {
 	age := now.Sub(h.yields.began)
 	if h.FirstStart && !h.others.Load() {
 		return true // there was no holder before
@@ -116,7 +116,7 @@
 func (d *directories) isDecided() bool { return !d.lookedAt.IsZero() }
 
 // listeners returns how many daemons are told what is loaded on each replica; the mutex is held.
-func (h *Holder) listeners() int {
+func (h *Leader) listeners() int {
 	if h.TooManyReplicas == nil || !h.TooManyReplicas() {
 		return h.attached
 	}
@@ -125,7 +125,7 @@
 
 // chooseDirectories picks the daemons that know all replicas: those that were picked before, those
 // that know them already, then the strongest, spread over the zones. The mutex is held.
-func (h *Holder) chooseDirectories() map[string]bool {
+func (h *Leader) chooseDirectories() map[string]bool {
 	var able []string
 	for id, known := range h.daemons {
 		if id != h.Daemon && known.address != "" && known.detached.IsZero() {
--- a/loader/directories_test.go
+++ b/loader/directories_test.go
@@ -17,13 +17,13 @@
 
 // largeFleet is a holder before so many replicas that not every daemon knows them.
 type largeFleet struct {
-	*Holder
+	*Leader
 	isLarge bool
 	now     time.Time
 }
 
 func newLargeFleet(daemons int) *largeFleet {
-	made := &largeFleet{Holder: &Holder{Daemon: "holder", Address: "holder:1", Fleet: emptyFleet(), Log: discarding()}, isLarge: true, now: time.Now()}
+	made := &largeFleet{Leader: &Leader{Daemon: "holder", Address: "holder:1", Fleet: emptyFleet(), Log: discarding()}, isLarge: true, now: time.Now()}
 	made.TooManyReplicas = func() bool { return made.isLarge }
 	made.Prepare()
 	made.yields.termBegan(made.now)
@@ -190,7 +190,7 @@
 	routes := &routing.Store{}
 	routes.Put(table)
 	replicas := reportingReplicas{recordingReplicas{orders: make(chan loading.Order, 10)}, make(chan string, 100)}
-	holder := &Holder{
+	holder := &Leader{
 		Daemon: "d1", Fleet: emptyFleet(), Table: routes, Replicas: replicas, Election: made,
 		Metrics: NewMetrics(prometheus.NewRegistry()), Log: log, FirstStart: true, TooManyReplicas: func() bool { return true },
 		Limits: Limits{Window: 5 * time.Second, Slack: 1, Extra: 3},
--- a/loader/follower.go
+++ b/loader/follower.go
@@ -31,7 +31,7 @@
 	Daemon string
 	Demand *demand.Tracker
 	Fleet  *fleet.Directory
-	Holder *Holder // of this daemon, told of orders that others gave
+	Leader *Leader // of this daemon, told of orders that others gave
 	// Daemons is told how many daemons are attached to the holder.
 	Daemons func(int)
 	// KnowsReplicas tells whether this daemon knows all replicas, and is told what is loaded on each;
@@ -46,7 +46,7 @@
 	TermDelay time.Duration
 	Log       logrus.FieldLogger
 	mutex     sync.Mutex
-	current   election.Holder
+	current   election.Leader
 	changed   chan struct{}
 	news      chan struct{} // holds an element while there is something to be told at once
 	attached  atomic.Bool
@@ -59,7 +59,7 @@
 func (f *Follower) Prepare() { f.changed, f.news = make(chan struct{}), make(chan struct{}, 1) }
 
 // HolderChanged takes in who holds the orders now.
-func (f *Follower) HolderChanged(holder election.Holder) {
+func (f *Follower) HolderChanged(holder election.Leader) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	// A record that went away leaves the last holder in place: while the service
@@ -72,7 +72,7 @@
 	f.changed = make(chan struct{})
 }
 
-func (f *Follower) holder() (election.Holder, <-chan struct{}) {
+func (f *Follower) holder() (election.Leader, <-chan struct{}) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.current, f.changed
@@ -94,7 +94,7 @@
 		}
 		err := f.attach(ctx, holder, changed)
 		if ctx.Err() == nil {
-			f.Log.WithFields(logrus.Fields{logging.Dependency: "order holder", logging.Holder: holder.Daemon, logging.Fence: holder.Fence,
+			f.Log.WithFields(logrus.Fields{logging.Dependency: "order holder", logging.Leader: holder.Daemon, logging.Fence: holder.Fence,
 				logging.Cause: err.Error()}).Info(logging.MessageDependencyLost)
 			sleep.For(ctx, attachPause)
 		}
@@ -105,7 +105,7 @@
 var errHolderChanged = errors.New("the holder changed")
 
 // attach keeps a stream to a holder until it breaks or another holder is known.
-func (f *Follower) attach(ctx context.Context, holder election.Holder, changed <-chan struct{}) error {
+func (f *Follower) attach(ctx context.Context, holder election.Leader, changed <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	conn, err := transport.Dial(ctx, holder.Address)
@@ -124,7 +124,7 @@
 		return err
 	}
 	sent.learns(first.GetKnowsReplicas())
-	f.Log.WithFields(logrus.Fields{logging.Dependency: "order holder", logging.Holder: holder.Daemon, logging.Fence: holder.Fence}).Info(logging.MessageDependencyRegained)
+	f.Log.WithFields(logrus.Fields{logging.Dependency: "order holder", logging.Leader: holder.Daemon, logging.Fence: holder.Fence}).Info(logging.MessageDependencyRegained)
 	f.attached.Store(true)
 	defer f.attached.Store(false)
 	failed := make(chan error, 2)
@@ -228,7 +228,7 @@
 		now := time.Now()
 		// A daemon that is not told what is loaded does not know when the last order was given.
 		if view.GetFence() > 0 && (len(view.GetReplicas()) > 0 || !f.knowsReplicas()) {
-			f.Holder.OrderSeen(now)
+			f.Leader.OrderSeen(now)
 		}
 		f.Daemons(int(view.GetDaemons()))
 		if directories := view.GetDirectories(); directories != nil && f.Directories != nil {
--- a/loader/holder.go
+++ b/loader/holder.go
@@ -97,7 +97,7 @@
 
 // Holder is the state of a term. It exists in every daemon and works in the one
 // that holds the term.
-type Holder struct {
+type Leader struct {
 	Daemon   string
 	Fleet    *fleet.Directory
 	Table    *routing.Store
@@ -160,7 +160,7 @@
 }
 
 // Prepare makes the holder ready for use.
-func (h *Holder) Prepare() {
+func (h *Leader) Prepare() {
 	h.started = time.Now()
 	h.wake = make(chan struct{}, 1)
 	h.changed = make(chan struct{})
@@ -172,7 +172,7 @@
 
 // reset forgets what an earlier term knew of the replicas; the mutex is held, or
 // nobody else has the holder yet.
-func (h *Holder) reset(fence int64, begins time.Time) {
+func (h *Leader) reset(fence int64, begins time.Time) {
 	h.fence, h.begins = fence, begins
 	h.states, h.ids = map[string]*loading.Replica{}, nil
 	h.registry.all()
@@ -190,7 +190,7 @@
 }
 
 // notify wakes the streams that tell daemons what is loaded; the mutex is held.
-func (h *Holder) notify() {
+func (h *Leader) notify() {
 	h.version++
 	h.views = map[uint64]*rpc.LoadsView{}
 	close(h.changed)
@@ -198,7 +198,7 @@
 }
 
 // Wake makes the holder decide soon.
-func (h *Holder) Wake() {
+func (h *Leader) Wake() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
@@ -206,10 +206,10 @@
 }
 
 // String names the service in the supervisor's events.
-func (h *Holder) String() string { return "load-order-holder" }
+func (h *Leader) String() string { return "load-order-holder" }
 
 // Serve implements suture.Service.
-func (h *Holder) Serve(ctx context.Context) error {
+func (h *Leader) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		began := time.Now()
 		h.turn(ctx, began)
@@ -226,7 +226,7 @@
 }
 
 // untilNext returns how long the holder may rest when nothing wakes it.
-func (h *Holder) untilNext(now time.Time) time.Duration {
+func (h *Leader) untilNext(now time.Time) time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.next.IsZero() {
@@ -236,7 +236,7 @@
 }
 
 // turn is one round of decisions.
-func (h *Holder) turn(ctx context.Context, now time.Time) {
+func (h *Leader) turn(ctx context.Context, now time.Time) {
 	fence, standing := h.Election.Term()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -248,7 +248,7 @@
 	if fence == 0 || h.Table.Current() == nil {
 		return
 	}
-	if standing == election.Sure {
+	if standing == election.TermValid {
 		h.refreshDirectories(now)
 	}
 	if h.KnowsReplicas != nil && !h.KnowsReplicas() {
@@ -259,7 +259,7 @@
 	if !h.mayOrder(standing, now) {
 		return
 	}
-	if h.yields.due(now) && standing == election.Sure && h.strongerAttached(now) && h.Election.Yielding() {
+	if h.yields.due(now) && standing == election.TermValid && h.strongerAttached(now) && h.Election.BeginHandover() {
 		h.yield(ctx, now)
 		return
 	}
@@ -273,7 +273,7 @@
 }
 
 // beginTerm starts a term, or ends one; the mutex is held.
-func (h *Holder) beginTerm(fence int64, now time.Time) {
+func (h *Leader) beginTerm(fence int64, now time.Time) {
 	if fence == 0 {
 		h.reset(fence, h.begins) // what is handed over stays known
 		return
@@ -289,7 +289,7 @@
 		begins = h.begins // the distance that this daemon's term before was to keep
 	case reclaimed:
 	case inherited != nil:
-		begins = inherited.Begins
+		begins = inherited.NotBefore
 		h.ordered.inherited = inherited.LastOrders
 	case !h.lastOrder.IsZero():
 		begins = h.lastOrder.Add(h.Limits.TermGap)
@@ -309,13 +309,13 @@
 // holders it knows nothing of: it gave no order that theirs could have come between, and the
 // replicas refuse what an earlier holder may still send. After a loss of all daemons the first
 // orders went out three seconds later than they could.
-func (h *Holder) justStarted(now time.Time) bool {
+func (h *Leader) justStarted(now time.Time) bool {
 	return h.Limits.FencesChecked && now.Sub(h.started) < time.Duration(freshShare*float64(h.Limits.TermGap))
 }
 
 // OrderSeen notes that a holder of orders was at work just now, which a later
 // holder has to keep a distance from.
-func (h *Holder) OrderSeen(now time.Time) {
+func (h *Leader) OrderSeen(now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.lastOrder = now
@@ -323,13 +323,13 @@
 
 // FirstOfAll tells that no holder can have been at work before this daemon's term: the whole
 // system has just started, and none was heard of.
-func (h *Holder) FirstOfAll() bool { return h.FirstStart && !h.others.Load() }
+func (h *Leader) FirstOfAll() bool { return h.FirstStart && !h.others.Load() }
 
 // OtherHeld notes that another daemon held the term.
-func (h *Holder) OtherHeld() { h.others.Store(true) }
+func (h *Leader) OtherHeld() { h.others.Store(true) }
 
 // Informed tells whether this daemon has heard from a holder of orders.
-func (h *Holder) Informed() bool {
+func (h *Leader) HasLeaderHistory() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.FirstStart || !h.lastOrder.IsZero()
@@ -338,18 +338,18 @@
 // mayOrder tells whether orders may be given: under a lease that holds, or while
 // the service is silent and most daemons are still attached, so that no other
 // holder can be at work; the mutex is held.
-func (h *Holder) mayOrder(standing election.Standing, now time.Time) bool {
+func (h *Leader) mayOrder(standing election.TermStatus, now time.Time) bool {
 	switch standing {
-	case election.Sure:
+	case election.TermValid:
 		return true
-	case election.Blind:
+	case election.TermStoreUnreachable:
 		return 2*h.attached >= h.attachedMax
 	}
 	return false
 }
 
 // refreshStates takes in what the registry says of replicas that changed there; the mutex is held.
-func (h *Holder) refreshStates(now time.Time) {
+func (h *Leader) refreshStates(now time.Time) {
 	table := h.Table.Current()
 	changed, all := h.registry.take(table)
 	if all {
@@ -367,7 +367,7 @@
 }
 
 // refreshState takes in what the registry says of a replica; the mutex is held.
-func (h *Holder) refreshState(id string, table *routing.Table, now time.Time) {
+func (h *Leader) refreshState(id string, table *routing.Table, now time.Time) {
 	entry, listed := h.Fleet.Entry(id)
 	service := table.Service(entry.Service)
 	if !listed || service == nil || service.Engine == nil {
@@ -405,7 +405,7 @@
 }
 
 // snapshot joins what is known into the input of a decision; the mutex is held.
-func (h *Holder) snapshot(now time.Time) loading.Snapshot {
+func (h *Leader) snapshot(now time.Time) loading.Snapshot {
 	snapshot := loading.Snapshot{Now: now, Services: map[string]*routing.Engine{}, Demand: h.demandOf(now)}
 	perSecond, longest := 0.0, time.Duration(0)
 	h.Table.Current().Services(func(service *routing.Service) {
--- a/loader/holder_test.go
+++ b/loader/holder_test.go
@@ -58,12 +58,12 @@
 	t.Helper()
 	made := election.New(election.Config{Key: "term", Daemon: "d1", Address: "a:1", TTL: 3 * time.Second}, grantingStore{}, log)
 	began := make(chan struct{})
-	made.Listen(func(holder election.Holder) {
+	made.AddListener(func(holder election.Leader) {
 		if holder.Nonce != "" {
 			close(began)
 		}
 	})
-	made.Vacate(0)
+	made.ObserveAbsent(0)
 	go func() { _ = made.Serve(t.Context()) }()
 	<-began
 	return made
@@ -74,7 +74,7 @@
 func TestATermThatBeginsBeforeATableIsKnownWaitsForIt(t *testing.T) {
 	log := discarding()
 	made := elected(t, log)
-	holder := &Holder{
+	holder := &Leader{
 		Daemon: "d1", Fleet: emptyFleet(), Table: &routing.Store{}, Replicas: silentReplicas{},
 		Election: made, Metrics: NewMetrics(prometheus.NewRegistry()), Log: log, FirstStart: true,
 	}
@@ -107,7 +107,7 @@
 	directory := emptyFleet()
 	directory.Put(fleet.Entry{ID: "r1", Service: "press", Address: "b:1"}, time.Now())
 	replicas := recordingReplicas{orders: make(chan loading.Order, 10)}
-	holder := &Holder{
+	holder := &Leader{
 		Daemon: "d1", Fleet: directory, Table: routes, Replicas: replicas,
 		Election: made, Metrics: NewMetrics(prometheus.NewRegistry()), Log: log, FirstStart: true,
 	}
@@ -129,13 +129,13 @@
 	}, time.Second, time.Millisecond, "done tells that it is loaded")
 
 	holder.states["r1"] = underWay()
-	made.Deposed("a test")
+	made.StepDown("a test")
 	holder.turn(t.Context(), time.Now())
 	require.Empty(t, replicas.orders)
 }
 
 // orderingHolder returns a holder that is to load a model, with the replicas that hear its orders.
-func orderingHolder(t *testing.T) (*Holder, reportingReplicas) {
+func orderingHolder(t *testing.T) (*Leader, reportingReplicas) {
 	t.Helper()
 	log := discarding()
 	table, err := routing.NewTable(routing.Revision{Version: 1, Services: []*routing.Service{{Name: "press", Engine: &routing.Engine{
@@ -145,7 +145,7 @@
 	routes := &routing.Store{}
 	routes.Put(table)
 	replicas := reportingReplicas{recordingReplicas{orders: make(chan loading.Order, 10)}, make(chan string, 10)}
-	holder := &Holder{
+	holder := &Leader{
 		Daemon: "d1", Fleet: emptyFleet(), Table: routes, Replicas: replicas, Election: elected(t, log),
 		Metrics: NewMetrics(prometheus.NewRegistry()), Log: log, FirstStart: true, Limits: Limits{Window: 5 * time.Second, Slack: 1, Extra: 3},
 	}
--- a/loader/leaving_test.go
+++ b/loader/leaving_test.go
@@ -10,8 +10,8 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-func leavingHolder(now time.Time) *Holder {
-	holder := &Holder{Fleet: emptyFleet(), Log: discarding()}
+func leavingHolder(now time.Time) *Leader {
+	holder := &Leader{Fleet: emptyFleet(), Log: discarding()}
 	for _, id := range []string{"r1", "r2"} {
 		holder.Fleet.Put(fleet.Entry{ID: id, Service: "press", Address: id + ":1"}, now)
 	}
--- a/loader/limits.go
+++ b/loader/limits.go
@@ -15,7 +15,7 @@
 // The other daemons have to know, or each would send what it had sent before until it met an answer that
 // names the limit. What this daemon's own requests heard comes by its own stream, as from any other; its
 // directory then knows it before, so what counts as news is what the others were told last.
-func (h *Holder) takeLimits(message *rpc.LoadsDemand, now time.Time) {
+func (h *Leader) takeLimits(message *rpc.LoadsDemand, now time.Time) {
 	var news []fleet.ReplicaLimit
 	for _, message := range message.GetLimits() {
 		told := message.Word(now)
@@ -60,7 +60,7 @@
 }
 
 // retellLimits begins a term with the limits that are known; the mutex is held.
-func (h *Holder) retellLimits() {
+func (h *Leader) retellLimits() {
 	h.limits = newLimitsTold()
 	for _, one := range h.Fleet.WordsOfLimits(false) {
 		h.limits.tell(one, h.version)
@@ -69,7 +69,7 @@
 
 // limitsView lists the replicas of whose limits it came after a version that they changed; the mutex is
 // held.
-func (h *Holder) limitsView(after uint64, now time.Time) (view []*rpc.ReplicaLimit) {
+func (h *Leader) limitsView(after uint64, now time.Time) (view []*rpc.ReplicaLimit) {
 	for _, id := range h.limits.after(after) {
 		if word, said := h.Fleet.WordOfLimit(id); said {
 			view = append(view, rpc.LimitMessage(word, now))
--- a/loader/orders.go
+++ b/loader/orders.go
@@ -14,7 +14,7 @@
 )
 
 // give sends an order; the mutex is held. The answer is taken in later.
-func (h *Holder) give(ctx context.Context, order loading.Order, now time.Time) {
+func (h *Leader) give(ctx context.Context, order loading.Order, now time.Time) {
 	if state := h.states[order.ReplicaID]; state != nil && !state.Known {
 		h.check(ctx, order.ReplicaID, now) // its own word first; the next round decides by it
 		return
@@ -36,7 +36,7 @@
 type applyAnswer func(state *loading.Replica, order loading.Order, answer Answer, err error, now time.Time)
 
 // send sends an order; apply gets the answer, under the mutex.
-func (h *Holder) send(ctx context.Context, entry fleet.Entry, order loading.Order, fence int64, apply applyAnswer) {
+func (h *Leader) send(ctx context.Context, entry fleet.Entry, order loading.Order, fence int64, apply applyAnswer) {
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 		defer cancel()
@@ -46,7 +46,7 @@
 }
 
 // answered takes in what a replica said to an order.
-func (h *Holder) answered(order loading.Order, fence int64, answer Answer, err error, apply applyAnswer) {
+func (h *Leader) answered(order loading.Order, fence int64, answer Answer, err error, apply applyAnswer) {
 	now := time.Now()
 	h.mutex.Lock()
 	h.ordered.note(order.ReplicaID, now) // it may have reached the replica as late as this
@@ -60,12 +60,12 @@
 	h.mutex.Unlock()
 	h.logOrder(order, fence, answer, err)
 	if err == nil && answer == Fenced {
-		h.Election.Deposed("a replica has seen a higher fence")
+		h.Election.StepDown("a replica has seen a higher fence")
 	}
 	h.Wake()
 }
 
-func (h *Holder) apply(state *loading.Replica, order loading.Order, answer Answer, err error, now time.Time) {
+func (h *Leader) apply(state *loading.Replica, order loading.Order, answer Answer, err error, now time.Time) {
 	switch {
 	case answer == Refused && err == nil && state.Awaits(now):
 		state.NotYet(now)
@@ -84,12 +84,12 @@
 }
 
 // touch marks a replica's state as changed; the mutex is held.
-func (h *Holder) touch(id string) {
+func (h *Leader) touch(id string) {
 	h.notify()
 	h.loads.mark(id, h.version)
 }
 
-func (h *Holder) logOrder(order loading.Order, fence int64, answer Answer, err error) {
+func (h *Leader) logOrder(order loading.Order, fence int64, answer Answer, err error) {
 	outcome := answer.String()
 	entry := h.Log.WithFields(logrus.Fields{
 		logging.Replica: order.ReplicaID, logging.Order: order.Verb.String(), logging.Model: order.Target.Model, logging.Adapter: order.Target.Adapter,
@@ -106,7 +106,7 @@
 
 // checkReplicas asks for the reports of replicas of which more must be known; the
 // mutex is held.
-func (h *Holder) checkReplicas(ctx context.Context, now time.Time) {
+func (h *Leader) checkReplicas(ctx context.Context, now time.Time) {
 	for id, state := range h.states {
 		at := state.NextCheck(now)
 		if _, calling := h.calling[id]; calling || state.Draining && state.Known || (state.Known || state.Assumed) && at.IsZero() {
@@ -131,7 +131,7 @@
 
 // ask gives an order again that should have been carried out, to learn whether it was; the
 // mutex is held.
-func (h *Holder) ask(ctx context.Context, order loading.Order, now time.Time) {
+func (h *Leader) ask(ctx context.Context, order loading.Order, now time.Time) {
 	entry, found := h.Fleet.Entry(order.ReplicaID)
 	if !found || !h.mayMessage(h.states[order.ReplicaID], now) {
 		return
@@ -143,7 +143,7 @@
 }
 
 // applyAsked takes in the answer to an order that was given before; the mutex is held.
-func (h *Holder) applyAsked(state *loading.Replica, order loading.Order, answer Answer, err error, now time.Time) {
+func (h *Leader) applyAsked(state *loading.Replica, order loading.Order, answer Answer, err error, now time.Time) {
 	if err == nil && (answer == Accepted || answer == Refused) {
 		state.NotYet(now) // accepted says that it is being carried out
 		return
@@ -152,14 +152,14 @@
 }
 
 // due notes a moment at which the holder has to look again; the mutex is held.
-func (h *Holder) due(at time.Time) {
+func (h *Leader) due(at time.Time) {
 	if h.next.IsZero() || at.Before(h.next) {
 		h.next = at
 	}
 }
 
 // check asks a replica for its report; the mutex is held.
-func (h *Holder) check(ctx context.Context, id string, now time.Time) {
+func (h *Leader) check(ctx context.Context, id string, now time.Time) {
 	entry, found := h.Fleet.Entry(id)
 	if !found || !h.mayMessage(h.states[id], now) {
 		return
@@ -176,7 +176,7 @@
 }
 
 // heard takes in a replica's report.
-func (h *Holder) heard(id string, fence int64, report loading.Report, err error) {
+func (h *Leader) heard(id string, fence int64, report loading.Report, err error) {
 	now := time.Now()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/loader/turns.go
+++ b/loader/turns.go
@@ -20,7 +20,7 @@
 // Orders and questions are messages as requests are: a replica that took one a second got two orders and
 // a question beside nine requests in 4 s. They come after all requests, and a look for the end of a load
 // each 90 ms would use up the limit by itself. What is held back is looked at again when there is a turn.
-func (h *Holder) mayMessage(state *loading.Replica, now time.Time) bool {
+func (h *Leader) mayMessage(state *loading.Replica, now time.Time) bool {
 	if state == nil || state.PerSecond == 0 || h.Turns == nil {
 		return true
 	}
--- a/loader/turns_test.go
+++ b/loader/turns_test.go
@@ -55,7 +55,7 @@
 
 func TestTheShareOfTheDaemonsThatReachTheHolder(t *testing.T) {
 	now := time.Now()
-	holder := &Holder{}
+	holder := &Leader{}
 	require.Zero(t, holder.Reached())
 	note := func(attached int, after time.Duration) float64 {
 		holder.reach.streams = nil
--- a/node/follow.go
+++ b/node/follow.go
@@ -31,7 +31,7 @@
 	n.mirror.SetForwardFilter(func(before, after kv.Pair) bool { return notable(adapters, before, after) })
 	n.mirror.OnLoaded(func() {
 		if _, held := n.mirror.Get(n.config.TermKey); !held {
-			n.election.Vacate(n.mirror.Revision())
+			n.election.ObserveAbsent(n.mirror.Revision())
 		}
 		n.replicas.loaded()
 	})
@@ -114,7 +114,7 @@
 	if address = n.replicas.directory(); address != "" {
 		return address, true
 	}
-	address = n.election.HolderAddress()
+	address = n.election.LeaderAddress()
 	return address, address != n.config.PeerAddress
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -127,7 +127,7 @@
 	quotas      *limiter.Client
 	quarantine  *quarantine.Guard
 	election    *election.Election
-	holder      *loader.Holder
+	holder      *loader.Leader
 	follower    *loader.Follower
 	replicas    *replicaKnowledge
 	peers       *transport.Server
@@ -220,10 +220,10 @@
 	n.registryLog = &registryLog{log: n.log, leading: n.mirror.Leading, now: time.Now}
 	n.election = election.New(election.Config{
 		Key: n.config.TermKey, Daemon: n.config.ID, Address: n.config.PeerAddress, TTL: n.config.LeaseTime,
-		Informed: func() bool { return n.holder.Informed() }, Delay: n.termDelay,
-		Now: boottime.Now, Written: n.mirror.PollNow, // other daemons hear of it from this one
+		HasLeaderHistory: func() bool { return n.holder.HasLeaderHistory() }, CampaignDelay: n.termDelay,
+		Now: boottime.Now, OnWritten: n.mirror.PollNow, // other daemons hear of it from this one
 	}, adapters.Store, n.log)
-	n.holder = &loader.Holder{
+	n.holder = &loader.Leader{
 		Daemon: n.config.ID, Fleet: n.fleet, Table: n.routes, Replicas: replicas.Orders, Election: n.election,
 		Limits: n.config.LoadLimits, Metrics: loader.NewMetrics(n.metrics), Log: n.log, FirstStart: n.config.FirstStart,
 		TermDelay: n.config.TermDelay, Address: n.config.PeerAddress, TooManyReplicas: n.mirror.TooManyReplicas, KnowsReplicas: func() bool { return n.replicas.all() },
@@ -231,11 +231,11 @@
 	}
 	n.holder.Prepare()
 	n.replicas = newReplicaKnowledge(n)
-	n.follower = &loader.Follower{Daemon: n.config.ID, Demand: tracker, Fleet: n.fleet, Holder: n.holder, Log: n.log, Daemons: requests.ShareRetries,
+	n.follower = &loader.Follower{Daemon: n.config.ID, Demand: tracker, Fleet: n.fleet, Leader: n.holder, Log: n.log, Daemons: requests.ShareRetries,
 		TermDelay: n.config.TermDelay, KnowsReplicas: n.replicas.all, Directories: n.replicas.setDirectories, Address: n.config.PeerAddress, Zone: n.config.Zone}
 	n.follower.Prepare()
 	requests.OrdersGiven = n.follower.Attached
-	n.election.Listen(func(holder election.Holder) {
+	n.election.AddListener(func(holder election.Leader) {
 		n.follower.HolderChanged(holder)
 		if holder.Daemon != n.config.ID {
 			n.holder.OtherHeld()
@@ -250,7 +250,7 @@
 	n.quarantine.Prepare()
 	requests.Quarantine = n.quarantine
 	n.follow(adapters)
-	n.quotas = &limiter.Client{Bounds: n.config.Quotas, Holder: n.election.HolderAddress, Needed: n.needsQuotas, Now: boottime.Now,
+	n.quotas = &limiter.Client{Bounds: n.config.Quotas, Leader: n.election.LeaderAddress, Needed: n.needsQuotas, Now: boottime.Now,
 		Daemons: requests.Daemons, Count: newPermitCounts(n.metrics), Log: n.log}
 	n.quotas.Prepare()
 	requests.Limits, requests.Permits = n.quotas, n.quotas
--- a/node/replicas.go
+++ b/node/replicas.go
@@ -97,7 +97,7 @@
 	k.mutex.Lock()
 	known := k.addresses
 	k.mutex.Unlock()
-	holder := k.node.election.HolderAddress()
+	holder := k.node.election.LeaderAddress()
 	if len(known) == 0 && holder != "" {
 		return []string{holder}
 	}
@@ -144,7 +144,7 @@
 	peers := slices.Clone(k.addresses)
 	k.mutex.Unlock()
 	others := k.node.otherSeeds()
-	if holder := k.node.election.HolderAddress(); holder != "" {
+	if holder := k.node.election.LeaderAddress(); holder != "" {
 		others = append([]string{holder}, others...)
 	}
 	for _, seed := range others {
