--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -1,9 +1,8 @@
-// Package boottime tells the time for what must not outlast a moment elsewhere: leases, proofs
-// of age and credit.
+// Package boottime provides a clock for leases, verification ages and prepaid allowances, which
+// must not outlast a point in time on other machines.
 //
-// Go's monotonic clock stands still while a machine is suspended, and other machines' clocks do
-// not. A lease of two seconds would be held for two more after a suspension, however long that
-// was. The time of day counts a suspension, but jumps.
+// Go's monotonic clock stops while the machine is suspended, so a lease would be extended by the
+// length of a suspension. The wall clock counts suspensions, but can be set to another time.
 package boottime
 
 import (
@@ -12,30 +11,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells a time that goes on while the machine is suspended. Its times are those of
-// time.Now until the first suspension.
+// Clock counts the time during which the machine is suspended. Its times equal those of time.Now
+// until the first suspension.
 type Clock struct {
 	start time.Time
-	base  time.Duration // the reading at the start
+	base  time.Duration // reading at start
 	read  func() time.Duration
 }
 
-// New returns a clock that began at a moment, over a reading that counts suspensions.
+// New returns a clock that starts at a time and advances with read, which must count suspensions.
 func New(start time.Time, read func() time.Duration) *Clock {
 	return &Clock{start: start, base: read(), read: read}
 }
 
-// Now returns the time.
+// Now returns the clock's current time.
 func (c *Clock) Now() time.Time { return c.start.Add(c.read() - c.base) }
 
-// process is the clock of this process.
-var process = New(time.Now(), sinceBoot)
+// processClock is the clock of this process.
+var processClock = New(time.Now(), sinceBoot)
 
-// Now returns the time with the suspensions of the machine since the process started.
-func Now() time.Time { return process.Now() }
+// Now returns the current time by the clock of this process.
+func Now() time.Time { return processClock.Now() }
 
-// sinceBoot reads CLOCK_BOOTTIME. A system without it cannot tell of suspensions: there it is
-// the monotonic clock.
+// sinceBoot reads CLOCK_BOOTTIME, or the monotonic clock on systems without it.
 func sinceBoot() time.Duration {
 	var at unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &at) != nil {
--- a/boottime/boottime_test.go
+++ b/boottime/boottime_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestASuspensionCountsThoughTheMonotonicClockStoodStill(t *testing.T) {
+func TestClockCountsSuspensions(t *testing.T) {
 	start, reading := time.Now(), 3*time.Hour // the machine ran before the process started
 	clock := New(start, func() time.Duration { return reading })
 	require.Equal(t, start, clock.Now())
@@ -15,7 +15,7 @@
 	require.Equal(t, 7*time.Second, clock.Now().Sub(start))
 }
 
-func TestTheProcessClockGoesOnAsTheMonotonicOne(t *testing.T) {
+func TestProcessClockFollowsTheMonotonicClock(t *testing.T) {
 	first := Now()
 	require.WithinDuration(t, time.Now(), first, time.Second)
 	time.Sleep(time.Millisecond)
