--- a/sleep/sleep.go
+++ b/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep waits without outliving a context.
+// Package sleep provides a delay that a context can cut short.
 package sleep
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for a duration or until ctx ends, and tells whether the wait was whole.
+// For waits for a duration or until ctx ends, and tells whether the full duration has passed.
 func For(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
