--- a/machinelist/machinelist.go
+++ b/machinelist/machinelist.go
@@ -1,5 +1,5 @@
-// Package machinelist reads the platform's list of machines. The list lags: a
-// machine may be gone before it is shown as leaving, and live before it is shown.
+// Package machinelist reads the platform's list of machines. The list is delayed: a machine may be
+// gone before it is listed as leaving, and live before it is listed.
 package machinelist
 
 import (
@@ -12,19 +12,19 @@
 	"github.com/pkg/errors"
 )
 
-// Path of the list.
+// Path is the URL path of the list.
 const Path = "/machines"
 
-// State of a machine.
+// State tells whether the platform keeps a machine or is about to remove it.
 type State string
 
-// The states of a machine; one that is gone is no longer listed.
+// States of a listed machine; one that is gone is no longer listed.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
 )
 
-// Machine is a machine that runs an engine.
+// Machine is a machine that runs an inference engine.
 type Machine struct {
 	ID      string `json:"id"`
 	Address string `json:"address"` // host:port of the engine
@@ -34,7 +34,7 @@
 	State   State  `json:"state"`
 }
 
-// List is the answer of the service.
+// List is the body of the platform's response.
 type List struct {
 	Machines []Machine `json:"machines"`
 }
@@ -46,13 +46,13 @@
 	idleConnCount = 2
 )
 
-// Client reads the list.
+// Client reads the list of machines from the platform.
 type Client struct {
 	url  string
 	http *http.Client
 }
 
-// NewClient returns a client of the service at host:port.
+// NewClient returns a client of the platform's service at host:port.
 func NewClient(address string) *Client {
 	return &Client{
 		url: "http://" + address + Path,
@@ -65,19 +65,19 @@
 func (c *Client) Machines(ctx context.Context, region string) ([]Machine, error) {
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url+"?region="+region, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "make request")
+		return nil, errors.Wrap(err, "create machine list request")
 	}
 	response, err := c.http.Do(httpRequest)
 	if err != nil {
-		return nil, errors.Wrap(err, "read machine list")
+		return nil, errors.Wrap(err, "request machine list")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return nil, errors.Errorf("machine list answered status %d", response.StatusCode)
+		return nil, errors.Errorf("machine list request failed with status %d", response.StatusCode)
 	}
 	var list List
 	if err := json.NewDecoder(io.LimitReader(response.Body, maxListBytes)).Decode(&list); err != nil {
-		return nil, errors.Wrap(err, "read machine list")
+		return nil, errors.Wrap(err, "decode machine list")
 	}
 	return list.Machines, nil
 }
