--- a/discovery/client.go
+++ b/discovery/client.go
@@ -99,7 +99,7 @@
 func (c *Client) Connected() bool { return c.connected.Load() }
 
 // Asked implements fleet.Interest.
-func (c *Client) Asked(service string, target fleet.Target) (answered bool) {
+func (c *Client) Register(service string, target fleet.Target) (answered bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	key := Key{service, target}
@@ -316,17 +316,17 @@
 	for _, replica := range message.GetReplicas() {
 		state := stateFromMessage(replica, now)
 		listed[state.ID] = true
-		c.Fleet.Learn(state, now)
+		c.Fleet.ApplyState(state, now)
 	}
 	for _, id := range message.GetGone() {
 		delete(listed, id)
-		c.Fleet.Gone(id)
+		c.Fleet.RemoveUnlisted(id)
 	}
 	for _, id := range message.GetReleased() {
 		delete(listed, id)
 		c.Fleet.Forget(id)
 	}
-	c.Fleet.Heard(now)
+	c.Fleet.RefreshRemoteInflight(now)
 	for _, one := range message.GetAnswered() {
 		c.markAnswered(keyFromMessage(one))
 	}
@@ -339,7 +339,7 @@
 		known.answered = true
 	}
 	c.mutex.Unlock()
-	c.Fleet.Told(key.Service, key.Target)
+	c.Fleet.NotifyDiscovered(key.Service, key.Target)
 }
 
 // isStale tells whether to switch to another directory because the records of this one are too old.
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -97,9 +97,9 @@
 		pick, miss := d.fleet.Choose(fleet.Ask{Service: testService, Target: target}, time.Now())
 		switch {
 		case pick != nil:
-			pick.Withdraw()
+			pick.Cancel()
 			return pick.ID, miss
-		case miss != fleet.Untold:
+		case miss != fleet.Undiscovered:
 			return "", miss
 		}
 		select {
@@ -108,7 +108,7 @@
 		}
 	}
 	t.Fatal("no directory answered")
-	return "", fleet.Untold
+	return "", fleet.Undiscovered
 }
 
 func (d *daemon) knows(id string) func() bool {
@@ -165,22 +165,22 @@
 	client := startDaemon(t, server)
 	target := fleet.Target{Model: "m", Adapter: "a1"}
 	_, miss := client.choose(t, target)
-	require.Equal(t, fleet.AdapterAbsent, miss)
+	require.Equal(t, fleet.AdapterNotLoaded, miss)
 
 	// The adapter is loaded on another replica, together with the model.
-	server.Fleet.Confirm("r2", fleet.Confirmation{Fence: 3, Sequence: 1, Holdings: fleet.Holdings{"other": nil},
+	server.Fleet.ApplyLeaderRecord("r2", fleet.LeaderRecord{Fence: 3, Sequence: 1, Holdings: fleet.Holdings{"other": nil},
 		Loading: map[fleet.Target]time.Time{target: time.Now().Add(time.Minute)}}, time.Now())
 	require.Eventually(t, func() bool {
-		_, expected := client.fleet.Expected(testService, target, time.Now())
+		_, expected := client.fleet.ExpectedLoad(testService, target, time.Now())
 		return expected
 	}, settleTimeout, settleInterval)
-	server.Fleet.Confirm("r2", fleet.Confirmation{Fence: 3, Sequence: 2, Holdings: fleet.Holdings{"m": {"a1"}}}, time.Now())
+	server.Fleet.ApplyLeaderRecord("r2", fleet.LeaderRecord{Fence: 3, Sequence: 2, Holdings: fleet.Holdings{"m": {"a1"}}}, time.Now())
 	require.Eventually(t, func() bool {
 		id, _ := client.choose(t, target)
 		return id == "r2"
 	}, settleTimeout, settleInterval)
 
-	server.Fleet.Others("r2", 9, time.Now())
+	server.Fleet.SetRemoteInflight("r2", 9, time.Now())
 	require.Eventually(t, func() bool {
 		state, _ := client.fleet.State("r2", time.Now())
 		return state.Requests == 9
@@ -220,7 +220,7 @@
 	client := startDaemon(t, server)
 	client.choose(t, model("m"))
 	pick, _ := client.fleet.Choose(fleet.Ask{Service: testService, Target: model("m")}, time.Now())
-	server.Fleet.Others(pick.ID, 12, time.Now())
+	server.Fleet.SetRemoteInflight(pick.ID, 12, time.Now())
 	require.Eventually(t, func() bool { return client.fleet.Len() == maxReplicasPerKey+1 }, settleTimeout, settleInterval)
 	require.Equal(t, map[string]uint32{pick.ID: 1}, client.fleet.Running(), "requests in progress are still counted")
 	pick.Release(fleet.Answered, model("m"), time.Now())
--- a/discovery/server.go
+++ b/discovery/server.go
@@ -44,10 +44,10 @@
 
 // StartObserving subscribes the server to changes of the fleet. It must be called before the fleet
 // is complete.
-func (s *Server) StartObserving() { s.Fleet.Observe(s.hub.observe) }
+func (s *Server) StartObserving() { s.Fleet.SetObserver(s.hub.observe) }
 
 // StopObserving ends the subscription, on a daemon that no longer keeps all replicas.
-func (s *Server) StopObserving() { s.Fleet.Observe(nil) }
+func (s *Server) StopObserving() { s.Fleet.SetObserver(nil) }
 
 // Subscribe implements rpc.DRPCDiscoveryServer.
 func (s *Server) Subscribe(stream rpc.DRPCDiscovery_SubscribeStream) error {
--- a/discovery/subscriber.go
+++ b/discovery/subscriber.go
@@ -124,7 +124,7 @@
 	if current == nil {
 		return // dropped meanwhile
 	}
-	selected, serving := s.fleet.Share(key.Service, key.Target, s.daemon, s.zone, maxReplicasPerKey, now)
+	selected, serving := s.fleet.Subset(key.Service, key.Target, s.daemon, s.zone, maxReplicasPerKey, now)
 	for _, replica := range current.replicas {
 		if !slices.Contains(selected, replica) {
 			s.release(replica, key, update)
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -20,7 +20,7 @@
 	"github.com/finchspoke/finchspoke/transport"
 )
 
-var testBounds = quota.Bounds{Window: 8 * time.Second, Over: 0.1, Slack: 1000}
+var testBounds = quota.Bounds{Window: 8 * time.Second, Overshoot: 0.1, Slack: 1000}
 
 // term is what a test says of the holder's term.
 type term struct {
@@ -53,7 +53,7 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	server := transport.NewServer(listener)
-	require.NoError(t, rpc.DRPCRegisterQuotas(server.Mux(), &Server{Bounds: testBounds, Table: routes, Term: held.get, First: func() bool { return true }, Log: log}))
+	require.NoError(t, rpc.DRPCRegisterQuotas(server.Mux(), &Server{Bounds: testBounds, Table: routes, Term: held.get, IsFirstTerm: func() bool { return true }, Log: log}))
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go func() { _ = server.Serve(ctx) }()
@@ -186,7 +186,7 @@
 	began := time.Now()
 	require.Eventually(t, func() bool {
 		_, failed := admit(t, client, tenant) // for the stream to have something to answer
-		return failed == nil && client.Answers()
+		return failed == nil && client.LeaderResponsive()
 	}, 5*time.Second, 20*time.Millisecond)
 	require.Less(t, time.Since(began), 4*time.Second)
 }
@@ -207,7 +207,7 @@
 	routes := &routing.Store{}
 	routes.Put(table)
 	log, _ := test.NewNullLogger()
-	return &Server{Bounds: testBounds, Table: routes, Term: held.get, First: func() bool { return true }, Log: log}
+	return &Server{Bounds: testBounds, Table: routes, Term: held.get, IsFirstTerm: func() bool { return true }, Log: log}
 }
 
 func question(cost float64) *rpc.QuotaQuestions {
--- a/loader/attach.go
+++ b/loader/attach.go
@@ -250,7 +250,7 @@
 	}
 	view := &rpc.LoadsView{Fence: h.fence, Daemons: uint32(h.attached), Running: h.runningView(after), Leaving: h.leavingView(after), Limits: h.limitsView(after, now)}
 	for _, id := range h.loads.after(after) {
-		if state := h.states[id]; state != nil && state.Known {
+		if state := h.states[id]; state != nil && state.Verified {
 			view.Replicas = append(view.Replicas, replicaView(state, now))
 		}
 	}
@@ -264,7 +264,7 @@
 func replicaView(state *loading.Replica, now time.Time) *rpc.ReplicaLoads {
 	told := &rpc.ReplicaLoads{ReplicaId: state.ID, BornUnixMs: state.Born, Sequence: state.Sequence, InMemory: state.InMemory, OnDisk: state.OnDisk}
 	leaving := map[fleet.Target]bool{}
-	for _, order := range state.UnderWay {
+	for _, order := range state.Pending {
 		if order.Verb == loading.Unload {
 			leaving[order.Target] = true
 			continue
--- a/loader/demand.go
+++ b/loader/demand.go
@@ -57,7 +57,7 @@
 			sum.Waiting += count.Waiting
 			sum.Running += count.Running
 			if count.Waiting > 0 {
-				sum.WaitingFor = max(sum.WaitingFor, now.Sub(count.WaitingSince))
+				sum.LongestWait = max(sum.LongestWait, now.Sub(count.WaitingSince))
 			}
 			if count.Waiting+count.Running > 0 {
 				sum.LastUsed = now
--- a/loader/directories_test.go
+++ b/loader/directories_test.go
@@ -116,7 +116,7 @@
 func TestADaemonThatAsksDirectoriesIsToldOfThemOnly(t *testing.T) {
 	fleet := newLargeFleet(20)
 	fleet.refresh(adoptTime)
-	fleet.states["r1"] = &loading.Replica{ID: "r1", Known: true}
+	fleet.states["r1"] = &loading.Replica{ID: "r1", Verified: true}
 	directory := ""
 	for id := range fleet.directories.chosen {
 		directory = id
@@ -184,7 +184,7 @@
 	log := discarding()
 	made := elected(t, log)
 	table, err := routing.NewTable(routing.Revision{Version: 1, Services: []*routing.Service{{Name: "press", Engine: &routing.Engine{
-		MemoryMB: 200, LoadsPerSecond: 4, Models: map[string]*routing.Model{"m1": {Name: "m1", MemoryMB: 90, StoreLoad: 4 * time.Second}, "m2": {Name: "m2", MemoryMB: 90, StoreLoad: 4 * time.Second}},
+		MemoryMB: 200, LoadsPerSecond: 4, Models: map[string]*routing.Model{"m1": {Name: "m1", MemoryMB: 90, StoreLoadTime: 4 * time.Second}, "m2": {Name: "m2", MemoryMB: 90, StoreLoadTime: 4 * time.Second}},
 	}}}})
 	require.NoError(t, err)
 	routes := &routing.Store{}
@@ -210,7 +210,7 @@
 	require.Eventually(t, func() bool {
 		holder.mutex.Lock()
 		defer holder.mutex.Unlock()
-		return holder.states[asked].Known
+		return holder.states[asked].Verified
 	}, time.Second, time.Millisecond)
 	holder.turn(t.Context(), time.Now())
 	order := received(t, replicas.orders)
--- a/loader/follower.go
+++ b/loader/follower.go
@@ -39,7 +39,7 @@
 	KnowsReplicas func() bool
 	// Directories is told whether this daemon is to know all replicas for others, and which daemons
 	// do; nil: nobody is.
-	Directories func(serve bool, addresses []string)
+	SetDirectories func(serve bool, addresses []string)
 	// Address is where daemons reach this one, and Zone where it is.
 	Address, Zone string
 	// TermDelay is how long this daemon waits before it campaigns for the term.
@@ -58,8 +58,8 @@
 // Prepare makes the follower ready for use.
 func (f *Follower) Prepare() { f.changed, f.news = make(chan struct{}), make(chan struct{}, 1) }
 
-// HolderChanged takes in who holds the orders now.
-func (f *Follower) HolderChanged(holder election.Leader) {
+// LeaderChanged takes in who holds the orders now.
+func (f *Follower) LeaderChanged(holder election.Leader) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	// A record that went away leaves the last holder in place: while the service
@@ -231,11 +231,11 @@
 			f.Leader.OrderSeen(now)
 		}
 		f.Daemons(int(view.GetDaemons()))
-		if directories := view.GetDirectories(); directories != nil && f.Directories != nil {
-			f.Directories(directories.GetServe(), directories.GetAddresses())
+		if directories := view.GetDirectories(); directories != nil && f.SetDirectories != nil {
+			f.SetDirectories(directories.GetServe(), directories.GetAddresses())
 		}
 		for _, leaving := range incarnationsOf(view.GetLeaving()) {
-			f.Fleet.TellLeaving(leaving, now)
+			f.Fleet.ApplyRelayedDraining(leaving, now)
 		}
 		f.takeLimits(view.GetLimits(), sent, now)
 		for _, told := range view.GetReplicas() {
@@ -243,7 +243,7 @@
 		}
 		for _, told := range view.GetRunning() {
 			own := sent.runningOn(told.GetReplicaId())
-			f.Fleet.Others(told.GetReplicaId(), int(told.GetRequests())-int(own), now)
+			f.Fleet.SetRemoteInflight(told.GetReplicaId(), int(told.GetRequests())-int(own), now)
 		}
 	}
 }
@@ -259,7 +259,7 @@
 	for _, load := range told.GetLoading() {
 		loads[fleet.Target{Model: load.GetModel(), Adapter: load.GetAdapter()}] = now.Add(time.Duration(load.GetReadyInMs()) * time.Millisecond)
 	}
-	f.Fleet.Confirm(told.GetReplicaId(), fleet.Confirmation{
+	f.Fleet.ApplyLeaderRecord(told.GetReplicaId(), fleet.LeaderRecord{
 		Born: told.GetBornUnixMs(), Fence: fence, Sequence: told.GetSequence(), Holdings: holdings, Loading: loads,
 		InMemory: told.GetInMemory(), OnDisk: told.GetOnDisk(),
 	}, now)
--- a/loader/holder.go
+++ b/loader/holder.go
@@ -22,12 +22,12 @@
 )
 
 // Answer is what a replica says to an order.
-type Answer uint8
+type OrderResponse uint8
 
 // The answers.
 const (
 	// Accepted means that the order is being carried out.
-	Accepted Answer = iota
+	Accepted OrderResponse = iota
 	// Done means that nothing more is needed.
 	Done
 	// Refused means that another order is under way, or that the replica has taken
@@ -42,13 +42,13 @@
 var answerNames = [...]string{"accepted", "done", "refused", "fenced", "gone"}
 
 // String returns the answer's name in logs.
-func (a Answer) String() string { return answerNames[a] }
+func (a OrderResponse) String() string { return answerNames[a] }
 
 // Replicas is the protocol by which replicas take orders.
 type Replicas interface {
 	// Order sends an order. An error means that the replica may or may not have
 	// taken it.
-	Order(ctx context.Context, replica fleet.Entry, order loading.Order, holder string, fence int64) (Answer, error)
+	Order(ctx context.Context, replica fleet.Entry, order loading.Order, holder string, fence int64) (OrderResponse, error)
 	// Report asks a replica for its state.
 	Report(ctx context.Context, replica fleet.Entry) (loading.Report, error)
 }
@@ -301,7 +301,7 @@
 		h.reach.expect(h.Expected(), now)
 	}
 	if h.Turns != nil {
-		h.Turns.Begin()
+		h.Turns.BeginTerm()
 	}
 }
 
@@ -383,7 +383,7 @@
 	if state == nil {
 		// From the first report on the replica's own word tells what it holds and keeps.
 		state = &loading.Replica{ID: entry.ID, Born: entry.Born, Service: entry.Service, Zone: entry.Zone, Slots: entry.Slots, Holdings: entry.Holdings, InMemory: entry.InMemory, OnDisk: entry.OnDisk,
-			HeldUntil: h.ordered.heldUntil(entry.ID, h.Limits.TermGap)}
+			TermGapUntil: h.ordered.heldUntil(entry.ID, h.Limits.TermGap)}
 		h.states[id] = state
 		h.ids = nil
 		h.grewAt = now
@@ -397,7 +397,7 @@
 			h.fetches.Forget(id)
 			h.touch(id)
 		}
-		state.Restarted(entry.Born)
+		state.MarkRestarted(entry.Born)
 	}
 	state.Draining = entry.Draining
 	state.RestsUntil = h.Fleet.RestsUntil(id)
@@ -412,13 +412,13 @@
 		if service.Engine != nil {
 			snapshot.Services[service.Name] = service.Engine
 			perSecond = max(perSecond, service.Engine.LoadsPerSecond)
-			longest = max(longest, service.Engine.LongestLoad)
+			longest = max(longest, service.Engine.MaxStoreLoadTime)
 		}
 	})
-	h.window.Most = int(storeShare * (perSecond*h.Limits.Window.Seconds()*h.Limits.Slack + float64(h.Limits.Extra)))
-	snapshot.StoreLoads = h.window.Allowed(now)
-	h.fetches.Pace.Expect(longest)
-	snapshot.StoreAtOnce = h.fetches.Pace.AtOnce()
+	h.window.Max = int(storeShare * (perSecond*h.Limits.Window.Seconds()*h.Limits.Slack + float64(h.Limits.Extra)))
+	snapshot.StoreLoadsAllowed = h.window.Allowed(now)
+	h.fetches.Concurrency.SetLoadTime(longest)
+	snapshot.StoreConcurrency = h.fetches.Concurrency.Limit()
 	snapshot.Settled = now.Sub(h.grewAt) > settleTime
 	if h.ids == nil {
 		h.ids = sortedIDs(h.states)
@@ -427,7 +427,7 @@
 		state := h.states[id]
 		state.Running = int(h.running.total[id])
 		if order, calling := h.calling[id]; calling {
-			state = state.WithCall(order, now, now.Add(tick))
+			state = state.WithPendingCall(order, now, now.Add(tick))
 		}
 		snapshot.Replicas = append(snapshot.Replicas, state)
 	}
--- a/loader/leaving_test.go
+++ b/loader/leaving_test.go
@@ -53,7 +53,7 @@
 func TestWhatTheHolderHeardItselfIsToldToAllOthers(t *testing.T) {
 	now := time.Now()
 	holder := leavingHolder(now)
-	holder.Fleet.Hear(fleet.Notice{Replica: "r1", Leaving: true}, now)
+	holder.Fleet.ApplyHint(fleet.Hint{Replica: "r1", Leaving: true}, now)
 	follower := &Follower{Fleet: holder.Fleet}
 	sent := &reported{leaving: map[fleet.Incarnation]bool{}}
 	holder.report(&rpc.LoadsDemand{DaemonId: "self", Leaving: follower.leavingNews(sent)})
--- a/loader/silence_test.go
+++ b/loader/silence_test.go
@@ -37,7 +37,7 @@
 	follower := &Follower{Daemon: "a", Demand: demand.NewTracker(), Fleet: fleet.NewDirectory("z", func() float64 { return 0 }), Leader: holder,
 		Daemons: func(int) {}, Log: log}
 	follower.Prepare()
-	follower.HolderChanged(election.Leader{Daemon: "b", Address: proxy.Address(), Nonce: "n", Fence: 1})
+	follower.LeaderChanged(election.Leader{Daemon: "b", Address: proxy.Address(), Nonce: "n", Fence: 1})
 	go func() { _ = follower.Serve(ctx) }()
 	require.Eventually(t, follower.Attached, time.Second, time.Millisecond)
 	// The follower is attached once it has sent its first message. The proxy silences the connections that it
--- a/node/follow.go
+++ b/node/follow.go
@@ -91,8 +91,8 @@
 		return
 	}
 	n.log.WithField(logging.Replica, entry.ID).Info(logging.MessageReplicaDoubted)
-	time.AfterFunc(fleet.ReturnedTime, func() {
-		n.fleet.Trust(entry.Incarnation())
+	time.AfterFunc(fleet.RestoredEntryHold, func() {
+		n.fleet.TrustRestored(entry.Incarnation())
 		n.holder.RegistryChanged(entry.ID)
 	})
 }
@@ -105,7 +105,7 @@
 	}
 	earlier, earlierErr := adapters.ReadReplica(before)
 	later, laterErr := adapters.ReadReplica(after)
-	return earlierErr != nil || laterErr != nil || !earlier.SameButLoaded(later)
+	return earlierErr != nil || laterErr != nil || !earlier.EqualExceptModels(later)
 }
 
 // recordSource returns the daemon that passes the platform's records on to this one: the
--- a/node/replicas.go
+++ b/node/replicas.go
@@ -68,7 +68,7 @@
 		k.client.Enable(true)
 		return
 	}
-	k.node.fleet.Fill()
+	k.node.fleet.BeginFullSync()
 	k.client.Enable(false)
 }
 
@@ -76,7 +76,7 @@
 func (k *replicaKnowledge) loaded() {
 	isWhole := k.node.mirror.HasAll()
 	if isWhole && !k.whole.Load() {
-		k.node.fleet.Whole()
+		k.node.fleet.EndFullSync()
 		k.server.StartObserving()
 		k.node.holder.RegistryChanged("")
 	}
