--- a/estimate/estimate.go
+++ b/estimate/estimate.go
@@ -1,4 +1,4 @@
-// Package estimate learns how long something usually takes.
+// Package estimate estimates durations from samples.
 package estimate
 
 import (
@@ -12,24 +12,25 @@
 	deviationWeight = 1.0 / 4
 )
 
-// Moving is a moving mean of times with their mean deviation. The zero value has seen none.
-type Moving struct {
-	seen            bool
+// Duration is an exponentially weighted mean of durations and of their deviation. The zero value has no
+// samples.
+type Duration struct {
+	hasSamples      bool
 	mean, deviation float64 // seconds
 }
 
-// Add takes in a time.
-func (m *Moving) Add(took time.Duration) {
-	seconds := took.Seconds()
-	if !m.seen {
-		m.seen, m.mean, m.deviation = true, seconds, seconds/2
+// Add adds a sample.
+func (d *Duration) Add(sample time.Duration) {
+	seconds := sample.Seconds()
+	if !d.hasSamples {
+		d.hasSamples, d.mean, d.deviation = true, seconds, seconds/2
 		return
 	}
-	m.deviation += deviationWeight * (math.Abs(seconds-m.mean) - m.deviation)
-	m.mean += meanWeight * (seconds - m.mean)
+	d.deviation += deviationWeight * (math.Abs(seconds-d.mean) - d.deviation)
+	d.mean += meanWeight * (seconds - d.mean)
 }
 
-// Bound returns the mean and so many mean deviations; zero if no time was seen.
-func (m *Moving) Bound(deviations float64) time.Duration {
-	return time.Duration((m.mean + deviations*m.deviation) * float64(time.Second))
+// UpperBound returns the mean plus a number of mean deviations; zero if there are no samples.
+func (d *Duration) UpperBound(deviations float64) time.Duration {
+	return time.Duration((d.mean + deviations*d.deviation) * float64(time.Second))
 }
--- a/loader/attach.go
+++ b/loader/attach.go
@@ -12,52 +12,52 @@
 )
 
 const (
-	// viewPauseLeast gathers changes that come together into one view; the more daemons
-	// hear it, the longer.
-	viewPauseLeast     = 5 * time.Millisecond
-	viewPausePerDaemon = 100 * time.Microsecond
+	// minViewInterval batches changes into one view; viewIntervalPerDaemon lengthens the interval with each
+	// daemon that receives views.
+	minViewInterval       = 5 * time.Millisecond
+	viewIntervalPerDaemon = 100 * time.Microsecond
 )
 
 const (
-	// beatPause is the longest time between two messages of a stream, in either direction.
-	beatPause = 2 * time.Second
-	// silentTime is how long nothing comes on a stream before it counts as broken: connections
-	// may fall silent without a reset, while new ones work.
-	silentTime = 5 * time.Second
+	// heartbeatInterval is the longest time between two messages of a stream, in either direction.
+	heartbeatInterval = 2 * time.Second
+	// silenceTimeout is the time without a message after which a stream counts as broken. A connection may
+	// stop delivering data without a reset.
+	silenceTimeout = 5 * time.Second
 )
 
-// watchdog reports a failure once nothing was heard for a while.
+// watchdog reports a failure when no message was received within silenceTimeout.
 type watchdog struct{ timer *time.Timer }
 
 func newWatchdog(failed chan<- error) watchdog {
-	return watchdog{time.AfterFunc(silentTime, func() {
+	return watchdog{time.AfterFunc(silenceTimeout, func() {
 		select {
-		case failed <- errSilent:
-		default: // another failure is known
+		case failed <- errStreamSilent:
+		default: // another failure was reported first
 		}
 	})}
 }
 
-func (w watchdog) heard() { w.timer.Reset(silentTime) }
+func (w watchdog) reset() { w.timer.Reset(silenceTimeout) }
 
 func (w watchdog) stop() { w.timer.Stop() }
 
-func viewPause(daemons int) time.Duration {
-	return viewPauseLeast + time.Duration(daemons)*viewPausePerDaemon
+func viewInterval(daemons int) time.Duration {
+	return minViewInterval + time.Duration(daemons)*viewIntervalPerDaemon
 }
 
-// Attach serves one daemon's stream. It implements rpc.DRPCLoadsServer.
-func (h *Holder) Attach(stream rpc.DRPCLoads_AttachStream) error {
+// Attach serves the stream of one daemon. It implements rpc.DRPCLoadsServer.
+func (l *Leader) Attach(stream rpc.DRPCLoads_AttachStream) error {
 	first, err := stream.Recv()
 	if err != nil {
 		return err
 	}
 	daemonID := first.GetDaemonId()
-	leave := h.join(daemonID)
+	leave := l.addStream(daemonID)
 	defer leave()
-	h.begin(daemonID)
-	h.report(first)
-	h.noteDaemon(first)
+	l.clearReported(daemonID)
+	l.applyDemand(first)
+	l.recordDaemon(first)
 	failed := make(chan error, 2)
 	silence := newWatchdog(failed)
 	defer silence.stop()
@@ -68,92 +68,91 @@
 				failed <- err
 				return
 			}
-			silence.heard()
-			h.report(message)
+			silence.reset()
+			l.applyDemand(message)
 		}
 	}()
-	return h.tell(stream, daemonID, failed)
+	return l.sendViews(stream, daemonID, failed)
 }
 
-var errSilent = errors.New("nothing was heard on the stream for too long")
+var errStreamSilent = errors.New("stream timed out: no message received")
 
-var errTermOver = errors.New("the term of the holder of load orders is over")
+var errTermEnded = errors.New("the leader's term has ended")
 
-// join counts an attached daemon; the function returned ends it.
-func (h *Holder) join(daemonID string) func() {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	h.attached++
-	h.attachedMax = max(h.attachedMax, h.attached)
-	h.reach.join(daemonID)
+// addStream counts a daemon's stream; the returned function removes it.
+func (l *Leader) addStream(daemonID string) func() {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.attached++
+	l.maxAttached = max(l.maxAttached, l.attached)
+	l.attachment.addStream(daemonID)
 	return func() {
-		h.mutex.Lock()
-		defer h.mutex.Unlock()
-		h.attached--
-		h.reach.leave(daemonID)
-		if reported := h.daemons[daemonID]; reported != nil {
-			reported.detached = time.Now()
+		l.mutex.Lock()
+		defer l.mutex.Unlock()
+		l.attached--
+		l.attachment.removeStream(daemonID)
+		if reported := l.daemons[daemonID]; reported != nil {
+			reported.detachedAt = time.Now()
 		}
 	}
 }
 
-// begin forgets what a daemon said on an earlier stream, perhaps as an earlier process:
-// the first message of a stream names all that there is. Counts of arrivals stay, so
-// that only newer ones are added to the rates.
-func (h *Holder) begin(daemonID string) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	known := h.daemons[daemonID]
-	if known == nil {
+// clearReported discards what a daemon reported on an earlier stream, since the first message of a stream is
+// complete. It keeps the arrival counts, so that only newer arrivals are added to the rates.
+func (l *Leader) clearReported(daemonID string) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	state := l.daemons[daemonID]
+	if state == nil {
 		return
 	}
-	clear(known.running)
-	for key, count := range known.counts {
-		known.counts[key] = demand.Count{Arrivals: count.Arrivals}
+	clear(state.running)
+	for key, count := range state.counts {
+		state.counts[key] = demand.Count{Arrivals: count.Arrivals}
 	}
 }
 
-// report takes in a daemon's demand.
-func (h *Holder) report(message *rpc.LoadsDemand) {
+// applyDemand records a daemon's report.
+func (l *Leader) applyDemand(message *rpc.LoadsDemand) {
 	now := time.Now()
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	known := h.daemons[message.GetDaemonId()]
-	if known == nil {
-		known = &daemonDemand{counts: map[demand.Key]demand.Count{}, running: map[string]uint32{}}
-		h.daemons[message.GetDaemonId()] = known
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	state := l.daemons[message.GetDaemonId()]
+	if state == nil {
+		state = &daemonState{counts: map[demand.Key]demand.Count{}, running: map[string]uint32{}}
+		l.daemons[message.GetDaemonId()] = state
 	}
-	known.detached = time.Time{}
-	h.takeLeaving(message, now)
-	h.takeLimits(message, now)
-	if message.GetKnowsReplicas() && !known.knows {
-		h.directories.wake() // the daemon's stream is told what is loaded from now on
+	state.detachedAt = time.Time{}
+	l.applyDraining(message, now)
+	l.applyLimits(message, now)
+	if message.GetKnowsReplicas() && !state.knowsReplicas {
+		l.directories.wake() // from now on, the daemon receives the loads of all replicas
 	}
-	known.knows = message.GetKnowsReplicas()
-	for _, one := range message.GetRunning() {
-		known.running[one.GetReplicaId()] = one.GetRequests()
-		if one.GetRequests() == 0 {
-			delete(known.running, one.GetReplicaId())
+	state.knowsReplicas = message.GetKnowsReplicas()
+	for _, entry := range message.GetRunning() {
+		state.running[entry.GetReplicaId()] = entry.GetRequests()
+		if entry.GetRequests() == 0 {
+			delete(state.running, entry.GetReplicaId())
 		}
 	}
 	if len(message.GetKeys()) > 0 {
-		h.Wake()
+		l.Wake()
 	}
-	for _, one := range message.GetKeys() {
-		key := demand.Key{Service: one.GetService(), Target: fleet.Target{Model: one.GetModel(), Adapter: one.GetAdapter()}}
-		before, had := known.counts[key]
-		count := demand.Count{Arrivals: one.GetArrivals(), Waiting: int(one.GetWaiting()), Running: int(one.GetRunning())}
+	for _, entry := range message.GetKeys() {
+		key := demand.Key{Service: entry.GetService(), Target: fleet.Target{Model: entry.GetModel(), Adapter: entry.GetAdapter()}}
+		before, reportedBefore := state.counts[key]
+		count := demand.Count{Arrivals: entry.GetArrivals(), Waiting: int(entry.GetWaiting()), Running: int(entry.GetRunning())}
 		if count.Waiting > 0 {
-			count.WaitingSince = now.Add(-time.Duration(one.GetWaitingMs()) * time.Millisecond)
+			count.WaitingSince = now.Add(-time.Duration(entry.GetWaitingMs()) * time.Millisecond)
 		}
-		known.counts[key] = count
-		arrivals := h.rates[key]
+		state.counts[key] = count
+		arrivals := l.rates[key]
 		if arrivals == nil {
-			arrivals = &rate{}
-			h.rates[key] = arrivals
+			arrivals = &arrivalRate{}
+			l.rates[key] = arrivals
 		}
-		// What a daemon counted before it attached came some time ago.
-		if had && count.Arrivals >= before.Arrivals {
+		// Arrivals from before the daemon attached are too old for the rate.
+		if reportedBefore && count.Arrivals >= before.Arrivals {
 			arrivals.add(count.Arrivals-before.Arrivals, now)
 		} else if count.Waiting+count.Running > 0 {
 			arrivals.add(1, now)
@@ -161,129 +160,128 @@
 	}
 }
 
-// told is what a stream has told its daemon.
-type told struct {
-	version     uint64 // of what is loaded; zero: nothing yet
+// sentState is what the leader has sent on a stream.
+type sentState struct {
+	version     uint64 // of the replicas' loads; zero: none sent yet
 	term        int64
-	directories uint64 // version of the list of directories
+	directories uint64 // version of the directory list
 }
 
-// tell sends what is loaded and how many requests run on each replica, first all and
-// then each change. Daemons that do not know all replicas are told of the term and of the
-// directories only.
-func (h *Holder) tell(stream rpc.DRPCLoads_AttachStream, daemonID string, failed <-chan error) error {
-	var told told
-	beat := time.NewTicker(beatPause)
-	defer beat.Stop()
-	for due := true; ; {
-		next, err := h.viewsFor(&told, daemonID, time.Now())
+// sendViews sends the loaded models and the running requests of each replica: first all of them, then each
+// change. Daemons without replica records receive only the term and the directory list.
+func (l *Leader) sendViews(stream rpc.DRPCLoads_AttachStream, daemonID string, failed <-chan error) error {
+	var sentState sentState
+	heartbeat := time.NewTicker(heartbeatInterval)
+	defer heartbeat.Stop()
+	for heartbeatDue := true; ; {
+		next, err := l.nextViews(&sentState, daemonID, time.Now())
 		if err != nil {
 			return err
 		}
 		for _, message := range next.messages {
-			if due || saysSomething(message) {
+			if heartbeatDue || viewHasChanges(message) {
 				if err := stream.Send(message); err != nil {
 					return err
 				}
 			}
 		}
-		due = false
+		heartbeatDue = false
 		select {
-		case <-beat.C:
-			due = true
+		case <-heartbeat.C:
+			heartbeatDue = true
 		case err := <-failed:
 			return err
 		case <-stream.Context().Done():
 			return stream.Context().Err()
 		case <-next.changed:
-			time.Sleep(next.pause)
+			time.Sleep(next.delay)
 		}
 	}
 }
 
-func saysSomething(view *rpc.LoadsView) bool {
+func viewHasChanges(view *rpc.LoadsView) bool {
 	return len(view.GetReplicas())+len(view.GetRunning())+len(view.GetLeaving())+len(view.GetLimits())+len(view.GetPacked()) > 0 || view.GetDirectories() != nil
 }
 
-// nextViews are the messages that a daemon gets now, and when there may be more.
-type nextViews struct {
+// pendingViews are the messages to send to a daemon now, and when to look for more.
+type pendingViews struct {
 	messages []*rpc.LoadsView
 	changed  <-chan struct{}
-	pause    time.Duration
+	delay    time.Duration
 }
 
-// viewsFor returns what a daemon is to be told, and notes it as told.
-func (h *Holder) viewsFor(told *told, daemonID string, now time.Time) (nextViews, error) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if told.term != 0 && told.term != h.fence {
-		return nextViews{}, errTermOver
+// nextViews returns the messages that a daemon has not received yet, and marks them as sent.
+func (l *Leader) nextViews(sentState *sentState, daemonID string, now time.Time) (pendingViews, error) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if sentState.term != 0 && sentState.term != l.fence {
+		return pendingViews{}, errTermEnded
 	}
-	told.term = h.fence
-	next := nextViews{changed: h.changed, pause: viewPause(h.listeners())}
-	if h.isTold(daemonID) {
-		next.messages = append(next.messages, h.view(told.version, now))
-		told.version = h.version
+	sentState.term = l.fence
+	next := pendingViews{changed: l.changed, delay: viewInterval(l.loadReceivers())}
+	if l.receivesLoads(daemonID) {
+		next.messages = append(next.messages, l.view(sentState.version, now))
+		sentState.version = l.version
 	} else {
-		next.messages = append(next.messages, &rpc.LoadsView{Fence: h.fence, Daemons: uint32(h.attached)})
-		next.changed, told.version = h.directories.changed, 0
+		next.messages = append(next.messages, &rpc.LoadsView{Fence: l.fence, Daemons: uint32(l.attached)})
+		next.changed, sentState.version = l.directories.changed, 0
 	}
-	if version := h.directories.version; told.directories != version && h.directories.isDecided() {
-		told.directories = version
-		list := &rpc.Directories{Serve: h.directories.chosen[daemonID], Addresses: h.directories.addresses}
-		next.messages = append(next.messages, &rpc.LoadsView{Fence: h.fence, Daemons: uint32(h.attached), Directories: list})
+	if version := l.directories.version; sentState.directories != version && l.directories.decided() {
+		sentState.directories = version
+		list := &rpc.Directories{Serve: l.directories.chosen[daemonID], Addresses: l.directories.addresses}
+		next.messages = append(next.messages, &rpc.LoadsView{Fence: l.fence, Daemons: uint32(l.attached), Directories: list})
 	}
 	return next, nil
 }
 
-// isTold tells whether a daemon is told what is loaded on each replica; the mutex is held.
-func (h *Holder) isTold(daemonID string) bool {
-	known := h.daemons[daemonID]
-	return known == nil || known.knows
+// receivesLoads reports whether a daemon receives the loads of each replica. The caller holds the mutex.
+func (l *Leader) receivesLoads(daemonID string) bool {
+	state := l.daemons[daemonID]
+	return state == nil || state.knowsReplicas
 }
 
-// view makes the message of what changed after a version; the mutex is held. Daemons
-// that heard the same share it.
-func (h *Holder) view(after uint64, now time.Time) *rpc.LoadsView {
-	if known := h.views[after]; known != nil {
-		return known
+// view returns the message with all changes after a version. Daemons at the same version share it. The caller
+// holds the mutex.
+func (l *Leader) view(after uint64, now time.Time) *rpc.LoadsView {
+	if shared := l.views[after]; shared != nil {
+		return shared
 	}
-	view := &rpc.LoadsView{Fence: h.fence, Daemons: uint32(h.attached), Running: h.runningView(after), Leaving: h.leavingView(after), Limits: h.limitsView(after, now)}
-	for _, id := range h.loads.after(after) {
-		if state := h.states[id]; state != nil && state.Known {
+	view := &rpc.LoadsView{Fence: l.fence, Daemons: uint32(l.attached), Running: l.runningView(after), Leaving: l.drainingView(after), Limits: l.limitsView(after, now)}
+	for _, id := range l.loadChanges.after(after) {
+		if state := l.states[id]; state != nil && state.Verified {
 			view.Replicas = append(view.Replicas, replicaView(state, now))
 		}
 	}
 	packed := view.Pack()
-	if len(view.GetLimits()) == 0 { // ages of limits are told as of now
-		h.views[after] = packed
+	if len(view.GetLimits()) == 0 { // limits carry their age, so such a view cannot be reused
+		l.views[after] = packed
 	}
 	return packed
 }
 
 func replicaView(state *loading.Replica, now time.Time) *rpc.ReplicaLoads {
-	told := &rpc.ReplicaLoads{ReplicaId: state.ID, BornUnixMs: state.Born, Sequence: state.Sequence, InMemory: state.InMemory, OnDisk: state.OnDisk}
-	leaving := map[fleet.Target]bool{}
-	for _, order := range state.UnderWay {
+	message := &rpc.ReplicaLoads{ReplicaId: state.ID, BornUnixMs: state.Born, Sequence: state.Sequence, InMemory: state.InMemory, OnDisk: state.OnDisk}
+	unloading := map[fleet.Target]bool{}
+	for _, order := range state.Pending {
 		if order.Verb == loading.Unload {
-			leaving[order.Target] = true
+			unloading[order.Target] = true
 			continue
 		}
-		told.Loading = append(told.Loading, &rpc.LoadUnderWay{
+		message.Loading = append(message.Loading, &rpc.LoadUnderWay{
 			Model: order.Target.Model, Adapter: order.Target.Adapter, ReadyInMs: max(0, order.ReadyAt().Sub(now).Milliseconds()),
 		})
 	}
 	for model, adapters := range state.Holdings {
-		if leaving[fleet.Target{Model: model}] {
+		if unloading[fleet.Target{Model: model}] {
 			continue
 		}
 		held := &rpc.HeldModel{Model: model}
 		for _, adapter := range adapters {
-			if !leaving[fleet.Target{Model: model, Adapter: adapter}] {
+			if !unloading[fleet.Target{Model: model, Adapter: adapter}] {
 				held.Adapters = append(held.Adapters, adapter)
 			}
 		}
-		told.Models = append(told.Models, held)
+		message.Models = append(message.Models, held)
 	}
-	return told
+	return message
 }
--- a/loader/touches.go
+++ b/loader/touches.go
@@ -2,43 +2,43 @@
 
 import "slices"
 
-// touches remembers in which version each replica last changed, so that what changed
-// after a version is found without a look at all replicas.
-type touches struct {
+// changeLog records the version in which each replica last changed. The changes after a version are found
+// without a scan of all replicas.
+type changeLog struct {
 	versions map[string]uint64
-	log      []touch // in the order of versions
+	entries  []changeEntry // sorted by version
 }
 
-type touch struct {
+type changeEntry struct {
 	replica string
 	version uint64
 }
 
-// spareTouches is how many outdated entries the log may hold beyond the replicas.
-const spareTouches = 256
+// maxStaleEntries is how many outdated entries the log may hold beyond one per replica.
+const maxStaleEntries = 256
 
-func newTouches() *touches { return &touches{versions: map[string]uint64{}} }
+func newChangeLog() *changeLog { return &changeLog{versions: map[string]uint64{}} }
 
-// mark notes that a replica changed in a version, the highest so far.
-func (t *touches) mark(replica string, version uint64) {
-	t.versions[replica] = version
-	t.log = append(t.log, touch{replica, version})
-	if len(t.log) > 2*len(t.versions)+spareTouches {
-		t.log = slices.DeleteFunc(t.log, func(one touch) bool { return t.versions[one.replica] != one.version })
+// mark records that a replica changed in a version, which must not be lower than earlier ones.
+func (c *changeLog) mark(replica string, version uint64) {
+	c.versions[replica] = version
+	c.entries = append(c.entries, changeEntry{replica, version})
+	if len(c.entries) > 2*len(c.versions)+maxStaleEntries {
+		c.entries = slices.DeleteFunc(c.entries, func(entry changeEntry) bool { return c.versions[entry.replica] != entry.version })
 	}
 }
 
-// has tells whether a replica was ever marked.
-func (t *touches) has(replica string) bool { return t.versions[replica] > 0 }
+// has reports whether a replica was ever marked.
+func (c *changeLog) has(replica string) bool { return c.versions[replica] > 0 }
 
-// after lists the replicas that last changed after a version, each once.
-func (t *touches) after(version uint64) []string {
+// after lists each replica that last changed after a version once.
+func (c *changeLog) after(version uint64) []string {
 	var changed []string
-	for index := len(t.log) - 1; index >= 0 && t.log[index].version > version; index-- {
-		one := t.log[index]
-		// A replica may be marked twice in one version; both entries are then alike.
-		if t.versions[one.replica] == one.version && !slices.Contains(changed[max(0, len(changed)-1):], one.replica) {
-			changed = append(changed, one.replica)
+	for index := len(c.entries) - 1; index >= 0 && c.entries[index].version > version; index-- {
+		entry := c.entries[index]
+		// A replica may be marked twice in one version; list it once.
+		if c.versions[entry.replica] == entry.version && !slices.Contains(changed[max(0, len(changed)-1):], entry.replica) {
+			changed = append(changed, entry.replica)
 		}
 	}
 	return changed
--- a/loader/yield.go
+++ b/loader/yield.go
@@ -9,75 +9,69 @@
 )
 
 const (
-	// strongerBy is how many times stronger a daemon's machine must be for the term to be
-	// handed over to it. The machines of one large fleet differ by four times; a handover
-	// costs some tenths of a second without orders, and like machines gain nothing by one.
-	strongerBy = 2.0
-	// yieldAfter is how old a term is when it is first handed over, and how long a stronger
-	// daemon must have been attached: daemons move to a new holder one after the other.
-	yieldAfter = time.Second
-	// yieldAgain is how much longer a term lasts each time that no stronger daemon took it.
-	yieldAgain = 4
-	// yieldTime bounds the write of a handover.
-	yieldTime = 500 * time.Millisecond
+	// minStrengthRatio is how many times stronger another daemon's machine must be to receive the term. No
+	// orders are given during a handover, so a small gain is not worth one.
+	minStrengthRatio = 2.0
+	// minTermAgeForHandover is the least age of a term at its handover, and the least time that the stronger
+	// daemon must have been attached. Daemons attach to a new leader one after the other.
+	minTermAgeForHandover = time.Second
+	// handoverBackoffFactor multiplies the least term age each time that no other daemon took the term.
+	handoverBackoffFactor = 4
+	// handoverTimeout bounds the write of a handover.
+	handoverTimeout = 500 * time.Millisecond
 )
 
-// yieldPlan is when this daemon next hands its term over, should a stronger one be attached.
-type yieldPlan struct {
-	began time.Time     // the term
-	after time.Duration // age of a term at which it is handed over
-	last  time.Time     // of the last handover
+// handoverPlan decides when this daemon may hand over its term to one on a stronger machine.
+type handoverPlan struct {
+	termStart    time.Time
+	minTermAge   time.Duration // least age of the term for a handover
+	lastHandover time.Time
 }
 
-// termBegan takes in that a term of this daemon began: if it follows a handover of its own,
-// nobody else wanted it.
-func (y *yieldPlan) termBegan(now time.Time) {
-	y.began = now
-	if !y.last.IsZero() && now.Sub(y.last) < yieldAgain*yieldAfter {
-		y.after *= yieldAgain
+// termBegan records the start of a term. If it soon follows a handover, no other daemon took the term, and
+// the next handover waits longer.
+func (p *handoverPlan) termBegan(now time.Time) {
+	p.termStart = now
+	if !p.lastHandover.IsZero() && now.Sub(p.lastHandover) < handoverBackoffFactor*minTermAgeForHandover {
+		p.minTermAge *= handoverBackoffFactor
 		return
 	}
-	y.after = yieldAfter
+	p.minTermAge = minTermAgeForHandover
 }
 
-// due tells whether the term is old enough to be handed over.
-func (y *yieldPlan) due(now time.Time) bool { return now.Sub(y.began) >= y.after }
+// mayHandOver reports whether the term is old enough for a handover.
+func (p *handoverPlan) mayHandOver(now time.Time) bool { return now.Sub(p.termStart) >= p.minTermAge }
 
-// noteDaemon takes in what the first message of a stream says of its daemon.
-func (h *Holder) noteDaemon(first *rpc.LoadsDemand) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if known := h.daemons[first.GetDaemonId()]; known != nil {
-		known.delay, known.attached = time.Duration(first.GetTermDelayMs())*time.Millisecond, time.Now()
-		known.address, known.zone = first.GetAddress(), first.GetZone()
+// recordDaemon records a daemon's properties from the first message of its stream.
+func (l *Leader) recordDaemon(first *rpc.LoadsDemand) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if state := l.daemons[first.GetDaemonId()]; state != nil {
+		state.termDelay, state.attachedAt = time.Duration(first.GetTermDelayMs())*time.Millisecond, time.Now()
+		state.address, state.zone = first.GetAddress(), first.GetZone()
 	}
 }
 
-// strongerAttached tells whether a daemon on a much stronger machine has been attached for a
-// while; the mutex is held.
-//
-// A term falls to whoever hears first that it is open. A weak machine that holds it decides
-// late for all: on a drawn day of Nitra large (fresh-3090) one with 0.192 of a core held it
-// for 30 s, and 1,432 streams were refused for want of their model; 648 in a play of the same
-// day in which a strong machine held it.
-func (h *Holder) strongerAttached(now time.Time) bool {
-	for id, known := range h.daemons {
-		isStronger := known.delay > 0 && float64(h.TermDelay) >= strongerBy*float64(known.delay)
-		if isStronger && id != h.Daemon && known.detached.IsZero() && now.Sub(known.attached) >= yieldAfter {
+// hasStrongerDaemon reports whether a daemon on a much stronger machine has been attached for a while. A
+// leader on a weak machine delays the loads of the whole fleet. The caller holds the mutex.
+func (l *Leader) hasStrongerDaemon(now time.Time) bool {
+	for id, state := range l.daemons {
+		isStronger := state.termDelay > 0 && float64(l.TermDelay) >= minStrengthRatio*float64(state.termDelay)
+		if isStronger && id != l.Daemon && state.detachedAt.IsZero() && now.Sub(state.attachedAt) >= minTermAgeForHandover {
 			return true
 		}
 	}
 	return false
 }
 
-// yield hands the term over; the mutex is held.
-func (h *Holder) yield(ctx context.Context, now time.Time) {
-	h.yields.last = now
-	h.Log.WithField(logging.Fence, h.fence).Info("the term is handed over: a daemon on a stronger machine is attached")
+// handOver hands the term over in the background. The caller holds the mutex.
+func (l *Leader) handOver(ctx context.Context, now time.Time) {
+	l.handovers.lastHandover = now
+	l.Log.WithField(logging.Fence, l.fence).Info("handing the term over to a daemon on a stronger machine")
 	go func() {
-		ctx, cancel := context.WithTimeout(ctx, yieldTime)
+		ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 		defer cancel()
-		h.Election.Yield(ctx, h.Handover)
-		h.Wake()
+		l.Election.CompleteHandover(ctx, l.Handover)
+		l.Wake()
 	}()
 }
--- a/loading/needs.go
+++ b/loading/needs.go
@@ -10,71 +10,68 @@
 	"github.com/finchspoke/finchspoke/routing"
 )
 
-// modelNeed is the demand for a model and its adapters together.
+// modelNeed is the demand for a model, adapters included, and the copies that serve it.
 type modelNeed struct {
-	model     *routing.Model
-	perSecond float64
-	waiting   int // for the model
-	running   int
-	lastUsed  time.Time
-	waitedFor time.Duration
-	copies    int // loaded or being loaded where requests may go
-	loaded    int
-	desired   int
-	roomy     int // copies, those being loaded included, on replicas with places left
-	// adapterWaiting is how many wait for an adapter, or for the model of one.
+	model       *routing.Model
+	perSecond   float64
+	waiting     int // for the model; also for its adapters while it has no copy
+	running     int
+	lastUsed    time.Time
+	longestWait time.Duration
+	copies      int // loaded or being loaded, on serving replicas
+	loaded      int
+	desired     int
+	unsaturated int // copies on replicas that are not saturated, pending loads included
+	// adapterWaiting is the number of requests that wait for an adapter of the model.
 	adapterWaiting int
-	cached         bool            // a replica holds or keeps the weights, or loads them
-	zones          map[string]bool // where copies are loaded or being loaded
-	holders        []*place
-	keepers        []keeper
-	promisers      []*place // places whose room is kept for the model
-	taken          []*place // places that this decision uses for the model, or waits for
-	onWay          int      // copies that this decision makes room for, or that wait for their place
+	cached         bool            // a replica holds, is loading or has cached the weights
+	zones          map[string]bool // zones with a copy, pending loads included
+	loadedOn       []*candidate
+	cachedSources  []cachedSource
+	reservedOn     []*candidate // candidates with memory reserved for the model
+	chosen         []*candidate // candidates that this decision already uses for the model
+	comingCopies   int          // copies that this decision frees memory for, or that wait for a busy candidate
 }
 
 const (
-	// ratePerCopy is the arrivals a second that one copy of a model is meant for at most,
-	// where places do not bound it first; reading more prompts makes pauses in streams.
-	ratePerCopy = 5.0
-	// runningPerCopy is the requests at once that one copy is meant for at most, likewise.
-	runningPerCopy = 16.0
-	// crowdedRate is the arrivals a second from which a model gets another copy where
-	// all replicas that hold it are crowded.
-	crowdedRate = 0.5
-	// ratePerSlot and runningPerSlot are the same for each place of a replica, where all
-	// replicas are busy. leastRatePerSlot and leastRunningPerSlot are those where most places
-	// are free: copies then take what a replica takes on the mean, or popular models would
-	// crowd a tenth of the replicas beside idle ones. On scale-2 of Andina large (seed 11) the
-	// least figures earned 0.653 of worth, those of busy replicas 0.632.
-	ratePerSlot         = 0.3
-	runningPerSlot      = 0.6
-	leastRatePerSlot    = 0.1
-	leastRunningPerSlot = 0.25
-	// keepUsed is how long a model that was used keeps at least one copy.
-	keepUsed = 15 * time.Second
+	// maxRatePerCopy is the most arrivals per second that one copy should serve, if the replica's slots are
+	// not the tighter bound. Reading many prompts stalls the running streams.
+	maxRatePerCopy = 5.0
+	// maxRunningPerCopy is the most concurrent requests that one copy should serve, likewise.
+	maxRunningPerCopy = 16.0
+	// saturatedMinRate is the arrival rate per second from which a model on saturated replicas gets another
+	// copy.
+	saturatedMinRate = 0.5
+	// A copy should serve the mean load of a replica, within these bounds per slot: the upper ones in a busy
+	// fleet, the lower ones in an idle one, so that popular models spread to idle replicas.
+	maxRatePerSlot    = 0.3
+	maxRunningPerSlot = 0.6
+	minRatePerSlot    = 0.1
+	minRunningPerSlot = 0.25
+	// keepUsedTime is how long a model that was used keeps at least one copy.
+	keepUsedTime = 15 * time.Second
 )
 
-// copyLoad is what one copy of a model is meant for.
-type copyLoad struct {
+// copyCapacity is the load that one copy of a model should serve.
+type copyCapacity struct {
 	perSecond float64 // arrivals
-	running   float64 // requests at once
+	running   float64 // concurrent requests
 }
 
-// meantForCopy returns what one copy is meant for on the service's replicas.
-func (p *planner) meantForCopy() copyLoad {
-	meant := copyLoad{perSecond: ratePerCopy, running: runningPerCopy}
+// capacityPerCopy returns the capacity of a copy on the service's replicas.
+func (p *planner) capacityPerCopy() copyCapacity {
+	capacity := copyCapacity{perSecond: maxRatePerCopy, running: maxRunningPerCopy}
 	slots, mean := p.meanLoad()
 	if slots > 0 {
-		meant.perSecond = min(meant.perSecond, bounded(mean.perSecond, leastRatePerSlot*slots, ratePerSlot*slots))
-		meant.running = min(meant.running, bounded(mean.running, leastRunningPerSlot*slots, runningPerSlot*slots))
+		capacity.perSecond = min(capacity.perSecond, clamp(mean.perSecond, minRatePerSlot*slots, maxRatePerSlot*slots))
+		capacity.running = min(capacity.running, clamp(mean.running, minRunningPerSlot*slots, maxRunningPerSlot*slots))
 	}
-	return meant
+	return capacity
 }
 
-// meanLoad returns the most places that a replica of the service has, and what its replicas
-// that take requests carry on the mean.
-func (p *planner) meanLoad() (slots float64, mean copyLoad) {
+// meanLoad returns the largest number of slots of a replica of the service, and the mean load of its replicas
+// that are not draining.
+func (p *planner) meanLoad() (slots float64, mean copyCapacity) {
 	replicas := 0.0
 	for _, replica := range p.Replicas {
 		if replica.Service == p.service {
@@ -84,25 +81,25 @@
 			}
 		}
 	}
-	for key, asked := range p.Demand {
+	for key, keyDemand := range p.Demand {
 		if key.Service == p.service && replicas > 0 {
-			mean.perSecond += asked.PerSecond / replicas
-			mean.running += float64(asked.Running) / replicas
+			mean.perSecond += keyDemand.PerSecond / replicas
+			mean.running += float64(keyDemand.Running) / replicas
 		}
 	}
 	return slots, mean
 }
 
-func bounded(value, least, most float64) float64 { return min(most, max(least, value)) }
+func clamp(value, lower, upper float64) float64 { return min(upper, max(lower, value)) }
 
-// modelNeeds works out the needs of a service's models, the most urgent first.
+// modelNeeds computes the needs of the service's models, the most urgent first.
 func (p *planner) modelNeeds() []*modelNeed {
 	byName := make(map[string]*modelNeed, len(p.engine.Models))
 	for name, model := range p.engine.Models {
 		byName[name] = &modelNeed{model: model}
 	}
 	p.addDemand(byName)
-	p.noteSpared(byName)
+	p.excludeOverLimit(byName)
 	replicas := p.countCopies(byName)
 	needs := make([]*modelNeed, 0, len(byName))
 	for _, name := range sortedKeys(byName) {
@@ -110,36 +107,36 @@
 		if need.copies == 0 {
 			need.waiting += need.adapterWaiting
 		}
-		need.desired = need.wanted(p.Now, replicas, p.meant)
+		need.desired = need.desiredCopies(p.Now, replicas, p.capacity)
 		needs = append(needs, need)
 	}
-	slices.SortStableFunc(needs, func(a, b *modelNeed) int { return cmp.Compare(b.urgency(p.meant), a.urgency(p.meant)) })
+	slices.SortStableFunc(needs, func(a, b *modelNeed) int { return cmp.Compare(b.urgency(p.capacity), a.urgency(p.capacity)) })
 	return needs
 }
 
 // addDemand adds the demand for each model and its adapters.
 func (p *planner) addDemand(byName map[string]*modelNeed) {
-	for key, asked := range p.Demand {
+	for key, keyDemand := range p.Demand {
 		need := byName[key.Target.Model]
 		if key.Service != p.service || need == nil {
 			continue
 		}
-		need.perSecond += asked.PerSecond
-		need.running += asked.Running
+		need.perSecond += keyDemand.PerSecond
+		need.running += keyDemand.Running
 		if key.Target.Adapter == "" {
-			need.waiting += asked.Waiting
-			need.waitedFor = max(need.waitedFor, asked.WaitingFor)
+			need.waiting += keyDemand.Waiting
+			need.longestWait = max(need.longestWait, keyDemand.LongestWait)
 		} else {
-			need.adapterWaiting += asked.Waiting
+			need.adapterWaiting += keyDemand.Waiting
 		}
-		if asked.LastUsed.After(need.lastUsed) {
-			need.lastUsed = asked.LastUsed
+		if keyDemand.LastUsed.After(need.lastUsed) {
+			need.lastUsed = keyDemand.LastUsed
 		}
 	}
 }
 
-// countCopies counts the copies of each model and returns how many replicas the
-// service has; those that leave count for nothing, nor do copies whose limit is too low.
+// countCopies counts the copies of each model and returns the number of replicas of the service. It excludes
+// draining replicas, and copies over their replica's request limit.
 func (p *planner) countCopies(byName map[string]*modelNeed) (replicas int) {
 	for _, replica := range p.Replicas {
 		if replica.Service != p.service || replica.Draining {
@@ -147,27 +144,27 @@
 		}
 		replicas++
 		for model := range replica.Holdings {
-			if need := byName[model]; need != nil && !unloading(replica, model) && p.counts(replica, model) {
+			if need := byName[model]; need != nil && !isUnloading(replica, model) && p.isServing(replica, model) {
 				need.addCopy(replica.Zone)
 				need.loaded++
-				if replica.usage() < crowdedShare {
-					need.roomy++
+				if replica.utilization() < saturatedShare {
+					need.unsaturated++
 				}
 			}
 		}
-		for _, order := range replica.UnderWay {
+		for _, order := range replica.Pending {
 			need := byName[order.Target.Model]
 			_, held := replica.Holdings[order.Target.Model]
 			if need != nil && order.Verb == Load && order.ForModel() && !held {
 				need.addCopy(replica.Zone)
-				need.roomy++
+				need.unsaturated++
 			}
 		}
 	}
 	return replicas
 }
 
-// addCopy counts a copy that is loaded, or being loaded, in a zone.
+// addCopy counts a loaded or loading copy in a zone.
 func (n *modelNeed) addCopy(zone string) {
 	n.copies++
 	if n.zones == nil {
@@ -177,28 +174,28 @@
 }
 
 const (
-	// busyRate is the arrivals a second from which a model counts as busy.
+	// busyRate is the arrival rate per second from which a model counts as busy.
 	busyRate = 1.0
-	// spareCopies is the least number of copies of a busy model: the loss of one replica must
-	// not take it away.
+	// spareCopies is the least number of copies of a busy model, which keeps it available if a replica is
+	// lost.
 	spareCopies = 2
 )
 
-func unloading(replica *Replica, model string) bool {
-	order := replica.underWay(fleet.Target{Model: model})
+func isUnloading(replica *Replica, model string) bool {
+	order := replica.pending(fleet.Target{Model: model})
 	return order != nil && order.Verb == Unload
 }
 
-// wanted returns how many copies a model should have.
-func (n *modelNeed) wanted(now time.Time, replicas int, meant copyLoad) int {
-	copies := int(math.Ceil(max(n.perSecond/meant.perSecond-headroom, float64(n.running)/meant.running)))
-	if n.waiting > 0 && n.waitedFor > unreachableAfter && n.loaded == 1 && n.copies == 1 {
-		copies = max(copies, n.copies+1) // those that are loaded do not serve
+// desiredCopies returns how many copies a model should have.
+func (n *modelNeed) desiredCopies(now time.Time, replicas int, capacity copyCapacity) int {
+	copies := int(math.Ceil(max(n.perSecond/capacity.perSecond-copyHeadroom, float64(n.running)/capacity.running)))
+	if n.waiting > 0 && n.longestWait > unreachableAfter && n.loaded == 1 && n.copies == 1 {
+		copies = max(copies, n.copies+1) // the loaded copy does not respond
 	}
-	if n.loaded > 0 && n.roomy == 0 && n.perSecond >= crowdedRate {
-		copies = max(copies, n.copies+1) // others use up the places where it is loaded
+	if n.loaded > 0 && n.unsaturated == 0 && n.perSecond >= saturatedMinRate {
+		copies = max(copies, n.copies+1) // other models saturate its replicas
 	}
-	if n.waiting > 0 || (!n.lastUsed.IsZero() && now.Sub(n.lastUsed) < keepUsed) {
+	if n.waiting > 0 || (!n.lastUsed.IsZero() && now.Sub(n.lastUsed) < keepUsedTime) {
 		copies = max(copies, 1)
 	}
 	if n.perSecond >= busyRate {
@@ -207,30 +204,27 @@
 	return min(copies, replicas)
 }
 
-// unreachableAfter is how long requests wait for a model that is loaded before it
-// gets another copy: its replicas cannot be reached, or reject them.
+// unreachableAfter is how long requests wait for a loaded model before it gets another copy. Its replicas are
+// then unreachable or reject the requests.
 const unreachableAfter = 1500 * time.Millisecond
 
-// headroom keeps a rate just above a whole number of copies from asking for one
-// more.
-const headroom = 0.15
+// copyHeadroom, in copies, is how far demand may exceed the capacity before another copy is desired.
+const copyHeadroom = 0.15
 
-// urgencyHorizon is over how many seconds the requests are counted that a load
-// started now would help.
-const urgencyHorizon = 4.0
+// urgencyHorizonSeconds is the time over which future requests count towards the urgency of a load.
+const urgencyHorizonSeconds = 4.0
 
-// ageUrgency is how much more urgent a model becomes with each second that requests
-// wait for it, so that none is passed over for ever.
-const ageUrgency = 0.7
+// urgencyPerSecondWaited is added to the urgency for each second of the longest wait. It prevents starvation.
+const urgencyPerSecondWaited = 0.7
 
-// aheadUrgency is the urgency of a copy that is loaded ahead of demand.
-const aheadUrgency = 0.1
+// spareCopyUrgency is the base urgency of a copy that the present demand does not require.
+const spareCopyUrgency = 0.1
 
-// urgency returns about how many requests a load would help: those that wait for a
-// model without a copy, or those that come to copies which have more than enough.
-func (n *modelNeed) urgency(meant copyLoad) float64 {
+// urgency returns an estimate of how many requests a load would help: those waiting for a model without a
+// copy, or those beyond the capacity of its copies.
+func (n *modelNeed) urgency(capacity copyCapacity) float64 {
 	if n.copies == 0 && n.waiting > 0 {
-		return float64(n.waiting) + n.perSecond*urgencyHorizon + ageUrgency*n.waitedFor.Seconds()
+		return float64(n.waiting) + n.perSecond*urgencyHorizonSeconds + urgencyPerSecondWaited*n.longestWait.Seconds()
 	}
 	if n.copies >= n.desired {
 		return 0
@@ -238,9 +232,9 @@
 	if n.waiting > 0 {
 		return float64(n.waiting)
 	}
-	short := n.perSecond - meant.perSecond*float64(n.copies)
-	if short <= 0 {
-		return aheadUrgency * (1 + n.perSecond)
+	excess := n.perSecond - capacity.perSecond*float64(n.copies)
+	if excess <= 0 {
+		return spareCopyUrgency * (1 + n.perSecond)
 	}
-	return short * urgencyHorizon
+	return excess * urgencyHorizonSeconds
 }
--- a/loading/state.go
+++ b/loading/state.go
@@ -8,141 +8,140 @@
 	"github.com/finchspoke/finchspoke/fleet"
 )
 
-// Report is a replica's own word on itself, as it stood a moment earlier.
+// Report is a replica's report of its own state, which may lag behind its responses to orders.
 type Report struct {
-	Born     int64 // Unix ms of its start; zero if it does not say
-	Sequence int64
-	Busy     bool // a model is being loaded or unloaded
-	Holdings fleet.Holdings
-	Coming   []fleet.Target // adapters on their way
-	InMemory []string
-	OnDisk   []string
+	Born            int64 // start time in Unix ms; zero if not given
+	Sequence        int64
+	Busy            bool // a model is being loaded or unloaded
+	Holdings        fleet.Holdings
+	LoadingAdapters []fleet.Target // adapters being loaded
+	InMemory        []string
+	OnDisk          []string
 }
 
 const (
-	// settleTime is how long an order that left no trace in a report is believed to
-	// be under way.
-	settleTime = 600 * time.Millisecond
-	// refusedPause keeps orders back after a replica refused one.
-	refusedPause = 150 * time.Millisecond
+	// unconfirmedOrderTTL is how long an accepted order that no report reflects still counts as pending.
+	unconfirmedOrderTTL = 600 * time.Millisecond
+	// refusalBackoff defers orders after a refusal.
+	refusalBackoff = 150 * time.Millisecond
 )
 
-// Took takes in that the replica accepted an order.
-func (r *Replica) Took(order Order, now time.Time) {
-	r.endUnloads(now)
+// MarkAccepted records that the replica accepted an order.
+func (r *Replica) MarkAccepted(order Order, now time.Time) {
+	r.completeUnloads(now)
 	r.Sequence = order.Sequence + 1
-	r.UnderWay = slices.DeleteFunc(r.UnderWay, func(one UnderWay) bool { return one.is(order) })
-	r.UnderWay = append(r.UnderWay, UnderWay{Order: order, Since: now})
-	r.promise(order, now)
+	r.Pending = slices.DeleteFunc(r.Pending, func(pending Pending) bool { return pending.sameAs(order) })
+	r.Pending = append(r.Pending, Pending{Order: order, Since: now})
+	r.reserveRoom(order, now)
 }
 
-// WithCall returns the replica as it may be once a call on its way has been
-// answered: the order counts as under way, and no other can be given.
-func (r *Replica) WithCall(order *Order, now, blockedUntil time.Time) *Replica {
-	calling := *r
-	calling.BlockedUntil = blockedUntil
+// WithPendingCall returns a copy of the replica's state for the time of a call: the order counts as pending,
+// and no other order can be given.
+func (r *Replica) WithPendingCall(order *Order, now, blockedUntil time.Time) *Replica {
+	clone := *r
+	clone.BlockedUntil = blockedUntil
 	if order != nil {
-		calling.UnderWay = append(slices.Clone(r.UnderWay), UnderWay{Order: *order, Since: now})
+		clone.Pending = append(slices.Clone(r.Pending), Pending{Order: *order, Since: now})
 	}
-	return &calling
+	return &clone
 }
 
-// promise notes for which model room is made, or that it was used.
-func (r *Replica) promise(order Order, now time.Time) {
+// reserveRoom records a reservation of memory by an unload, or its use by a load.
+func (r *Replica) reserveRoom(order Order, now time.Time) {
 	if order.RoomFor != "" {
-		r.PromisedTo, r.PromisedUntil = order.RoomFor, now.Add(promiseTime)
-	} else if order.Verb == Load && order.Target.Model == r.PromisedTo {
-		r.PromisedTo = ""
+		r.ReservedFor, r.ReservedUntil = order.RoomFor, now.Add(roomReservationTime)
+	} else if order.Verb == Load && order.Target.Model == r.ReservedFor {
+		r.ReservedFor = ""
 	}
 }
 
-// promiseTime is how long room that was made for a model is kept for it.
-const promiseTime = 3 * time.Second
+// roomReservationTime is how long freed memory stays reserved for a model.
+const roomReservationTime = 3 * time.Second
 
-// Did takes in that the replica answered that an order needs nothing more: what is
-// to be loaded is there, or an adapter was unloaded at once.
-func (r *Replica) Did(order Order, now time.Time) {
+// MarkDone records the response that an order requires nothing more: the target of a load is loaded, or an
+// adapter was unloaded at once.
+func (r *Replica) MarkDone(order Order, now time.Time) {
 	if order.Verb == Unload {
 		r.Sequence = order.Sequence + 1
 	}
 	if order.ForModel() {
-		r.endUnloads(now)
-		r.Ended(order, now)
+		r.completeUnloads(now)
+		r.CompleteOrder(order, now)
 		return
 	}
-	r.apply(order)
+	r.applyOrder(order)
 }
 
-// Doubt takes in that an order was refused or got no answer, so that the replica's
-// own word must be heard before the next.
-func (r *Replica) Doubt(now time.Time) {
-	r.Known, r.Assumed = false, false
-	r.BlockedUntil = now.Add(refusedPause)
+// MarkUnverified records that an order was refused or got no response; a report is needed before the next
+// order.
+func (r *Replica) MarkUnverified(now time.Time) {
+	r.Verified, r.Assumed = false, false
+	r.BlockedUntil = now.Add(refusalBackoff)
 }
 
-// Lost takes in that the address belongs to another replica, or that nothing listens
-// there: the registry will say so.
-func (r *Replica) Lost(now time.Time) {
-	r.Known, r.Assumed = false, false
-	r.BlockedUntil = now.Add(lostPause)
+// MarkUnreachable records that nothing listens at the replica's address, or that another replica does. The
+// registry is expected to change accordingly.
+func (r *Replica) MarkUnreachable(now time.Time) {
+	r.Verified, r.Assumed = false, false
+	r.BlockedUntil = now.Add(unreachableBackoff)
 }
 
-// lostPause keeps orders and questions back from a replica that is not there.
-const lostPause = 1500 * time.Millisecond
+// unreachableBackoff defers orders and reports after a replica was unreachable.
+const unreachableBackoff = 1500 * time.Millisecond
 
-// Restarted takes in that the replica has started again under its id, at a moment by its own clock: it is
-// empty, knows no order, and its own word must be heard before the next.
-func (r *Replica) Restarted(born int64) {
+// MarkRestarted records that the replica has restarted under the same ID. Nothing is loaded, it has taken no
+// order, and a report is needed before the next order.
+func (r *Replica) MarkRestarted(startedUnixMs int64) {
 	if r.Born != 0 {
-		r.Known, r.Assumed = false, false
-		r.Sequence, r.Holdings, r.UnderWay, r.InMemory = 0, nil, nil, nil
-		r.PromisedTo, r.LoadedAt, r.ReadAgainAt = "", nil, time.Time{}
+		r.Verified, r.Assumed = false, false
+		r.Sequence, r.Holdings, r.Pending, r.InMemory = 0, nil, nil, nil
+		r.ReservedFor, r.LoadedAt, r.ReportDueAt = "", nil, time.Time{}
 	}
-	r.Born = born
+	r.Born = startedUnixMs
 }
 
-// Hear takes in a replica's report and tells whether it changed what is known.
-func (r *Replica) Hear(report Report, now time.Time) bool {
+// ApplyReport applies a replica's report and returns whether the known state changed.
+func (r *Replica) ApplyReport(report Report, now time.Time) bool {
 	switch {
 	case report.Born != 0 && report.Born < r.Born:
-		return false // of an earlier incarnation
+		return false // from an earlier incarnation
 	case report.Born > r.Born:
-		r.Restarted(report.Born)
-	case report.Sequence < r.Sequence && r.Known:
+		r.MarkRestarted(report.Born)
+	case report.Sequence < r.Sequence && r.Verified:
 		return false // from before the last order
 	}
-	if r.olderThanAnswers(report, now) {
+	if r.predatesResponses(report, now) {
 		return false
 	}
-	r.ReadAgainAt, r.Assumed = time.Time{}, false
-	changed := report.Sequence != r.Sequence || !r.Known
+	r.ReportDueAt, r.Assumed = time.Time{}, false
+	changed := report.Sequence != r.Sequence || !r.Verified
 	changed = changed || !slices.Equal(r.InMemory, report.InMemory) || !slices.Equal(r.OnDisk, report.OnDisk)
 	r.InMemory, r.OnDisk = report.InMemory, report.OnDisk
 	if report.Sequence != r.Sequence {
-		// Others gave orders, or one of ours was carried out late.
-		r.UnderWay = nil
+		// The replica took orders from others, or an order of this leader late.
+		r.Pending = nil
 	}
-	changed = r.adopt(report.Holdings, now) || changed
+	changed = r.replaceHoldings(report.Holdings, now) || changed
 	r.Sequence = report.Sequence
-	before := len(r.UnderWay)
-	r.UnderWay = slices.DeleteFunc(r.UnderWay, func(order UnderWay) bool { return r.ended(order, report, now) })
-	// A load that is not known is charged by giving no order until it has ended.
-	r.Known = !report.Busy || r.busy()
-	for _, coming := range report.Coming {
-		if r.underWay(coming) == nil {
-			r.UnderWay = append(r.UnderWay, UnderWay{Order: Order{ReplicaID: r.ID, Verb: Load, Target: coming, Takes: adapterTime}, Since: now})
+	before := len(r.Pending)
+	r.Pending = slices.DeleteFunc(r.Pending, func(order Pending) bool { return r.orderEnded(order, report, now) })
+	// If an unknown load is in progress, give no order until it has ended.
+	r.Verified = !report.Busy || r.busy()
+	for _, adapter := range report.LoadingAdapters {
+		if r.pending(adapter) == nil {
+			r.Pending = append(r.Pending, Pending{Order: Order{ReplicaID: r.ID, Verb: Load, Target: adapter, ExpectedDuration: adapterLoadTime}, Since: now})
 		}
 	}
-	return changed || before != len(r.UnderWay)
+	return changed || before != len(r.Pending)
 }
 
-// adopt replaces the holdings and notes when models came.
-func (r *Replica) adopt(holdings fleet.Holdings, now time.Time) bool {
+// replaceHoldings replaces the holdings and records when models appeared.
+func (r *Replica) replaceHoldings(holdings fleet.Holdings, now time.Time) bool {
 	if r.LoadedAt == nil {
 		r.LoadedAt = map[string]time.Time{}
 	}
 	for model := range holdings {
-		if _, held := r.Holdings[model]; !held && r.Known {
+		if _, held := r.Holdings[model]; !held && r.Verified {
 			r.LoadedAt[model] = now
 		}
 	}
@@ -156,20 +155,20 @@
 	return changed
 }
 
-// ended tells whether a report shows that an order is no longer under way.
-func (r *Replica) ended(order UnderWay, report Report, now time.Time) bool {
+// orderEnded reports whether, according to a report, an order is no longer pending.
+func (r *Replica) orderEnded(order Pending, report Report, now time.Time) bool {
 	done := report.Holdings.Has(order.Target) == (order.Verb == Load)
 	switch {
 	case order.ForModel():
-		return done && !report.Busy || !report.Busy && now.Sub(order.Since) > settleTime
+		return done && !report.Busy || !report.Busy && now.Sub(order.Since) > unconfirmedOrderTTL
 	case done:
 		return true
 	}
-	return !slices.Contains(report.Coming, order.Target) && now.Sub(order.Since) > settleTime
+	return !slices.Contains(report.LoadingAdapters, order.Target) && now.Sub(order.Since) > unconfirmedOrderTTL
 }
 
-// apply changes the holdings as an order that was carried out does.
-func (r *Replica) apply(order Order) {
+// applyOrder changes the holdings as a finished order does.
+func (r *Replica) applyOrder(order Order) {
 	holdings := maps.Clone(r.Holdings)
 	if holdings == nil {
 		holdings = fleet.Holdings{}
@@ -184,29 +183,29 @@
 		delete(holdings, model)
 	case order.Verb == Unload:
 		if adapters, held := holdings[model]; held {
-			holdings[model] = slices.DeleteFunc(slices.Clone(adapters), func(one string) bool { return one == adapter })
+			holdings[model] = slices.DeleteFunc(slices.Clone(adapters), func(name string) bool { return name == adapter })
 		}
 	}
 	r.Holdings = holdings
 }
 
-// NextCheck returns when the replica's report should be read next; zero: not needed.
+// NextCheck returns when to check on the replica next, by a probe or a report; zero: not needed.
 func (r *Replica) NextCheck(now time.Time) time.Time {
 	if r.Assumed {
 		return time.Time{}
 	}
-	if !r.Known {
+	if !r.Verified {
 		return r.BlockedUntil
 	}
-	next := r.ReadAgainAt
-	for _, order := range r.UnderWay {
+	next := r.ReportDueAt
+	for _, order := range r.Pending {
 		at := order.ReadyAt()
 		switch {
 		case !order.ForModel():
-		case order.Verb == Load && order.Asked < mostAsked:
-			at = order.askAt()
-		case order.Verb == Unload && order.Asked == 0:
-			at = at.Add(triedWithin) // the next order tells
+		case order.Verb == Load && order.Probes < maxProbes:
+			at = order.probeAt()
+		case order.Verb == Unload && order.Probes == 0:
+			at = at.Add(unloadReportDelay) // the response to the next order may show it earlier
 		}
 		if next.IsZero() || at.Before(next) {
 			next = at
@@ -215,19 +214,18 @@
 	return next
 }
 
-// StoreWindow limits the loads from the weight store that begin within a window of
-// time, over all replicas.
+// StoreWindow bounds the loads from the weight store, over all replicas, that start within a sliding window.
 type StoreWindow struct {
 	Length time.Duration
-	Most   int
+	Max    int
 	starts []time.Time
 }
 
-// Allowed returns how many loads may begin now.
+// Allowed returns how many loads may start now.
 func (w *StoreWindow) Allowed(now time.Time) int {
 	w.starts = slices.DeleteFunc(w.starts, func(start time.Time) bool { return now.Sub(start) > w.Length })
-	return max(0, w.Most-len(w.starts))
+	return max(0, w.Max-len(w.starts))
 }
 
-// Began counts a load.
-func (w *StoreWindow) Began(now time.Time) { w.starts = append(w.starts, now) }
+// RecordStart counts a load that starts now.
+func (w *StoreWindow) RecordStart(now time.Time) { w.starts = append(w.starts, now) }
