--- a/election/election.go
+++ b/election/election.go
@@ -346,7 +346,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, e.TTL)
 	defer cancel()
-	store := kv.Hurried{LeaseStore: e.store, Timeout: e.patience()}
+	store := kv.TimeoutStore{LeaseStore: e.store, Timeout: e.patience()}
 	sent := e.now()
 	lease, err := store.GrantLease(ctx, e.TTL)
 	if err != nil {
@@ -395,7 +395,7 @@
 func (e *Election) endLease(ctx context.Context, lease kv.LeaseID) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	if err := e.store.EndLease(ctx, lease); err != nil {
+	if err := e.store.RevokeLease(ctx, lease); err != nil {
 		e.log.WithField(logging.Cause, err.Error()).Info("a lease is not ended; it runs out by itself")
 	}
 }
@@ -471,14 +471,14 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sent := e.now()
-	err := e.store.KeepLease(ctx, lease)
+	err := e.store.RenewLease(ctx, lease)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	switch {
 	case e.lease != lease:
 	case err == nil:
 		e.renewed = sent
-	case errors.Is(err, kv.ErrNoLease):
+	case errors.Is(err, kv.ErrLeaseNotFound):
 		e.loseTerm("the lease is over")
 		e.vacancy = &vacancy{}
 	case errors.Is(err, kv.ErrRestored):
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -72,7 +72,7 @@
 	return lease, nil
 }
 
-func (v view) KeepLease(_ context.Context, lease kv.LeaseID) error {
+func (v view) RenewLease(_ context.Context, lease kv.LeaseID) error {
 	if err := v.answers(); err != nil {
 		return err
 	}
@@ -82,13 +82,13 @@
 	case lease.Era != kv.EraOf(v.revision):
 		return kv.ErrRestored
 	case !v.held || lease != v.lease:
-		return kv.ErrNoLease
+		return kv.ErrLeaseNotFound
 	}
 	v.expiry.Reset(testTTL)
 	return nil
 }
 
-func (v view) EndLease(_ context.Context, lease kv.LeaseID) error {
+func (v view) RevokeLease(_ context.Context, lease kv.LeaseID) error {
 	v.mutex.Lock()
 	bound := v.held && lease == v.lease
 	v.mutex.Unlock()
--- a/election/restore_test.go
+++ b/election/restore_test.go
@@ -21,7 +21,7 @@
 func (r *oneRecord) copied() recordCopy {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return recordCopy{r.pair, r.held, kv.CountOf(r.revision)}
+	return recordCopy{r.pair, r.held, kv.CounterOf(r.revision)}
 }
 
 // restore makes the store go on from a copy in its next era; the lease of the record in it runs anew.
@@ -31,9 +31,9 @@
 	if r.expiry != nil {
 		r.expiry.Stop()
 	}
-	r.revision = kv.RevisionIn(era, from.count)
+	r.revision = kv.MakeRevision(era, from.count)
 	r.pair, r.held = from.pair, from.held
-	r.pair.ModRevision = kv.RevisionIn(era, kv.CountOf(from.pair.ModRevision))
+	r.pair.ModRevision = kv.MakeRevision(era, kv.CounterOf(from.pair.ModRevision))
 	r.lease = kv.LeaseID{}
 	event := kv.Event{Pair: r.pair}
 	if r.held {
@@ -100,7 +100,7 @@
 		before, standing := one.Term()
 		require.Equal(t, Sure, standing)
 		store.restore(nothing) // tells nobody
-		one.Vacate(kv.RevisionIn(1, 0))
+		one.Vacate(kv.MakeRevision(1, 0))
 		time.Sleep(10 * time.Millisecond)
 		after, standing := one.Term()
 		require.Equal(t, Sure, standing)
--- a/kv/client.go
+++ b/kv/client.go
@@ -24,21 +24,21 @@
 )
 
 const (
-	requestTimeout  = 2 * time.Second
-	maxAnswerBytes  = 8 << 20
-	clientRate      = rate.Limit(50) // operations a second from one daemon
-	clientRateBurst = 50
+	requestTimeout   = 2 * time.Second
+	maxResponseBytes = 8 << 20
+	clientRate       = rate.Limit(50) // operations per second
+	clientRateBurst  = 50
 )
 
-// Client speaks the etcd v3 JSON gateway. It implements Store.
+// Client is a Store over the etcd v3 JSON gateway.
 type Client struct {
 	base    string // http://host:port
 	http    *http.Client
 	limiter *rate.Limiter
 }
 
-// NewClient returns a client for the gateway at an address host:port. The
-// service limits each client, so the client limits itself first.
+// NewClient returns a client for the gateway at address (host:port). The client
+// limits its own request rate to stay below the service's limit per client.
 func NewClient(address string) *Client {
 	return &Client{
 		base: "http://" + address,
@@ -53,52 +53,52 @@
 
 // Get implements Store.
 func (c *Client) Get(ctx context.Context, key string) (Pair, bool, error) {
-	var answer WireRangeAnswer
-	if err := c.call(ctx, PathRange, WireRange{Key: []byte(key)}, &answer); err != nil {
+	var response WireRangeResponse
+	if err := c.call(ctx, PathRange, WireRange{Key: []byte(key)}, &response); err != nil {
 		return Pair{}, false, err
 	}
-	if len(answer.Pairs) == 0 {
+	if len(response.Pairs) == 0 {
 		return Pair{Key: key}, false, nil
 	}
-	return answer.Pairs[0].pair(), true, nil
+	return response.Pairs[0].pair(), true, nil
 }
 
 // List implements Store.
 func (c *Client) List(ctx context.Context, prefix string) ([]Pair, int64, error) {
-	var answer WireRangeAnswer
-	ask := WireRange{Key: []byte(prefix), RangeEnd: PrefixEnd([]byte(prefix))}
-	if err := c.call(ctx, PathRange, ask, &answer); err != nil {
+	var response WireRangeResponse
+	request := WireRange{Key: []byte(prefix), RangeEnd: PrefixEnd([]byte(prefix))}
+	if err := c.call(ctx, PathRange, request, &response); err != nil {
 		return nil, 0, err
 	}
-	return pairs(answer.Pairs), int64(answer.Header.Revision), nil
+	return pairs(response.Pairs), int64(response.Header.Revision), nil
 }
 
 // Commit implements Store.
 func (c *Client) Commit(ctx context.Context, txn Txn) (TxnResult, error) {
-	var ask WireTxn
+	var request WireTxn
 	for _, condition := range txn.Conditions {
-		ask.Compare = append(ask.Compare, WireCompare{
+		request.Compare = append(request.Compare, WireCompare{
 			Key: []byte(condition.Key), Target: CompareTargetMod, Result: CompareResultEqual,
 			ModRevision: Int64(condition.ModRevision),
 		})
-		ask.Failure = append(ask.Failure, WireOperation{Range: &WireRange{Key: []byte(condition.Key)}})
+		request.Failure = append(request.Failure, WireOperation{Range: &WireRange{Key: []byte(condition.Key)}})
 	}
 	for _, put := range txn.Puts {
-		ask.Success = append(ask.Success, WireOperation{
+		request.Success = append(request.Success, WireOperation{
 			Put: &WirePut{Key: []byte(put.Key), Value: put.Value, Lease: Int64(put.Lease.Number)}})
 	}
 	for _, key := range txn.Deletes {
-		ask.Success = append(ask.Success, WireOperation{Delete: &WireRange{Key: []byte(key)}})
+		request.Success = append(request.Success, WireOperation{Delete: &WireRange{Key: []byte(key)}})
 	}
-	var answer WireTxnAnswer
-	if err := c.call(ctx, PathTxn, ask, &answer); err != nil {
+	var response WireTxnResponse
+	if err := c.call(ctx, PathTxn, request, &response); err != nil {
 		return TxnResult{}, err
 	}
-	result := TxnResult{Succeeded: answer.Succeeded, Revision: int64(answer.Header.Revision)}
-	if !answer.Succeeded {
-		for _, response := range answer.Responses {
-			if response.Range != nil {
-				result.Current = append(result.Current, pairs(response.Range.Pairs)...)
+	result := TxnResult{Succeeded: response.Succeeded, Revision: int64(response.Header.Revision)}
+	if !response.Succeeded {
+		for _, operation := range response.Responses {
+			if operation.Range != nil {
+				result.Current = append(result.Current, pairs(operation.Range.Pairs)...)
 			}
 		}
 	}
@@ -107,26 +107,26 @@
 
 // GrantLease implements Store.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
-	var answer WireLeaseAnswer
-	ask := WireLeaseGrant{TTL: Int64(math.Ceil(ttl.Seconds()))}
-	if err := c.call(ctx, PathLeaseGrant, ask, &answer); err != nil {
+	var response WireLeaseGrantResponse
+	request := WireLeaseGrant{TTL: Int64(math.Ceil(ttl.Seconds()))}
+	if err := c.call(ctx, PathLeaseGrant, request, &response); err != nil {
 		return LeaseID{}, err
 	}
-	return LeaseID{Number: int64(answer.ID)}, nil
+	return LeaseID{Number: int64(response.ID)}, nil
 }
 
 // Watch implements Store.
 func (c *Client) Watch(ctx context.Context, prefix string, revision int64, handle func(Event)) error {
-	ask := WireWatch{Create: WireWatchCreate{
+	request := WireWatch{Create: WireWatchCreate{
 		Key: []byte(prefix), RangeEnd: PrefixEnd([]byte(prefix)), StartRevision: Int64(revision)}}
-	response, err := c.post(ctx, PathWatch, ask)
+	response, err := c.post(ctx, PathWatch, request)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
 	decoder := json.NewDecoder(response.Body)
 	for {
-		var message WireWatchAnswer
+		var message WireWatchResponse
 		if err := decoder.Decode(&message); err != nil {
 			return errors.Wrap(ErrUnavailable, "watch ended: "+err.Error())
 		}
@@ -142,60 +142,60 @@
 	}
 }
 
-// call posts a question and reads its whole answer.
-func (c *Client) call(ctx context.Context, path string, ask, answer any) error {
+// call posts a request and decodes the JSON response into out.
+func (c *Client) call(ctx context.Context, path string, request, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	response, err := c.postPatiently(ctx, path, ask)
+	response, err := c.retryRateLimited(ctx, path, request)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return errors.Wrap(ErrUncertain, err.Error())
 	}
-	if err := json.Unmarshal(body, answer); err != nil {
-		return errors.Wrap(ErrUncertain, "answer is not JSON: "+err.Error())
+	if err := json.Unmarshal(body, out); err != nil {
+		return errors.Wrap(ErrUncertain, "response is not valid JSON: "+err.Error())
 	}
 	return nil
 }
 
-// errRateLimited is the service's refusal of an operation, which did not run.
-var errRateLimited = errors.Wrap(ErrUnavailable, "rate limit of the service")
+// errRateLimited means that the service rejected an operation with status 429 without running it.
+var errRateLimited = errors.Wrap(ErrUnavailable, "rate limited by the service")
 
-// limitPause is the wait before an operation is tried again that the service's rate
-// limit turned away; up to as much again is added by chance.
-const limitPause = 50 * time.Millisecond
+// rateLimitPause is the minimum delay before a rate-limited operation is retried;
+// up to the same amount of jitter is added.
+const rateLimitPause = 50 * time.Millisecond
 
-// postPatiently is post that comes back after the service's rate limit.
-func (c *Client) postPatiently(ctx context.Context, path string, ask any) (*http.Response, error) {
+// retryRateLimited is post, retried until ctx ends while the service rate-limits the operation.
+func (c *Client) retryRateLimited(ctx context.Context, path string, request any) (*http.Response, error) {
 	for {
-		response, err := c.post(ctx, path, ask)
+		response, err := c.post(ctx, path, request)
 		if !errors.Is(err, errRateLimited) {
 			return response, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(limitPause + rand.N(limitPause)):
+		case <-time.After(rateLimitPause + rand.N(rateLimitPause)):
 		}
 	}
 }
 
-// post sends a question and classes what can go wrong: only an operation that
-// was never sent, or that the rate limit turned away, certainly did not run.
-func (c *Client) post(ctx context.Context, path string, ask any) (*http.Response, error) {
+// post sends a request and classifies errors: only an operation that was never
+// sent, or that the service rate-limited, certainly did not run.
+func (c *Client) post(ctx context.Context, path string, request any) (*http.Response, error) {
 	if err := c.limiter.Wait(ctx); err != nil {
-		return nil, errors.Wrap(ErrUnavailable, "own rate limit: "+err.Error())
+		return nil, errors.Wrap(ErrUnavailable, "client rate limit: "+err.Error())
 	}
-	body, err := json.Marshal(ask)
+	body, err := json.Marshal(request)
 	if err != nil {
-		return nil, errors.Wrap(err, "encode question")
+		return nil, errors.Wrap(err, "encode request")
 	}
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "make request")
+		return nil, errors.Wrap(err, "create HTTP request")
 	}
 	httpRequest.Header.Set("Content-Type", "application/json")
 	response, err := c.http.Do(httpRequest)
--- a/kv/client_test.go
+++ b/kv/client_test.go
@@ -50,7 +50,7 @@
 	require.Len(t, pairs, 1)
 }
 
-func TestErrorsTellWhetherAWriteMayHaveRun(t *testing.T) {
+func TestErrorsDistinguishUncertainWrites(t *testing.T) {
 	client, service, proxy := start(t)
 	ctx := context.Background()
 	service.Faults.Set(keyvalue.Faults{LoseAnswers: 100})
@@ -58,7 +58,7 @@
 	require.ErrorIs(t, err, kv.ErrUncertain)
 	_, found, err := client.Get(ctx, "lost")
 	require.NoError(t, err)
-	require.True(t, found, "it took effect")
+	require.True(t, found, "the write took effect")
 	service.Faults.Set(keyvalue.Faults{})
 	proxy.Close()
 	_, err = client.Commit(ctx, create("never", "v"))
@@ -67,7 +67,7 @@
 	require.ErrorIs(t, err, kv.ErrUnavailable)
 }
 
-func TestCommitResolvedSettlesLostAnswers(t *testing.T) {
+func TestCommitResolvedHandlesLostResponses(t *testing.T) {
 	client, service, proxy := start(t)
 	ctx := context.Background()
 	service.Faults.Set(keyvalue.Faults{LoseAnswers: 100})
@@ -76,27 +76,27 @@
 	require.True(t, result.Succeeded)
 	result, err = kv.CommitResolved(ctx, client, create("mine", "writer-2"))
 	require.NoError(t, err)
-	require.False(t, result.Succeeded, "another writer has it")
+	require.False(t, result.Succeeded, "another writer holds the key")
 	service.Faults.Set(keyvalue.Faults{})
 	proxy.Set(faultproxy.Faults{DropAnswers: true})
 	_, err = kv.CommitResolved(ctx, client, create("other", "writer-1"))
-	require.ErrorIs(t, err, kv.ErrUncertain, "nothing can be read back")
+	require.ErrorIs(t, err, kv.ErrUncertain, "the key cannot be read back")
 }
 
-func TestFollowSeesEveryChangeThroughOutages(t *testing.T) {
+func TestFollowReportsEveryChangeAcrossOutages(t *testing.T) {
 	client, service, proxy := start(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	seen := make(chan string, 100)
+	received := make(chan string, 100)
 	go func() {
-		_ = kv.Follow(ctx, client, "p/", func(event kv.Event) { seen <- event.Pair.Key + "=" + string(event.Pair.Value) })
+		_ = kv.Follow(ctx, client, "p/", func(event kv.Event) { received <- event.Pair.Key + "=" + string(event.Pair.Value) })
 	}()
 	for number := range 3 {
 		key := fmt.Sprintf("p/%d", number)
-		// The proxy has just cut the connection: the answer may be lost.
+		// The proxy may just have cut the connection, which loses the response.
 		_, err := kv.CommitResolved(ctx, client, create(key, "v"))
 		require.NoError(t, err)
-		require.Eventually(t, func() bool { return <-seen == key+"=v" }, 10*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return <-received == key+"=v" }, 10*time.Second, time.Millisecond)
 		switch number {
 		case 0:
 			proxy.Cut()
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestLeaseEndsItsKeys(t *testing.T) {
+func TestKeysAreDeletedWhenTheirLeaseExpires(t *testing.T) {
 	client, _, _ := start(t)
 	ctx := context.Background()
 	lease, err := client.GrantLease(ctx, time.Second)
--- a/kv/era.go
+++ b/kv/era.go
@@ -2,23 +2,21 @@
 
 import "github.com/pkg/errors"
 
-// A service that is restored from a copy loses the writes since, and gives their revisions out again. Each
-// time its era rises by one. Revisions in this package carry their era above the service's own count of
-// changes, so that they are ordered over restores: every revision of an era lies above all of the eras
-// before. A service that names no era has a single one, in which a revision is the count itself.
+// counterBits is the number of low bits of a revision that hold the service's own change counter. The era,
+// which is the number of restores from a backup, is above them: a restored service reuses counter values,
+// and the era keeps revisions ordered across restores. Services that report no era are in era zero.
+// Era and counter together fit in the integers that a JSON number represents exactly.
+const counterBits = 40
 
-// countBits is how many bits of a revision are the service's own count of changes. Both fit a JSON number.
-const countBits = 40
+// ErrRestored means that the revision or lease passed to a call is from before a restore of the service from
+// a backup, and is no longer valid.
+var ErrRestored = errors.New("key-value service was restored from a backup; its records must be listed again")
 
-// ErrRestored means that the service was restored from a copy since the revision or lease that a call names
-// was heard of: neither says anything of what it holds now.
-var ErrRestored = errors.New("key-value service was restored from a copy; its records must be listed again")
-
-// RevisionIn returns the revision of a change that an era's count names.
-func RevisionIn(era, count int64) int64 { return era<<countBits | count }
+// MakeRevision combines an era and the service's change counter into a revision.
+func MakeRevision(era, counter int64) int64 { return era<<counterBits | counter }
 
 // EraOf returns the era of a revision.
-func EraOf(revision int64) int64 { return revision >> countBits }
+func EraOf(revision int64) int64 { return revision >> counterBits }
 
-// CountOf returns the service's own count of a revision, which it may have given out in earlier eras too.
-func CountOf(revision int64) int64 { return revision & (1<<countBits - 1) }
+// CounterOf returns the service's change counter of a revision; it is unique only within an era.
+func CounterOf(revision int64) int64 { return revision & (1<<counterBits - 1) }
--- a/kv/hurried.go
+++ b/kv/hurried.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Hurried bounds each call to a store, for callers to whom asking again is better
-// than to wait for an answer that may be lost.
-type Hurried struct {
+// TimeoutStore applies a timeout to each Get, Commit and GrantLease of a store, for callers
+// that prefer to retry over waiting for a response that may be lost.
+type TimeoutStore struct {
 	LeaseStore
 	Timeout time.Duration
 }
 
 // Get implements Store.
-func (h Hurried) Get(ctx context.Context, key string) (Pair, bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.Timeout)
+func (s TimeoutStore) Get(ctx context.Context, key string) (Pair, bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
-	return h.LeaseStore.Get(ctx, key)
+	return s.LeaseStore.Get(ctx, key)
 }
 
 // Commit implements Store.
-func (h Hurried) Commit(ctx context.Context, txn Txn) (TxnResult, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.Timeout)
+func (s TimeoutStore) Commit(ctx context.Context, txn Txn) (TxnResult, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
-	return h.LeaseStore.Commit(ctx, txn)
+	return s.LeaseStore.Commit(ctx, txn)
 }
 
 // GrantLease implements Store.
-func (h Hurried) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.Timeout)
+func (s TimeoutStore) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
-	return h.LeaseStore.GrantLease(ctx, ttl)
+	return s.LeaseStore.GrantLease(ctx, ttl)
 }
--- a/kv/kv.go
+++ b/kv/kv.go
@@ -1,8 +1,6 @@
-// Package kv is the narrow interface to the platform's key-value service (get,
-// compare-and-swap, lease, watch) and its client for the etcd v3 JSON gateway.
-//
-// The service is rate-limited, has outages, and may lose an answer after the
-// write took effect; the errors here keep these cases apart.
+// Package kv defines the interface to a key-value service (get, compare-and-swap,
+// lease, watch) and implements a client for the etcd v3 JSON gateway. Its errors
+// distinguish operations that did not run from writes whose response was lost.
 package kv
 
 import (
@@ -17,74 +15,74 @@
 var ErrUnavailable = errors.New("key-value service unavailable; the operation did not run")
 
 // ErrUncertain means that the service may or may not have executed a write.
-var ErrUncertain = errors.New("key-value service gave no answer; the write may have taken effect")
+var ErrUncertain = errors.New("key-value service did not respond; the write may have taken effect")
 
-// ErrCompacted means that a watch asked for revisions no longer kept.
-var ErrCompacted = errors.New("key-value service no longer keeps the revisions asked for")
+// ErrCompacted means that the service has compacted the revisions that a watch starts from.
+var ErrCompacted = errors.New("key-value service has compacted the requested revisions")
 
-// LeaseID names a lease; the zero value is no lease.
+// LeaseID identifies a lease; the zero value means no lease.
 type LeaseID struct {
 	Number int64
-	Era    int64 // in which it was granted: a later one may give the number to another lease
+	Era    int64 // in which the lease was granted; a later era may reuse the number
 }
 
 // Pair is a key with its value.
 type Pair struct {
 	Key         string
 	Value       []byte
-	ModRevision int64 // store revision of the last change of the key, with its era
+	ModRevision int64 // revision of the key's last change, era included
 }
 
-// Condition holds when the key's last change was at ModRevision; zero means
-// that the key must be absent.
+// Condition is satisfied if the key's last change was at ModRevision. Zero requires
+// that the key does not exist.
 type Condition struct {
 	Key         string
 	ModRevision int64
 }
 
-// Put writes a key, bound to a lease unless zero.
+// Put writes a key and binds it to a lease, if Lease is set.
 type Put struct {
 	Key   string
 	Value []byte
 	Lease LeaseID
 }
 
-// Txn makes all its writes if all its conditions hold, and none otherwise.
+// Txn applies all its writes if all its conditions are satisfied, and none otherwise.
 type Txn struct {
 	Conditions []Condition
 	Puts       []Put
 	Deletes    []string
 }
 
-// TxnResult is the answer to a Txn.
+// TxnResult is the outcome of a Txn.
 type TxnResult struct {
 	Succeeded bool
-	Revision  int64  // store revision after the transaction
-	Current   []Pair // the conditions' keys as they are, when not succeeded
+	Revision  int64  // of the store after the transaction
+	Current   []Pair // current state of the conditions' keys, if not succeeded
 }
 
-// Event is one change seen by a watch.
+// Event is one change reported by a watch.
 type Event struct {
 	Pair    Pair
 	Deleted bool
-	// Restored tells that the service was restored from a copy, and listed the pair since: it may be older than
-	// what was heard of the key before.
-	Restored bool
+	// AfterRestore marks a pair listed after the service was restored from a backup: it may be older
+	// than a pair of the same key reported before.
+	AfterRestore bool
 }
 
-// Store is what finchspoke needs from a key-value service.
+// Store is a key-value service with transactions, leases and watches.
 type Store interface {
-	// Get returns a key's pair and whether it exists.
+	// Get returns the pair of a key, and whether the key exists.
 	Get(ctx context.Context, key string) (Pair, bool, error)
 	// List returns all pairs whose key begins with prefix, and the store
 	// revision at which they were read.
 	List(ctx context.Context, prefix string) ([]Pair, int64, error)
 	// Commit runs a transaction. An error wraps ErrUnavailable or ErrUncertain.
 	Commit(ctx context.Context, txn Txn) (TxnResult, error)
-	// Watch calls handle for each change under prefix from revision on, until
-	// ctx ends or the watch breaks; it always returns an error.
+	// Watch calls handle for each change under prefix, starting at revision, until
+	// ctx ends or the watch breaks. It always returns an error.
 	Watch(ctx context.Context, prefix string, revision int64, handle func(Event)) error
-	// GrantLease makes a lease that ends after ttl.
+	// GrantLease creates a lease that expires after ttl.
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
 }
 
@@ -93,16 +91,13 @@
 	resolvePause    = 50 * time.Millisecond
 )
 
-// CommitResolved commits txn and settles a lost answer: it reads the key of
-// txn's first put back. The put's value must be unique to this call (carry a
-// writer id) and its key must have a condition in txn.
-//
-// A write whose answer was lost may still be on its way, so a key that has not
-// changed settles nothing: the same transaction is sent again, and the condition
-// lets at most one copy take effect.
+// CommitResolved commits txn and, if the response is lost, reads the key of the first
+// put back to find out whether the write took effect. That put's value must be unique
+// to this call (contain a writer ID), and its key must have a condition in txn.
+// Retries are safe because the condition lets at most one copy of txn take effect.
 func CommitResolved(ctx context.Context, store Store, txn Txn) (TxnResult, error) {
-	proof := txn.Puts[0]
-	expected := conditionFor(txn, proof.Key)
+	marker := txn.Puts[0]
+	expected := conditionFor(txn, marker.Key)
 	uncertain := false
 	var lastErr error
 	for range resolveAttempts {
@@ -111,16 +106,16 @@
 			return result, nil
 		}
 		if err == nil {
-			return readBack(ctx, store, proof, result)
+			return resolveRefused(ctx, store, marker, result)
 		}
 		lastErr = err
 		if !errors.Is(err, ErrUncertain) && !uncertain {
 			return TxnResult{}, err
 		}
 		uncertain = true
-		pair, found, readErr := store.Get(ctx, proof.Key)
+		pair, found, readErr := store.Get(ctx, marker.Key)
 		if readErr == nil {
-			if found && bytes.Equal(pair.Value, proof.Value) {
+			if found && bytes.Equal(pair.Value, marker.Value) {
 				return TxnResult{Succeeded: true, Revision: pair.ModRevision}, nil
 			}
 			if pair.ModRevision != expected {
@@ -136,13 +131,13 @@
 	return TxnResult{}, errors.Wrapf(ErrUncertain, "after %d attempts: %v", resolveAttempts, lastErr)
 }
 
-// readBack decides a refused repeat: the first copy may be what made it fail.
-func readBack(ctx context.Context, store Store, proof Put, refused TxnResult) (TxnResult, error) {
-	pair, found, err := store.Get(ctx, proof.Key)
+// resolveRefused decides whether a retry was refused because an earlier attempt had already taken effect.
+func resolveRefused(ctx context.Context, store Store, marker Put, refused TxnResult) (TxnResult, error) {
+	pair, found, err := store.Get(ctx, marker.Key)
 	if err != nil {
 		return TxnResult{}, errors.Wrap(ErrUncertain, err.Error())
 	}
-	if found && bytes.Equal(pair.Value, proof.Value) {
+	if found && bytes.Equal(pair.Value, marker.Value) {
 		return TxnResult{Succeeded: true, Revision: pair.ModRevision}, nil
 	}
 	return refused, nil
@@ -162,9 +157,9 @@
 	followPauseMax = 2 * time.Second
 )
 
-// Follow keeps handle informed of every pair under prefix: first those present,
-// then each change, across broken watches and outages. Deletions seen only as
-// an absence after a break are not reported. It returns when ctx ends.
+// Follow calls handle for every pair under prefix and then for each change, across
+// broken watches and outages, until ctx ends. It does not report a key that was
+// deleted while no watch was open.
 func Follow(ctx context.Context, store Store, prefix string, handle func(Event)) error {
 	pause := followPauseMin
 	for {
@@ -174,8 +169,8 @@
 			for _, pair := range pairs {
 				handle(Event{Pair: pair})
 			}
-			// A watch that breaks is opened again from a fresh list, which costs
-			// one read and needs no memory of revisions.
+			// After a broken watch the next iteration lists again, so no revision
+			// has to be remembered.
 			_ = store.Watch(ctx, prefix, revision+1, handle)
 		}
 		select {
--- a/kv/lease.go
+++ b/kv/lease.go
@@ -7,41 +7,40 @@
 	"github.com/pkg/errors"
 )
 
-// ErrNoLease means that a lease is over.
-var ErrNoLease = errors.New("the lease is over")
+// ErrLeaseNotFound means that a lease has expired or was revoked.
+var ErrLeaseNotFound = errors.New("lease expired or revoked")
 
-// LeaseStore is a Store whose leases can be renewed and ended.
+// LeaseStore is a Store whose leases can be renewed and revoked.
 type LeaseStore interface {
 	Store
-	// KeepLease renews a lease. The error wraps ErrNoLease if it is over, and ErrRestored if the
-	// service was restored from a copy since it was granted.
-	KeepLease(ctx context.Context, lease LeaseID) error
-	// EndLease ends a lease; the keys bound to it go with it.
-	EndLease(ctx context.Context, lease LeaseID) error
+	// RenewLease extends a lease by its TTL. The error wraps ErrLeaseNotFound if the lease has ended, and
+	// ErrRestored if the service was restored from a backup since the lease was granted.
+	RenewLease(ctx context.Context, lease LeaseID) error
+	// RevokeLease ends a lease, which deletes the keys bound to it.
+	RevokeLease(ctx context.Context, lease LeaseID) error
 }
 
-// Page is a part of a list. Parts come in the order of keys.
+// Page is a part of a list. Pages are in key order.
 type Page struct {
 	Pairs []Pair
-	More  bool // parts follow
+	More  bool // further pages follow
 }
 
-// PageLister is a Store that tells the parts of a list as they come.
+// PageLister is a Store that reports the pages of a list as they arrive.
 type PageLister interface {
 	Store
-	// ListPages is List. It calls came with each part, read by a call of its own that was sent
-	// after came had returned for the part before; the list ends early where it returns false.
-	ListPages(ctx context.Context, prefix string, came func(page Page) (goOn bool)) ([]Pair, int64, error)
+	// ListPages is List, and calls handlePage with each page. It requests the next page after handlePage
+	// has returned, and stops early if handlePage returns false.
+	ListPages(ctx context.Context, prefix string, handlePage func(page Page) (proceed bool)) ([]Pair, int64, error)
 }
 
-// ChangeStore is a LeaseStore that is asked for changes again and again, in place of
-// one watch.
-type ChangeStore interface {
+// LongPollStore is a LeaseStore whose changes can be read by long polling instead of
+// a watch stream.
+type LongPollStore interface {
 	LeaseStore
-	// Changes returns the changes under prefix after a revision, as soon as there are
-	// any, and the revision up to which they are whole. After wait it returns none; no
-	// change that was acknowledged before the call is missing. The error wraps
-	// ErrCompacted if the service no longer has them, and ErrRestored if it was restored from a
-	// copy since the revision.
+	// Changes waits for changes under prefix after a revision, and returns them with the revision up to
+	// which they are complete; none if there are none within wait. They include every write that was
+	// acknowledged before the call. The error wraps ErrCompacted if the service no longer has the
+	// changes, and ErrRestored if it was restored from a backup since the revision.
 	Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]Event, int64, error)
 }
--- a/kv/wire.go
+++ b/kv/wire.go
@@ -5,19 +5,18 @@
 	"strconv"
 )
 
-// The types below are the subset of the etcd v3 JSON gateway that is used.
-// Bytes are base64 in JSON, as encoding/json writes them; 64-bit integers are
-// decimal strings, as the gateway writes them.
+// The Wire types are the subset of the etcd v3 JSON gateway that Client uses. Byte
+// slices are base64 strings and 64-bit integers are decimal strings in JSON.
 
-// Int64 is a 64-bit integer written as a JSON string and read as either form.
+// Int64 is a 64-bit integer that is encoded as a JSON string and decoded from a string or a number.
 type Int64 int64
 
-// MarshalJSON writes the number as a string.
+// MarshalJSON implements json.Marshaler.
 func (n Int64) MarshalJSON() ([]byte, error) {
 	return json.Marshal(strconv.FormatInt(int64(n), 10))
 }
 
-// UnmarshalJSON reads a string or a number.
+// UnmarshalJSON implements json.Unmarshaler.
 func (n *Int64) UnmarshalJSON(data []byte) error {
 	text := string(data)
 	if unquoted, err := strconv.Unquote(text); err == nil {
@@ -32,12 +31,12 @@
 	return err
 }
 
-// WireHeader is the header of every answer.
+// WireHeader is the header of every response.
 type WireHeader struct {
 	Revision Int64 `json:"revision"`
 }
 
-// WirePair is a key-value pair.
+// WirePair is a key-value pair with its metadata.
 type WirePair struct {
 	Key            []byte `json:"key"`
 	Value          []byte `json:"value,omitempty"`
@@ -47,20 +46,20 @@
 	Lease          Int64  `json:"lease,omitempty"`
 }
 
-// WireRange asks for a key, or for all in [Key, RangeEnd).
+// WireRange requests one key, or all keys in [Key, RangeEnd).
 type WireRange struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 }
 
-// WireRangeAnswer answers a WireRange.
-type WireRangeAnswer struct {
+// WireRangeResponse is the response to a WireRange.
+type WireRangeResponse struct {
 	Header WireHeader `json:"header"`
 	Pairs  []WirePair `json:"kvs,omitempty"`
 	Count  Int64      `json:"count,omitempty"`
 }
 
-// WireCompare is a condition on a key's mod revision.
+// WireCompare is a transaction condition on a key's mod revision.
 type WireCompare struct {
 	Key         []byte `json:"key"`
 	Target      string `json:"target"`
@@ -68,43 +67,43 @@
 	ModRevision Int64  `json:"mod_revision"`
 }
 
-// The only comparison used: the mod revision is equal.
+// Values of WireCompare's Target and Result.
 const (
 	CompareTargetMod   = "MOD"
 	CompareResultEqual = "EQUAL"
 )
 
-// WirePut writes a key.
+// WirePut writes a key, bound to a lease if Lease is not zero.
 type WirePut struct {
 	Key   []byte `json:"key"`
 	Value []byte `json:"value"`
 	Lease Int64  `json:"lease,omitempty"`
 }
 
-// WireOperation is one operation of a transaction; one field is set.
+// WireOperation is one operation of a transaction. Exactly one field is set.
 type WireOperation struct {
 	Range  *WireRange `json:"request_range,omitempty"`
 	Put    *WirePut   `json:"request_put,omitempty"`
 	Delete *WireRange `json:"request_delete_range,omitempty"`
 }
 
-// WireTxn is a transaction.
+// WireTxn runs the Success operations if all comparisons succeed, and the Failure operations otherwise.
 type WireTxn struct {
 	Compare []WireCompare   `json:"compare,omitempty"`
 	Success []WireOperation `json:"success,omitempty"`
 	Failure []WireOperation `json:"failure,omitempty"`
 }
 
-// WireOperationAnswer answers one operation; only ranges carry data used here.
-type WireOperationAnswer struct {
-	Range *WireRangeAnswer `json:"response_range,omitempty"`
+// WireOperationResponse is the result of one operation of a transaction; only those of ranges are decoded.
+type WireOperationResponse struct {
+	Range *WireRangeResponse `json:"response_range,omitempty"`
 }
 
-// WireTxnAnswer answers a WireTxn.
-type WireTxnAnswer struct {
-	Header    WireHeader            `json:"header"`
-	Succeeded bool                  `json:"succeeded,omitempty"`
-	Responses []WireOperationAnswer `json:"responses,omitempty"`
+// WireTxnResponse is the response to a WireTxn.
+type WireTxnResponse struct {
+	Header    WireHeader              `json:"header"`
+	Succeeded bool                    `json:"succeeded,omitempty"`
+	Responses []WireOperationResponse `json:"responses,omitempty"`
 }
 
 // WireWatchCreate opens a watch on [Key, RangeEnd) from StartRevision.
@@ -119,10 +118,10 @@
 	Create WireWatchCreate `json:"create_request"`
 }
 
-// WireEventDelete is the type of a deletion event; a put has none.
+// WireEventDelete is the type of a deletion event. The type of a put event is empty.
 const WireEventDelete = "DELETE"
 
-// WireEvent is one change.
+// WireEvent is a change of one key.
 type WireEvent struct {
 	Type string   `json:"type,omitempty"`
 	Pair WirePair `json:"kv"`
@@ -137,25 +136,25 @@
 	Events          []WireEvent `json:"events,omitempty"`
 }
 
-// WireWatchAnswer wraps each message of a watch stream.
-type WireWatchAnswer struct {
+// WireWatchResponse wraps each message of a watch stream.
+type WireWatchResponse struct {
 	Result WireWatchResult `json:"result"`
 }
 
-// WireLeaseGrant asks for a lease of TTL seconds.
+// WireLeaseGrant requests a lease with a TTL in seconds.
 type WireLeaseGrant struct {
 	TTL Int64 `json:"TTL"`
 	ID  Int64 `json:"ID,omitempty"`
 }
 
-// WireLeaseAnswer answers a grant.
-type WireLeaseAnswer struct {
+// WireLeaseGrantResponse is the response to a WireLeaseGrant.
+type WireLeaseGrantResponse struct {
 	Header WireHeader `json:"header"`
 	ID     Int64      `json:"ID"`
 	TTL    Int64      `json:"TTL"`
 }
 
-// PrefixEnd returns the end of the range of all keys that begin with prefix.
+// PrefixEnd returns the exclusive end of the range of all keys with a prefix.
 func PrefixEnd(prefix []byte) []byte {
 	end := append([]byte(nil), prefix...)
 	for index := len(end) - 1; index >= 0; index-- {
--- a/lab/scale/adapters.go
+++ b/lab/scale/adapters.go
@@ -123,7 +123,7 @@
 	return quarantine.Running
 }
 
-func adaptersFor(shared kv.ChangeStore) node.Adapters {
+func adaptersFor(shared kv.LongPollStore) node.Adapters {
 	return node.Adapters{
 		Store: shared, ReplicaPrefix: replicaPrefix, ReadReplica: readReplica, TableKey: tableKey, ReadTable: readTable, ReadyPath: readyPath,
 		Replicas: func(*upstream.Pool, node.Notices) node.ReplicaProtocol {
--- a/loader/handover_test.go
+++ b/loader/handover_test.go
@@ -76,8 +76,8 @@
 		require.Equal(t, other.Add(gap), holder.begins)
 		holder.ordered.inherited = map[string]time.Time{"r1": other}
 
-		store.revision.Store(kv.RevisionIn(1, 1))
-		made.Observe(kv.Event{Pair: kv.Pair{Key: "term", ModRevision: kv.RevisionIn(1, 1)}, Deleted: true, Restored: true})
+		store.revision.Store(kv.MakeRevision(1, 1))
+		made.Observe(kv.Event{Pair: kv.Pair{Key: "term", ModRevision: kv.MakeRevision(1, 1)}, Deleted: true, AfterRestore: true})
 		holder.turn(t.Context(), time.Now())
 		synctest.Wait()
 		holder.turn(t.Context(), time.Now())
@@ -87,8 +87,8 @@
 		require.NotEmpty(t, holder.ordered.inherited)
 
 		time.Sleep(gap)
-		store.revision.Store(kv.RevisionIn(2, 1))
-		made.Observe(kv.Event{Pair: kv.Pair{Key: "term", ModRevision: kv.RevisionIn(2, 1)}, Deleted: true, Restored: true})
+		store.revision.Store(kv.MakeRevision(2, 1))
+		made.Observe(kv.Event{Pair: kv.Pair{Key: "term", ModRevision: kv.MakeRevision(2, 1)}, Deleted: true, AfterRestore: true})
 		synctest.Wait()
 		holder.turn(t.Context(), time.Now())
 		require.False(t, holder.begins.After(time.Now()), "no distance is left to keep")
--- a/loader/holder_test.go
+++ b/loader/holder_test.go
@@ -30,7 +30,7 @@
 	return kv.TxnResult{Succeeded: true, Revision: 7}, nil
 }
 
-func (grantingStore) KeepLease(context.Context, kv.LeaseID) error { return nil }
+func (grantingStore) RenewLease(context.Context, kv.LeaseID) error { return nil }
 
 // silentReplicas answer nothing.
 type silentReplicas struct{}
--- a/node/follow.go
+++ b/node/follow.go
@@ -75,7 +75,7 @@
 		n.holder.RegistryChanged(id)
 		return
 	}
-	n.putReplica(entry, event.Restored)
+	n.putReplica(entry, event.AfterRestore)
 	n.registryLog.replicaListed(entry, event.Pair.ModRevision)
 	n.holder.RegistryChanged(entry.ID)
 }
--- a/node/gauges.go
+++ b/node/gauges.go
@@ -72,12 +72,12 @@
 }
 
 // meter counts the calls to the key-value service.
-func (n *Node) meter(store kv.ChangeStore) kv.ChangeStore {
+func (n *Node) meter(store kv.LongPollStore) kv.LongPollStore {
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "finchspoke_store_calls_total", Help: "Calls to the key-value service, by call and outcome.",
 	}, []string{"call", "outcome"})
 	n.metrics.MustRegister(calls)
-	return &kv.Metered{ChangeStore: store, Count: func(call, outcome string) { calls.WithLabelValues(call, outcome).Inc() }}
+	return &kv.MeteredStore{LongPollStore: store, Count: func(call, outcome string) { calls.WithLabelValues(call, outcome).Inc() }}
 }
 
 // CountDropped registers the counter of log lines that were dropped.
--- a/node/node.go
+++ b/node/node.go
@@ -89,7 +89,7 @@
 
 // Adapters are the platform's interfaces.
 type Adapters struct {
-	Store kv.ChangeStore
+	Store kv.LongPollStore
 	// ReplicaPrefix is the prefix of the registry's records; ReadReplica reads one.
 	ReplicaPrefix string
 	ReadReplica   func(kv.Pair) (fleet.Entry, error)
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -312,7 +312,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	switch {
-	case event.Deleted && event.Restored:
+	case event.Deleted && event.AfterRestore:
 		g.lose(event.Pair.Key)
 		return
 	case event.Deleted:
--- a/quarantine/restore_test.go
+++ b/quarantine/restore_test.go
@@ -16,10 +16,10 @@
 func (s *service) restoreEmpty() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.revision = kv.RevisionIn(kv.EraOf(s.revision)+1, 0)
+	s.revision = kv.MakeRevision(kv.EraOf(s.revision)+1, 0)
 	for key := range s.records {
 		delete(s.records, key)
-		s.tell(kv.Event{Pair: kv.Pair{Key: key, ModRevision: s.revision}, Deleted: true, Restored: true})
+		s.tell(kv.Event{Pair: kv.Pair{Key: key, ModRevision: s.revision}, Deleted: true, AfterRestore: true})
 	}
 }
 
@@ -39,8 +39,8 @@
 		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/1", Value: clearing, ModRevision: 5}})
 		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/2", Value: ends, ModRevision: 6}})
 		require.NotNil(t, guards[0].Withheld(request))
-		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/1", Value: clearing, ModRevision: kv.RevisionIn(1, 5)}, Restored: true})
-		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/2", ModRevision: kv.RevisionIn(1, 5)}, Deleted: true, Restored: true})
+		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/1", Value: clearing, ModRevision: kv.MakeRevision(1, 5)}, AfterRestore: true})
+		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/2", ModRevision: kv.MakeRevision(1, 5)}, Deleted: true, AfterRestore: true})
 		require.NotNil(t, guards[0].Withheld(request))
 	})
 }
--- a/records/bulk_test.go
+++ b/records/bulk_test.go
@@ -28,7 +28,7 @@
 
 // limitedMirror returns a mirror that does without replicas where there are more than most, and what
 // it told of that.
-func limitedMirror(t *testing.T, store kv.ChangeStore, most int) (*Mirror, *[]bool) {
+func limitedMirror(t *testing.T, store kv.LongPollStore, most int) (*Mirror, *[]bool) {
 	told := &[]bool{}
 	mirror := mirrorOf(t, store)
 	mirror.Bulk(testBulk, most, "", func(without bool) { *told = append(*told, without) })
--- a/records/era_test.go
+++ b/records/era_test.go
@@ -18,7 +18,7 @@
 func (s *fakeStore) copied() (pairs map[string]kv.Pair, count int64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return maps.Clone(s.pairs), kv.CountOf(s.revision)
+	return maps.Clone(s.pairs), kv.CounterOf(s.revision)
 }
 
 // restore makes the store go on from a copy, in its next era.
@@ -26,9 +26,9 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	era := kv.EraOf(s.revision) + 1
-	s.pairs, s.revision = map[string]kv.Pair{}, kv.RevisionIn(era, count)
+	s.pairs, s.revision = map[string]kv.Pair{}, kv.MakeRevision(era, count)
 	for key, pair := range pairs {
-		pair.ModRevision = kv.RevisionIn(era, kv.CountOf(pair.ModRevision))
+		pair.ModRevision = kv.MakeRevision(era, kv.CounterOf(pair.ModRevision))
 		s.pairs[key] = pair
 	}
 	close(s.changed)
@@ -78,11 +78,11 @@
 func TestTheWordOfAPeerOfAnEarlierEraDoesNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mirror := mirrorOf(t, newFakeStore())
-		restored, earlier := kv.RevisionIn(2, 5), kv.RevisionIn(1, 90)
-		require.True(t, mirror.Take(Update{Revision: restored, Whole: true, Events: []kv.Event{put("config", "3", kv.RevisionIn(2, 3))}, Contact: time.Now().Add(-vouchTime / 2)}))
+		restored, earlier := kv.MakeRevision(2, 5), kv.MakeRevision(1, 90)
+		require.True(t, mirror.Take(Update{Revision: restored, Whole: true, Events: []kv.Event{put("config", "3", kv.MakeRevision(2, 3))}, Contact: time.Now().Add(-vouchTime / 2)}))
 		for _, update := range []Update{
 			{Revision: earlier, Contact: time.Now(), Proven: time.Now()},
-			{Revision: earlier, Whole: true, Events: []kv.Event{put("config", "9", kv.RevisionIn(1, 80))}, Contact: time.Now(), Proven: time.Now()},
+			{Revision: earlier, Whole: true, Events: []kv.Event{put("config", "9", kv.MakeRevision(1, 80))}, Contact: time.Now(), Proven: time.Now()},
 			{Revision: earlier, Events: []kv.Event{put("servers/a", "1", earlier)}, Contact: time.Now(), Proven: time.Now()},
 		} {
 			require.True(t, mirror.Take(update), "the peer is listened to until it hears of the restore")
@@ -129,7 +129,7 @@
 		require.False(t, mirror.InContact())
 		require.True(t, mirror.ProvenAt().IsZero())
 		require.Equal(t, "1", value(mirror, "config"))
-		restored := kv.RevisionIn(1, 4)
+		restored := kv.MakeRevision(1, 4)
 		mirror.Take(Update{Revision: restored, Whole: true, Events: []kv.Event{put("config", "3", restored)}, Contact: time.Now(), Proven: time.Now()})
 		require.True(t, mirror.InContact())
 		require.False(t, mirror.ProvenAt().IsZero())
@@ -143,7 +143,7 @@
 	before, _ := source.since(view{})
 	follower := mirrorOf(t, newFakeStore())
 	require.True(t, follower.Take(before))
-	source.replace([]kv.Pair{put("config", "2", kv.RevisionIn(1, 6)).Pair}, kv.RevisionIn(1, 6), true)
+	source.replace([]kv.Pair{put("config", "2", kv.MakeRevision(1, 6)).Pair}, kv.MakeRevision(1, 6), true)
 	after, _ := source.since(view{revision: before.Revision})
 	require.True(t, after.Whole)
 	require.True(t, follower.Take(after))
--- a/records/records.go
+++ b/records/records.go
@@ -62,7 +62,7 @@
 
 // Mirror follows the records under a prefix. It is a suture service.
 type Mirror struct {
-	store  kv.ChangeStore
+	store  kv.LongPollStore
 	prefix string
 	log    logrus.FieldLogger
 	now    func() time.Time
@@ -130,7 +130,7 @@
 }
 
 // NewMirror returns a mirror of the records under a prefix.
-func NewMirror(store kv.ChangeStore, prefix string, log logrus.FieldLogger) *Mirror {
+func NewMirror(store kv.LongPollStore, prefix string, log logrus.FieldLogger) *Mirror {
 	return &Mirror{store: store, prefix: prefix, log: log, now: time.Now, pairs: map[string]kv.Pair{}, changed: make(chan struct{}), changedOthers: make(chan struct{}), lead: make(chan struct{}, 1), hurried: make(chan struct{}, 1)}
 }
 
@@ -255,7 +255,7 @@
 	defer m.turn.Unlock()
 	lacks := m.lacksBulk()
 	if known := m.Revision(); revision < known && !lacks {
-		m.log.WithFields(logging.AtRevision(known)).WithField(logging.ListedRevision, kv.CountOf(revision)).
+		m.log.WithFields(logging.AtRevision(known)).WithField(logging.ListedRevision, kv.CounterOf(revision)).
 			Warn("the records that the key-value service lists are left out: they lie behind those known here")
 		return
 	}
--- a/records/records_test.go
+++ b/records/records_test.go
@@ -18,7 +18,7 @@
 // fakeStore holds records; while silent, calls hang until their time is over, and
 // waits for changes that began before are never answered.
 type fakeStore struct {
-	kv.ChangeStore
+	kv.LongPollStore
 	mutex     sync.Mutex
 	pairs     map[string]kv.Pair
 	revision  int64
@@ -158,7 +158,7 @@
 }
 
 // mirrorOf returns a mirror that does not follow its store yet.
-func mirrorOf(t *testing.T, store kv.ChangeStore) *Mirror {
+func mirrorOf(t *testing.T, store kv.LongPollStore) *Mirror {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(t.Output())
