--- a/access/access.go
+++ b/access/access.go
@@ -33,17 +33,17 @@
 // Gate tells whose keys are. It is safe for concurrent use.
 type Gate struct {
 	Table *routing.Store
-	// ProvenAt returns a moment, on the monotonic clock, at which the configuration in force
+	// VerifiedAt returns a moment, on the monotonic clock, at which the configuration in force
 	// was surely the newest; the zero time if there was none.
-	ProvenAt func() time.Time
-	Bound    Bound
-	Now      func() time.Time
+	VerifiedAt func() time.Time
+	Bound      Bound
+	Now        func() time.Time
 }
 
 // Age returns for how long the configuration in force may have been out of date; known is
 // false if it was never proven.
 func (g *Gate) Age() (age time.Duration, known bool) {
-	proven := g.ProvenAt()
+	proven := g.VerifiedAt()
 	if proven.IsZero() {
 		return 0, false
 	}
@@ -58,14 +58,14 @@
 
 // Owner returns the tenant that holds a key at this moment, or why the request must not go
 // out.
-func (g *Gate) Owner(key callers.KeyHash) (*routing.Tenant, *failure.Error) {
+func (g *Gate) ResolveTenant(key callers.KeyHash) (*routing.Tenant, *failure.Error) {
 	// The age is taken before the table: what is read afterwards can only be newer.
 	recent := g.recent()
 	table := g.Table.Current()
 	if table == nil || g.Bound.Strict && !recent {
 		return nil, g.outdated()
 	}
-	if tenant := table.TenantOf(key); tenant != nil {
+	if tenant := table.TenantByKey(key); tenant != nil {
 		return tenant, nil
 	}
 	if !recent {
@@ -93,7 +93,7 @@
 // Open tells whether requests with keys can be served at all.
 func (g *Gate) Open() bool {
 	table := g.Table.Current()
-	return table != nil && (!g.Bound.Strict || !table.NeedsKeys() || g.recent())
+	return table != nil && (!g.Bound.Strict || !table.RequiresKeys() || g.recent())
 }
 
 // outdated is the failure of a request that cannot be judged under the configuration in
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -22,7 +22,7 @@
 func newSituation(t *testing.T, strict bool) *situation {
 	s := &situation{now: time.Unix(1_000, 0)}
 	s.Gate = &Gate{
-		Table: &routing.Store{}, ProvenAt: func() time.Time { return s.proven }, Now: func() time.Time { return s.now },
+		Table: &routing.Store{}, VerifiedAt: func() time.Time { return s.proven }, Now: func() time.Time { return s.now },
 		Bound: Bound{MaxAge: maxAge, Strict: strict},
 	}
 	s.proven = s.now
@@ -42,19 +42,19 @@
 
 func TestAKeyIsGoodOnlyUnderARecentConfiguration(t *testing.T) {
 	s := newSituation(t, true)
-	tenant, failed := s.Owner(callers.Hash("first"))
+	tenant, failed := s.ResolveTenant(callers.Hash("first"))
 	require.Nil(t, failed)
 	require.Equal(t, "brewery", tenant.Name)
 
 	s.now = s.proven.Add(maxAge + time.Millisecond) // nothing was heard, or the process stood still
-	_, failed = s.Owner(callers.Hash("first"))
+	_, failed = s.ResolveTenant(callers.Hash("first"))
 	require.Equal(t, failure.ConfigOutdated, failed.Kind)
 	require.Equal(t, failure.NotRun, failed.Execution)
 	require.Positive(t, failed.RetryAfter)
 	require.False(t, s.Open())
 
 	s.proven = s.now
-	_, failed = s.Owner(callers.Hash("first"))
+	_, failed = s.ResolveTenant(callers.Hash("first"))
 	require.Nil(t, failed)
 	require.True(t, s.Open())
 }
@@ -62,7 +62,7 @@
 func TestAKeyThatWasTakenAwayIsRefusedAtOnce(t *testing.T) {
 	s := newSituation(t, true)
 	s.put(t, 2, "second")
-	_, failed := s.Owner(callers.Hash("first"))
+	_, failed := s.ResolveTenant(callers.Hash("first"))
 	require.Equal(t, failure.Unauthenticated, failed.Kind)
 	require.NotContains(t, failed.Error(), "first", "keys are never shown")
 }
@@ -71,13 +71,13 @@
 func TestNothingIsSaidNotToExistUnderAnOldConfiguration(t *testing.T) {
 	for _, strict := range []bool{true, false} {
 		s := newSituation(t, strict)
-		_, unknown := s.Owner(callers.Hash("third"))
+		_, unknown := s.ResolveTenant(callers.Hash("third"))
 		require.Equal(t, failure.Unauthenticated, unknown.Kind)
 		require.Equal(t, failure.Unauthenticated, s.Missing().Kind)
 		require.Equal(t, failure.ModelNotAllowed, s.NoRoute("host", "/path").Kind)
 
 		s.now = s.proven.Add(maxAge + time.Millisecond)
-		_, unknown = s.Owner(callers.Hash("third"))
+		_, unknown = s.ResolveTenant(callers.Hash("third"))
 		for _, failed := range []*failure.Error{unknown, s.Missing(), s.NoRoute("host", "/path")} {
 			require.Equal(t, failure.ConfigOutdated, failed.Kind)
 			require.Positive(t, failed.RetryAfter)
@@ -88,14 +88,14 @@
 func TestWithoutAStrictBoundAKnownKeyStaysGood(t *testing.T) {
 	s := newSituation(t, false)
 	s.now = s.proven.Add(time.Hour)
-	_, failed := s.Owner(callers.Hash("first"))
+	_, failed := s.ResolveTenant(callers.Hash("first"))
 	require.Nil(t, failed)
 	require.True(t, s.Open())
 }
 
 func TestADaemonWithoutAConfigurationJudgesNothing(t *testing.T) {
-	gate := &Gate{Table: &routing.Store{}, ProvenAt: func() time.Time { return time.Time{} }, Now: time.Now, Bound: Bound{MaxAge: maxAge, Strict: true}}
-	_, failed := gate.Owner(callers.Hash("first"))
+	gate := &Gate{Table: &routing.Store{}, VerifiedAt: func() time.Time { return time.Time{} }, Now: time.Now, Bound: Bound{MaxAge: maxAge, Strict: true}}
+	_, failed := gate.ResolveTenant(callers.Hash("first"))
 	require.Equal(t, failure.Unavailable, failed.Kind)
 	require.Equal(t, failure.Unavailable, gate.Missing().Kind)
 	require.False(t, gate.Open())
--- a/node/node.go
+++ b/node/node.go
@@ -127,7 +127,7 @@
 	quotas      *limiter.Client
 	quarantine  *quarantine.Guard
 	election    *election.Election
-	holder      *loader.Holder
+	holder      *loader.Leader
 	follower    *loader.Follower
 	replicas    *replicaKnowledge
 	peers       *transport.Server
@@ -200,7 +200,7 @@
 	})
 	n.metrics.MustRegister(opened)
 	n.pool = upstream.NewPool(opened.Inc)
-	n.fleet.Connected(n.pool.Rests)
+	n.fleet.SetConnected(n.pool.HasIdle)
 	n.notices = newNoticeCounts(n.metrics)
 	replicas := adapters.Replicas(n.pool, Notices{Hear: n.hear, Admit: func(replica string, held fleet.Permit) error { return n.fleet.Admit(replica, held, time.Now()) }})
 	tracker := demand.NewTracker()
@@ -211,36 +211,36 @@
 	requests.Prepare()
 	n.core = requests
 	n.mirror = records.NewMirror(adapters.Store, n.config.RecordsRoot, n.log)
-	n.mirror.Clock(boottime.Now)
-	n.gate = &access.Gate{Table: n.routes, ProvenAt: n.mirror.ProvenAt, Bound: n.config.Configurations, Now: boottime.Now}
+	n.mirror.SetClock(boottime.Now)
+	n.gate = &access.Gate{Table: n.routes, VerifiedAt: n.mirror.VerifiedAt, Bound: n.config.Configurations, Now: boottime.Now}
 	requests.Gate = n.gate
 	if n.config.Configurations.Strict {
-		n.mirror.LimitProof(adapters.TableKey, time.Duration(proofShare*float64(n.config.Configurations.MaxAge)))
+		n.mirror.VerifyWithin(adapters.TableKey, time.Duration(proofShare*float64(n.config.Configurations.MaxAge)))
 	}
 	n.registryLog = &registryLog{log: n.log, leading: n.mirror.Leading, now: time.Now}
 	n.election = election.New(election.Config{
 		Key: n.config.TermKey, Daemon: n.config.ID, Address: n.config.PeerAddress, TTL: n.config.LeaseTime,
-		Informed: func() bool { return n.holder.Informed() }, Delay: n.termDelay,
-		Now: boottime.Now, Written: n.mirror.Hurry, // other daemons hear of it from this one
+		HasLeaderHistory: func() bool { return n.holder.HasLeaderHistory() }, CampaignDelay: n.termDelay,
+		Now: boottime.Now, OnWritten: n.mirror.PollNow, // other daemons hear of it from this one
 	}, adapters.Store, n.log)
-	n.holder = &loader.Holder{
+	n.holder = &loader.Leader{
 		Daemon: n.config.ID, Fleet: n.fleet, Table: n.routes, Replicas: replicas.Orders, Election: n.election,
 		Limits: n.config.LoadLimits, Metrics: loader.NewMetrics(n.metrics), Log: n.log, FirstStart: n.config.FirstStart,
-		TermDelay: n.config.TermDelay, Address: n.config.PeerAddress, TooLarge: n.mirror.TooLarge, KnowsReplicas: func() bool { return n.replicas.all() },
-		Expected: requests.Daemons,
+		TermDelay: n.config.TermDelay, Address: n.config.PeerAddress, TooManyReplicas: n.mirror.TooManyReplicas, KnowsReplicas: func() bool { return n.replicas.all() },
+		ExpectedDaemons: requests.Daemons,
 	}
 	n.holder.Prepare()
 	n.replicas = newReplicaKnowledge(n)
-	n.follower = &loader.Follower{Daemon: n.config.ID, Demand: tracker, Fleet: n.fleet, Holder: n.holder, Log: n.log, Daemons: requests.ShareRetries,
-		TermDelay: n.config.TermDelay, KnowsReplicas: n.replicas.all, Directories: n.replicas.setDirectories, Address: n.config.PeerAddress, Zone: n.config.Zone}
+	n.follower = &loader.Follower{Daemon: n.config.ID, Demand: tracker, Fleet: n.fleet, Leader: n.holder, Log: n.log, Daemons: requests.SetDaemons,
+		TermDelay: n.config.TermDelay, KnowsReplicas: n.replicas.all, SetDirectories: n.replicas.setDirectories, Address: n.config.PeerAddress, Zone: n.config.Zone}
 	n.follower.Prepare()
-	requests.OrdersGiven = n.follower.Attached
-	n.election.Listen(func(holder election.Holder) {
-		n.follower.HolderChanged(holder)
+	requests.LeaderAttached = n.follower.Attached
+	n.election.AddListener(func(holder election.Leader) {
+		n.follower.LeaderChanged(holder)
 		if holder.Daemon != n.config.ID {
-			n.holder.OtherHeld()
+			n.holder.ObserveOtherLeader()
 		}
-		n.mirror.Lead(holder.Daemon == n.config.ID)
+		n.mirror.SetLeading(holder.Daemon == n.config.ID)
 		n.holder.Wake()
 	})
 	n.quarantine = &quarantine.Guard{
@@ -250,15 +250,15 @@
 	n.quarantine.Prepare()
 	requests.Quarantine = n.quarantine
 	n.follow(adapters)
-	n.quotas = &limiter.Client{Bounds: n.config.Quotas, Holder: n.election.HolderAddress, Needed: n.needsQuotas, Now: boottime.Now,
-		Daemons: requests.Daemons, Count: newPermitCounts(n.metrics), Log: n.log}
+	n.quotas = &limiter.Client{Bounds: n.config.Quotas, Leader: n.election.LeaderAddress, HasLimits: n.needsQuotas, Now: boottime.Now,
+		Daemons: requests.Daemons, CountPermit: newPermitCounts(n.metrics), Log: n.log}
 	n.quotas.Prepare()
 	requests.Limits, requests.Permits = n.quotas, n.quotas
 	n.quarantine.Turns = &replicaTurns{fleet: n.fleet, quotas: n.quotas}
-	n.limits = &limiter.Server{Bounds: n.config.Quotas, Table: n.routes, Term: n.election.Term, First: n.holder.FirstOfAll, Now: boottime.Now,
+	n.limits = &limiter.Server{Bounds: n.config.Quotas, Table: n.routes, Term: n.election.Term, IsFirstTerm: n.holder.FirstTerm, Now: boottime.Now,
 		Reached: n.holder.Reached, LimitOf: n.fleet.LimitOf, Log: n.log}
 	n.holder.Turns = n.limits
-	subscriber := &records.Subscriber{Daemon: n.config.ID, Mirror: n.mirror, Source: n.recordSource, Deputy: n.deputySource, Seeds: n.replicas.recordPeers, Log: n.log}
+	subscriber := &records.Subscriber{Daemon: n.config.ID, Mirror: n.mirror, Source: n.recordSource, Standby: n.deputySource, Seeds: n.replicas.recordPeers, Log: n.log}
 	n.registerGauges()
 	n.frontend = frontend.New(n.listeners.callers, adapters.Callers(n.routes, n.gate, requests), frontend.Options{
 		ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTime: n.idleTime, TurnAway: turnAway, Log: n.log,
@@ -319,7 +319,7 @@
 }
 
 // needsQuotas tells whether the holder of load orders has to be asked for some requests.
-func (n *Node) needsQuotas() bool { return n.limitsTenants() || n.fleet.Limits() > 0 }
+func (n *Node) needsQuotas() bool { return n.limitsTenants() || n.fleet.RateLimitedCount() > 0 }
 
 // limitsTenants tells whether a tenant of the table has a limit.
 func (n *Node) limitsTenants() bool {
@@ -399,7 +399,7 @@
 // laboratories.
 func (n *Node) Ask(service, model string) {
 	if pick, _ := n.fleet.Choose(fleet.Ask{Service: service, Target: fleet.Target{Model: model}}, time.Now()); pick != nil {
-		pick.Withdraw()
+		pick.Cancel()
 	}
 }
 
@@ -408,7 +408,7 @@
 	n.log.Info("planned stop begins")
 	ctx, cancel := context.WithTimeout(context.Background(), n.config.StopTime-stopMargin)
 	now := time.Now()
-	n.core.Stop(core.StopTimes{TakeUntil: now.Add(turnAway), EndBy: now.Add(n.config.StopTime - stopMargin - lastAnswers)})
+	n.core.Stop(core.StopTimes{AcceptUntil: now.Add(turnAway), EndBy: now.Add(n.config.StopTime - stopMargin - lastAnswers)})
 	defer cancel()
 	resigning, done := context.WithTimeout(ctx, resignTime)
 	defer done()
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -127,7 +127,7 @@
 // Broke takes in that the connection to a replica broke while it had a request. It returns
 // once it is known whether the replica has ended, or the time for that is over: the request
 // may be withheld from then on, and must not go to another replica before.
-func (g *Guard) Broke(ctx context.Context, replica fleet.Incarnation, address string, request Fingerprint) {
+func (g *Guard) ConnectionBroken(ctx context.Context, replica fleet.Incarnation, address string, request Fingerprint) {
 	if g.Leaves(replica.ID) {
 		return
 	}
@@ -155,7 +155,7 @@
 // Left takes in that a dispatch was given up while the replica had the request: its caller left,
 // or its time was over. A replica begins to run, or goes on with, some that were given up, and
 // nothing of its end is then heard on their connections.
-func (g *Guard) Left(replica fleet.Incarnation, address string, request Fingerprint) {
+func (g *Guard) Abandoned(replica fleet.Incarnation, address string, request Fingerprint) {
 	if g.Leaves(replica.ID) {
 		return
 	}
--- a/quarantine/guard_test.go
+++ b/quarantine/guard_test.go
@@ -160,7 +160,7 @@
 		_, guards := fleetOf(t, 3, prober)
 		for number, guard := range guards {
 			require.Nil(t, guard.Withheld(named(1)))
-			guard.Broke(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", named(1))
+			guard.ConnectionBroken(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", named(1))
 		}
 		time.Sleep(2 * gatherTime)
 		for _, guard := range guards {
@@ -180,7 +180,7 @@
 		shared, guards := fleetOf(t, 1, &answers{is: map[string]Liveness{"r0": Ended, "r1": Ended, "r2": Ended}})
 		shared.failNext(kv.ErrUnavailable, kv.ErrUnavailable, kv.ErrUncertain, kv.ErrUnavailable)
 		for number := range EndsAllowed {
-			guards[0].Broke(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", named(1))
+			guards[0].ConnectionBroken(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", named(1))
 		}
 		require.NotNil(t, guards[0].Withheld(named(1)), "before the service has it")
 		time.Sleep(10 * time.Second)
@@ -196,12 +196,12 @@
 		shared, guards := fleetOf(t, 1, prober)
 		for range 2 * EndsAllowed {
 			for _, replica := range []string{"runs", "cut", "leaving"} {
-				guards[0].Broke(t.Context(), fleet.Incarnation{ID: replica}, "address", named(1))
+				guards[0].ConnectionBroken(t.Context(), fleet.Incarnation{ID: replica}, "address", named(1))
 			}
 		}
 		prober.set("silent", Ended, time.Hour)
 		began := time.Now()
-		guards[0].Broke(t.Context(), fleet.Incarnation{ID: "silent"}, "address", named(1))
+		guards[0].ConnectionBroken(t.Context(), fleet.Incarnation{ID: "silent"}, "address", named(1))
 		require.Equal(t, probeTime, time.Since(began), "who waits for an answer waits no longer")
 		time.Sleep(time.Second)
 		require.Zero(t, shared.recordCount())
@@ -219,7 +219,7 @@
 			broken.Add(1)
 			go func() {
 				defer broken.Done()
-				guards[0].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(number))
+				guards[0].ConnectionBroken(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(number))
 			}()
 		}
 		broken.Wait()
@@ -241,7 +241,7 @@
 		shared, guards := fleetOf(t, 2, &answers{is: is})
 		guards[1].Served(named(1))
 		for number := range 20 {
-			guards[number%2].Broke(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", named(1))
+			guards[number%2].ConnectionBroken(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", named(1))
 			time.Sleep(time.Second)
 			guards[(number+1)%2].Served(named(1))
 			time.Sleep(time.Second)
@@ -261,7 +261,7 @@
 			shared.failNext(kv.ErrUnavailable)
 		}
 		for number := range 3 * mostInReport {
-			guards[0].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(number))
+			guards[0].ConnectionBroken(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(number))
 			if number == 0 {
 				time.Sleep(2 * gatherTime) // the first report is on its way
 			}
@@ -277,7 +277,7 @@
 func TestOldRecordsAreDeletedByTheLeaderAlone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared, guards := fleetOf(t, 2, &answers{is: map[string]Liveness{"r0": Ended}})
-		guards[1].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(1))
+		guards[1].ConnectionBroken(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(1))
 		time.Sleep(suspectTime - time.Minute)
 		require.Equal(t, 1, shared.recordCount())
 		time.Sleep(time.Minute + 2*sweepPause)
@@ -295,7 +295,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		shared, guards := fleetOf(t, 1, &answers{is: map[string]Liveness{"r0": Ended}})
 		shared.noLeader.Store(true)
-		guards[0].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(1))
+		guards[0].ConnectionBroken(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(1))
 		time.Sleep(suspectTime + 2*sweepPause)
 		require.Equal(t, 1, shared.recordCount())
 		total, _, _ := guards[0].Counts()
@@ -320,13 +320,13 @@
 		prober := &answers{is: map[string]Liveness{"r0": Ended, "r1": Ended, "r2": Ended, "runs": Running}, takes: probeTime - time.Millisecond}
 		_, guards := fleetOf(t, 2, prober)
 		for _, replica := range []string{"r0", "r1"} { // nobody else had a request there
-			guards[0].Left(fleet.Incarnation{ID: replica}, "address", named(1))
+			guards[0].Abandoned(fleet.Incarnation{ID: replica}, "address", named(1))
 		}
-		guards[0].Left(fleet.Incarnation{ID: "runs"}, "address", named(1))
+		guards[0].Abandoned(fleet.Incarnation{ID: "runs"}, "address", named(1))
 		time.Sleep(leftTime / 2)
-		guards[0].Left(fleet.Incarnation{ID: "runs"}, "address", named(2))
-		guards[0].Left(fleet.Incarnation{ID: "r2"}, "address", named(1))
-		guards[1].Broke(t.Context(), fleet.Incarnation{ID: "r2"}, "address", named(3)) // the other daemon saw it end
+		guards[0].Abandoned(fleet.Incarnation{ID: "runs"}, "address", named(2))
+		guards[0].Abandoned(fleet.Incarnation{ID: "r2"}, "address", named(1))
+		guards[1].ConnectionBroken(t.Context(), fleet.Incarnation{ID: "r2"}, "address", named(3)) // the other daemon saw it end
 		time.Sleep(2 * leftTime)
 		for _, guard := range guards {
 			require.NotNil(t, guard.Withheld(named(1)))
@@ -341,12 +341,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		prober := &answers{is: map[string]Liveness{"r0": Running}}
 		shared, guards := fleetOf(t, 1, prober)
-		guards[0].Left(fleet.Incarnation{ID: "r0"}, "address", named(1))
+		guards[0].Abandoned(fleet.Incarnation{ID: "r0"}, "address", named(1))
 		time.Sleep(leftTime - time.Millisecond)
-		guards[0].Left(fleet.Incarnation{ID: "r0"}, "address", named(2)) // the first was checked, and is forgotten
+		guards[0].Abandoned(fleet.Incarnation{ID: "r0"}, "address", named(2)) // the first was checked, and is forgotten
 		time.Sleep(2 * time.Millisecond)
 		prober.set("r0", Ended, 0)
-		guards[0].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(3))
+		guards[0].ConnectionBroken(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(3))
 		time.Sleep(2 * gatherTime)
 		require.Equal(t, 1, shared.recordCount())
 		total, _, _ := guards[0].Counts()
@@ -360,7 +360,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		_, guards := fleetOf(t, 1, &answers{is: map[string]Liveness{"r0": Running}})
 		for number := range 2 * mostLeft {
-			guards[0].Left(fleet.Incarnation{ID: fmt.Sprintf("r%d", number%7)}, "address", named(number))
+			guards[0].Abandoned(fleet.Incarnation{ID: fmt.Sprintf("r%d", number%7)}, "address", named(number))
 		}
 		require.Equal(t, mostLeft, leftCount(guards[0]))
 	})
@@ -371,9 +371,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		_, guards := fleetOf(t, 2, &answers{is: map[string]Liveness{"r0": Ended}})
 		guards[0].Prober = &answers{is: map[string]Liveness{"r0": Unknown}}
-		guards[0].Left(fleet.Incarnation{ID: "r0"}, "address", named(1))
+		guards[0].Abandoned(fleet.Incarnation{ID: "r0"}, "address", named(1))
 		time.Sleep(leftTime / 2)
-		guards[1].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(2))
+		guards[1].ConnectionBroken(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(2))
 		time.Sleep(2 * leftTime)
 		for _, guard := range guards {
 			total, _, _ := guard.Counts()
@@ -399,15 +399,15 @@
 		end := time.Now().Add(rest)
 		guards[0].RestsUntil = func(string) time.Time { return end }
 		resting := fleet.Incarnation{ID: "r0"}
-		guards[0].Left(resting, "address", named(1))
+		guards[0].Abandoned(resting, "address", named(1))
 		time.Sleep(2 * leftTime)
 		require.Zero(t, prober.asked())
 		for range 3 {
-			guards[0].Broke(t.Context(), resting, "address", named(1))
+			guards[0].ConnectionBroken(t.Context(), resting, "address", named(1))
 		}
 		require.Equal(t, 1, prober.asked())
 		time.Sleep(time.Until(end))
-		guards[0].Broke(t.Context(), resting, "address", named(1))
+		guards[0].ConnectionBroken(t.Context(), resting, "address", named(1))
 		require.Equal(t, 2, prober.asked())
 	})
 }
@@ -431,11 +431,11 @@
 		counted := &turns{}
 		guards[0].Turns = counted
 		limited := fleet.Incarnation{ID: "r0"}
-		guards[0].Broke(t.Context(), limited, "address", named(1))
+		guards[0].ConnectionBroken(t.Context(), limited, "address", named(1))
 		require.EqualValues(t, 1, counted.charged.Load())
 		require.Equal(t, 1, prober.asked())
 
-		guards[0].Left(limited, "address", named(1))
+		guards[0].Abandoned(limited, "address", named(1))
 		time.Sleep(2*checkAfter + time.Millisecond)
 		require.EqualValues(t, 2, counted.asked.Load())
 		require.Equal(t, 1, prober.asked(), "no turn")
--- a/quarantine/restore_test.go
+++ b/quarantine/restore_test.go
@@ -51,7 +51,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				shared, guards := fleetOf(t, 2, &answers{is: map[string]Liveness{"r0": Ended, "r1": Ended, "r2": Ended}})
 				for number := range EndsAllowed {
-					guards[1].Broke(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", named(1))
+					guards[1].ConnectionBroken(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", named(1))
 					time.Sleep(2 * gatherTime)
 				}
 				written := shared.recordCount()
