--- a/election/election.go
+++ b/election/election.go
@@ -348,7 +348,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, e.TTL)
 	defer cancel()
-	store := kv.Hurried{LeaseStore: e.store, Timeout: e.campaignCallTimeout()}
+	store := kv.TimeoutStore{LeaseStore: e.store, Timeout: e.campaignCallTimeout()}
 	sent := e.now()
 	lease, err := store.GrantLease(ctx, e.TTL)
 	if err != nil {
@@ -399,7 +399,7 @@
 func (e *Election) revokeLease(ctx context.Context, lease kv.LeaseID) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	if err := e.store.EndLease(ctx, lease); err != nil {
+	if err := e.store.RevokeLease(ctx, lease); err != nil {
 		e.log.WithField(logging.Cause, err.Error()).Info("cannot revoke a lease; it will expire")
 	}
 }
@@ -475,14 +475,14 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	sent := e.now()
-	err := e.store.KeepLease(ctx, lease)
+	err := e.store.RenewLease(ctx, lease)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	switch {
 	case e.lease != lease:
 	case err == nil:
 		e.renewedAt = sent
-	case errors.Is(err, kv.ErrNoLease):
+	case errors.Is(err, kv.ErrLeaseNotFound):
 		e.endTerm("the lease has expired")
 		e.vacancy = &vacancy{}
 	case errors.Is(err, kv.ErrRestored):
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -72,7 +72,7 @@
 	return lease, nil
 }
 
-func (v storeView) KeepLease(_ context.Context, lease kv.LeaseID) error {
+func (v storeView) RenewLease(_ context.Context, lease kv.LeaseID) error {
 	if err := v.checkReachable(); err != nil {
 		return err
 	}
@@ -82,13 +82,13 @@
 	case lease.Era != kv.EraOf(v.revision):
 		return kv.ErrRestored
 	case !v.present || lease != v.lease:
-		return kv.ErrNoLease
+		return kv.ErrLeaseNotFound
 	}
 	v.expiry.Reset(testTTL)
 	return nil
 }
 
-func (v storeView) EndLease(_ context.Context, lease kv.LeaseID) error {
+func (v storeView) RevokeLease(_ context.Context, lease kv.LeaseID) error {
 	v.mutex.Lock()
 	bound := v.present && lease == v.lease
 	v.mutex.Unlock()
--- a/election/restore_test.go
+++ b/election/restore_test.go
@@ -21,7 +21,7 @@
 func (r *recordStore) backup() storeBackup {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return storeBackup{r.pair, r.present, kv.CountOf(r.revision)}
+	return storeBackup{r.pair, r.present, kv.CounterOf(r.revision)}
 }
 
 // restore makes the store continue from a backup in its next era; the lease of the restored record
@@ -32,9 +32,9 @@
 	if r.expiry != nil {
 		r.expiry.Stop()
 	}
-	r.revision = kv.RevisionIn(era, from.count)
+	r.revision = kv.MakeRevision(era, from.count)
 	r.pair, r.present = from.pair, from.present
-	r.pair.ModRevision = kv.RevisionIn(era, kv.CountOf(from.pair.ModRevision))
+	r.pair.ModRevision = kv.MakeRevision(era, kv.CounterOf(from.pair.ModRevision))
 	r.lease = kv.LeaseID{}
 	event := kv.Event{Pair: r.pair}
 	if r.present {
@@ -101,7 +101,7 @@
 		before, status := one.Term()
 		require.Equal(t, TermValid, status)
 		store.restore(nothing) // without an event
-		one.ObserveAbsent(kv.RevisionIn(1, 0))
+		one.ObserveAbsent(kv.MakeRevision(1, 0))
 		time.Sleep(10 * time.Millisecond)
 		after, status := one.Term()
 		require.Equal(t, TermValid, status)
--- a/loader/handover_test.go
+++ b/loader/handover_test.go
@@ -75,8 +75,8 @@
 		require.Equal(t, lastOrder.Add(termGap), leader.ordersFrom)
 		leader.orderTimes.inherited = map[string]time.Time{"r1": lastOrder}
 
-		store.revision.Store(kv.RevisionIn(1, 1))
-		campaign.Observe(kv.Event{Pair: kv.Pair{Key: "term", ModRevision: kv.RevisionIn(1, 1)}, Deleted: true, Restored: true})
+		store.revision.Store(kv.MakeRevision(1, 1))
+		campaign.Observe(kv.Event{Pair: kv.Pair{Key: "term", ModRevision: kv.MakeRevision(1, 1)}, Deleted: true, AfterRestore: true})
 		leader.runRound(t.Context(), time.Now())
 		synctest.Wait()
 		leader.runRound(t.Context(), time.Now())
@@ -86,8 +86,8 @@
 		require.NotEmpty(t, leader.orderTimes.inherited)
 
 		time.Sleep(termGap)
-		store.revision.Store(kv.RevisionIn(2, 1))
-		campaign.Observe(kv.Event{Pair: kv.Pair{Key: "term", ModRevision: kv.RevisionIn(2, 1)}, Deleted: true, Restored: true})
+		store.revision.Store(kv.MakeRevision(2, 1))
+		campaign.Observe(kv.Event{Pair: kv.Pair{Key: "term", ModRevision: kv.MakeRevision(2, 1)}, Deleted: true, AfterRestore: true})
 		synctest.Wait()
 		leader.runRound(t.Context(), time.Now())
 		require.False(t, leader.ordersFrom.After(time.Now()), "the term gap has passed")
--- a/records/bulk_test.go
+++ b/records/bulk_test.go
@@ -28,7 +28,7 @@
 
 // newLimitedMirror returns a mirror that omits replica records beyond limit, and the changes of
 // that state that it reports.
-func newLimitedMirror(t *testing.T, store kv.ChangeStore, limit int) (*Mirror, *[]bool) {
+func newLimitedMirror(t *testing.T, store kv.LongPollStore, limit int) (*Mirror, *[]bool) {
 	reported := &[]bool{}
 	mirror := newTestMirror(t, store)
 	mirror.LimitReplicaRecords(testReplicaPrefix, limit, "", func(without bool) { *reported = append(*reported, without) })
--- a/records/era.go
+++ b/records/era.go
@@ -53,12 +53,12 @@
 	}
 	deleted := 0
 	for index := range events {
-		events[index].Restored = true
+		events[index].AfterRestore = true
 		if events[index].Deleted {
 			deleted++
 		}
 	}
 	m.log.WithFields(logging.AtRevision(after)).WithFields(logrus.Fields{
-		logging.EraBefore: kv.EraOf(before), logging.RevisionBefore: kv.CountOf(before), logging.Listed: len(events) - deleted, logging.Gone: deleted,
+		logging.EraBefore: kv.EraOf(before), logging.RevisionBefore: kv.CounterOf(before), logging.Listed: len(events) - deleted, logging.Gone: deleted,
 	}).Warn(logging.MessageServiceRestored)
 }
--- a/records/records.go
+++ b/records/records.go
@@ -57,7 +57,7 @@
 
 // Mirror keeps a copy of the records under a prefix. It is a suture service.
 type Mirror struct {
-	store  kv.ChangeStore
+	store  kv.LongPollStore
 	prefix string
 	log    logrus.FieldLogger
 	now    func() time.Time
@@ -125,7 +125,7 @@
 }
 
 // NewMirror returns a mirror of the records under a prefix; Serve fills it.
-func NewMirror(store kv.ChangeStore, prefix string, log logrus.FieldLogger) *Mirror {
+func NewMirror(store kv.LongPollStore, prefix string, log logrus.FieldLogger) *Mirror {
 	return &Mirror{store: store, prefix: prefix, log: log, now: time.Now, pairs: map[string]kv.Pair{}, changed: make(chan struct{}), otherChanged: make(chan struct{}), becameLeader: make(chan struct{}, 1), pollNow: make(chan struct{}, 1)}
 }
 
@@ -251,7 +251,7 @@
 	defer m.applyMutex.Unlock()
 	missing := m.missingReplicas()
 	if known := m.Revision(); revision < known && !missing {
-		m.log.WithFields(logging.AtRevision(known)).WithField(logging.ListedRevision, kv.CountOf(revision)).
+		m.log.WithFields(logging.AtRevision(known)).WithField(logging.ListedRevision, kv.CounterOf(revision)).
 			Warn("ignoring outdated list of the key-value service; a peer has forwarded newer records")
 		return
 	}
--- a/records/records_test.go
+++ b/records/records_test.go
@@ -18,7 +18,7 @@
 // fakeStore is an in-memory store. While silent, calls fail after a timeout, and polls that began
 // before the silence are never answered.
 type fakeStore struct {
-	kv.ChangeStore
+	kv.LongPollStore
 	mutex      sync.Mutex
 	pairs      map[string]kv.Pair
 	revision   int64
@@ -158,7 +158,7 @@
 }
 
 // newTestMirror returns a mirror that is not serving yet.
-func newTestMirror(t *testing.T, store kv.ChangeStore) *Mirror {
+func newTestMirror(t *testing.T, store kv.LongPollStore) *Mirror {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(t.Output())
