--- a/node/follow.go
+++ b/node/follow.go
@@ -14,74 +14,73 @@
 	"github.com/finchspoke/finchspoke/routing"
 )
 
-// follow leads records to the parts that use them.
-func (n *Node) follow(adapters Adapters) {
+// followRecords registers the handlers of mirrored records and configures the mirror.
+func (n *Node) followRecords(adapters Adapters) {
 	n.mirror.Handle(adapters.TableKey, func(event kv.Event) {
 		if event.Pair.Key == adapters.TableKey && !event.Deleted {
-			n.takeTable(adapters, event.Pair)
+			n.applyTable(adapters, event.Pair)
 		}
 	})
-	n.mirror.Handle(adapters.ReplicaPrefix, func(event kv.Event) { n.takeReplica(adapters, event) })
+	n.mirror.Handle(adapters.ReplicaPrefix, func(event kv.Event) { n.applyReplicaEvent(adapters, event) })
 	n.mirror.Handle(n.config.TermKey, n.election.Observe)
-	n.mirror.Handle(n.config.EndsPrefix, n.quarantine.Observe)
+	n.mirror.Handle(n.config.CrashPrefix, n.quarantine.Observe)
 	n.mirror.SetUrgentKey(n.config.TermKey)
-	n.mirror.LimitReplicaRecords(adapters.ReplicaPrefix, cmp.Or(n.config.KnownByAll, KnownByAll), n.config.SizeKey, n.replicas.changed)
-	n.mirror.SetFallbackDelay(n.replicas.loneTime)
-	n.mirror.SetHasPeers(n.listensToPeers)
-	n.mirror.SetForwardFilter(func(before, after kv.Pair) bool { return notable(adapters, before, after) })
+	n.mirror.LimitReplicaRecords(adapters.ReplicaPrefix, cmp.Or(n.config.KnownByAll, KnownByAll), n.config.FleetSizeKey, n.replicas.omissionChanged)
+	n.mirror.SetFallbackDelay(n.replicas.fallbackDelay)
+	n.mirror.SetHasPeers(n.hasRecordSource)
+	n.mirror.SetForwardFilter(func(before, after kv.Pair) bool { return shouldForward(adapters, before, after) })
 	n.mirror.OnLoaded(func() {
-		if _, held := n.mirror.Get(n.config.TermKey); !held {
+		if _, exists := n.mirror.Get(n.config.TermKey); !exists {
 			n.election.ObserveAbsent(n.mirror.Revision())
 		}
-		n.replicas.loaded()
+		n.replicas.recordsLoaded()
 	})
 }
 
-// takeTable takes an imported table into force. One that cannot be read leaves the
-// one in force.
-func (n *Node) takeTable(adapters Adapters, pair kv.Pair) {
+// applyTable applies an imported routing table. If it is invalid, the current table stays in effect.
+func (n *Node) applyTable(adapters Adapters, pair kv.Pair) {
 	revision, err := adapters.ReadTable(pair)
 	if err == nil {
 		var table *routing.Table
 		if table, err = routing.NewTable(revision); err == nil {
-			taken := n.routes.Put(table)
-			if taken {
+			applied := n.routes.Put(table)
+			if applied {
 				now := time.Now()
-				n.tableAt.Store(&now)
+				n.tableAppliedAt.Store(&now)
 			}
-			n.log.WithFields(logrus.Fields{logging.ConfigVersion: table.Version, logging.Outcome: taken}).WithFields(logging.AtRevision(pair.ModRevision)).
+			n.log.WithFields(logrus.Fields{logging.ConfigVersion: table.Version, logging.Outcome: applied}).WithFields(logging.AtRevision(pair.ModRevision)).
 				Info(logging.MessageTableRead)
-			n.holder.Wake()
+			n.leader.Wake()
 			return
 		}
 	}
 	n.log.WithFields(logrus.Fields{logging.Cause: err.Error(), logging.ConfigVersion: n.routes.Version()}).WithFields(logging.AtRevision(pair.ModRevision)).
-		Error("routing table not used; the one in force stays")
+		Error("routing table rejected; the current one stays in effect")
 }
 
-func (n *Node) takeReplica(adapters Adapters, event kv.Event) {
+func (n *Node) applyReplicaEvent(adapters Adapters, event kv.Event) {
 	id := event.Pair.Key[len(adapters.ReplicaPrefix):]
 	if event.Deleted {
 		n.fleet.Remove(id, time.Now())
-		n.registryLog.replicaGone(id, event.Pair.ModRevision)
-		n.holder.RegistryChanged(id)
+		n.registryLog.logRemoved(id, event.Pair.ModRevision)
+		n.leader.RegistryChanged(id)
 		return
 	}
 	entry, err := adapters.ReadReplica(event.Pair)
 	if err != nil {
-		// What was known under that id was written over: it names no replica any more.
+		// The record was overwritten, so its id no longer names a replica.
 		n.fleet.Remove(id, time.Now())
-		n.registryLog.entryRefused(id, err, event.Pair.ModRevision)
-		n.holder.RegistryChanged(id)
+		n.registryLog.logInvalid(id, err, event.Pair.ModRevision)
+		n.leader.RegistryChanged(id)
 		return
 	}
 	n.putReplica(entry, event.AfterRestore)
-	n.registryLog.replicaListed(entry, event.Pair.ModRevision)
-	n.holder.RegistryChanged(entry.ID)
+	n.registryLog.logListed(entry, event.Pair.ModRevision)
+	n.leader.RegistryChanged(entry.ID)
 }
 
-// putReplica takes in an entry of the registry, which may be out of a copy that the key-value service was
-// restored from.
+// putReplica applies an entry of the registry. An entry that came back with a restored backup may be untrusted
+// for a while, since its replica may have ended.
 func (n *Node) putReplica(entry fleet.Entry, restored bool) {
 	if !restored {
 		n.fleet.Put(entry, time.Now())
@@ -93,13 +92,13 @@
 	n.log.WithField(logging.Replica, entry.ID).Info(logging.MessageReplicaDoubted)
 	time.AfterFunc(fleet.RestoredEntryHold, func() {
 		n.fleet.TrustRestored(entry.Incarnation())
-		n.holder.RegistryChanged(entry.ID)
+		n.leader.RegistryChanged(entry.ID)
 	})
 }
 
-// notable tells whether peers need a change of a record. What is loaded on a replica
-// the holder of load orders tells them by itself, and sooner.
-func notable(adapters Adapters, before, after kv.Pair) bool {
+// shouldForward reports whether peers need an update of a record. They do not if only the loaded models of a
+// replica changed, because the leader reports these sooner by itself.
+func shouldForward(adapters Adapters, before, after kv.Pair) bool {
 	if !strings.HasPrefix(after.Key, adapters.ReplicaPrefix) {
 		return true
 	}
@@ -108,9 +107,9 @@
 	return earlierErr != nil || laterErr != nil || !earlier.EqualExceptModels(later)
 }
 
-// recordSource returns the daemon that passes the platform's records on to this one: the
-// holder of load orders, or the directory that this daemon asks for replicas.
-func (n *Node) recordSource() (address string, other bool) {
+// recordSource returns the daemon that forwards records to this one, and whether that is another daemon: the
+// leader, or the directory that this daemon uses. The address is empty if no leader is known.
+func (n *Node) recordSource() (address string, isOther bool) {
 	if address = n.replicas.directory(); address != "" {
 		return address, true
 	}
@@ -118,9 +117,9 @@
 	return address, address != n.config.PeerAddress
 }
 
-// deputySource returns the daemon that passes records on while nobody holds the load
-// orders: the first seed, for daemons that are no seeds.
-func (n *Node) deputySource() string {
+// standbySource returns the daemon that forwards records while there is no leader: the first seed. It is
+// empty on the seeds themselves.
+func (n *Node) standbySource() string {
 	seeds := *n.seeds.Load()
 	if len(seeds) == 0 || slices.Contains(seeds, n.config.PeerAddress) {
 		return ""
@@ -128,17 +127,17 @@
 	return seeds[0]
 }
 
-// listensToPeers tells whether this daemon asks a peer for records now: the holder of load orders, or
-// the deputy.
-func (n *Node) listensToPeers() bool {
-	address, other := n.recordSource()
+// hasRecordSource reports whether another daemon forwards records to this one: the leader, a directory or,
+// while there is no leader, the standby.
+func (n *Node) hasRecordSource() bool {
+	address, isOther := n.recordSource()
 	if address == "" {
-		return n.deputySource() != ""
+		return n.standbySource() != ""
 	}
-	return other
+	return isOther
 }
 
-// otherSeeds lists the seeds that are other daemons.
+// otherSeeds returns the seeds without this daemon.
 func (n *Node) otherSeeds() []string {
 	return slices.DeleteFunc(slices.Clone(*n.seeds.Load()), func(seed string) bool { return seed == n.config.PeerAddress })
 }
--- a/node/memory.go
+++ b/node/memory.go
@@ -2,14 +2,14 @@
 
 import "runtime/debug"
 
-// memoryShare is the share of the memory that the process may have from which the garbage collector
-// works harder. By itself it lets the heap double between two rounds: the holder of load orders before
-// 985 daemons had 334 MB, half of it garbage, on a machine whose processes are killed at 536.
-const memoryShare = 0.4
+// memoryLimitShare is the soft memory limit of the Go runtime as a share of the process's memory. Without a
+// limit the heap may double between two collections, which the process's memory may not allow.
+const memoryLimitShare = 0.4
 
-// BoundMemory makes the garbage collector work harder before the process is killed for its memory.
-func (c *Config) BoundMemory() {
-	if c.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(c.MemoryBytes)))
+// ApplyMemoryLimit sets a soft memory limit, so that the garbage collector runs more often before the process
+// is killed for its memory use.
+func (c *Config) ApplyMemoryLimit() {
+	if c.MemoryLimitBytes > 0 {
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(c.MemoryLimitBytes)))
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,6 @@
-// Package node assembles the daemon that routes requests by an imported table to
-// replicas which a registry lists, and that takes its turn in deciding what is
-// loaded on them. What the platform's interfaces look like is given by Adapters.
+// Package node assembles the daemon that routes requests to the replicas of a registry by an imported
+// routing table. One daemon at a time is the leader, which decides what replicas load. Adapters connect the
+// daemon to the platform's interfaces.
 package node
 
 import (
@@ -39,106 +39,105 @@
 	"github.com/finchspoke/finchspoke/upstream"
 )
 
-// Config is what a node is started with. Addresses are host:port.
+// Config holds the settings of a node. Addresses are host:port.
 type Config struct {
-	ID            string
-	Zone          string
-	CallerAddress string
-	ReadyAddress  string
-	PeerAddress   string // for daemons; advertised to them
-	MetricsAddr   string // empty: none
-	// Seeds are peer addresses of some daemons, which may be out of date.
+	ID             string
+	Zone           string
+	CallerAddress  string
+	ReadyAddress   string
+	PeerAddress    string // advertised to other daemons
+	MetricsAddress string // empty: metrics are not served
+	// Seeds are the peer addresses of some daemons; they may be out of date.
 	Seeds []string
-	// FirstStart tells that the whole system starts for the first time.
+	// FirstStart states that the system starts for the first time, so that there was no earlier leader.
 	FirstStart bool
-	// StopTime is how long a planned stop may take.
-	StopTime time.Duration
-	// TermKey is the record of who holds the load orders; LeaseTime is its lease.
-	TermKey   string
-	LeaseTime time.Duration
-	// TermDelay is how much later than others this daemon campaigns for the term.
+	// StopTimeout bounds the duration of a planned stop.
+	StopTimeout time.Duration
+	// TermKey is the key of the record that names the leader; LeaseTTL is the duration of its lease.
+	TermKey  string
+	LeaseTTL time.Duration
+	// TermDelay is how long this daemon waits before it campaigns for the term.
 	TermDelay time.Duration
-	// MemoryBytes is how much memory the process may have; zero: no bound is known.
-	MemoryBytes int64
-	Retries     core.RetryPolicy
-	LoadLimits  loader.Limits
-	// Configurations bounds how old the configuration may be that requests are judged by.
-	Configurations access.Bound
-	// Quotas bounds how closely tenants' limits are kept.
-	Quotas      quota.Bounds
-	RecordsRoot string // prefix of the records that are followed
-	// SizeKey is the record that says whether there are more replicas than every daemon knows.
-	SizeKey string
-	// KnownByAll is up to how many replicas every daemon knows them all; zero: KnownByAll of this
-	// package.
+	// MemoryLimitBytes is the memory available to the process; zero: unknown.
+	MemoryLimitBytes int64
+	Retries          core.RetryPolicy
+	LoadLimits       loader.Limits
+	// ConfigurationAge bounds the time since the configuration was last known to be current.
+	ConfigurationAge access.Bound
+	// QuotaBounds bounds how far the limits of tenants may be exceeded.
+	QuotaBounds   quota.Bounds
+	RecordsPrefix string // key prefix of the records that are mirrored
+	// FleetSizeKey is the key of the record that states whether the fleet is larger than KnownByAll.
+	FleetSizeKey string
+	// KnownByAll is the size of the fleet up to which every daemon knows all replicas; zero: the constant
+	// KnownByAll.
 	KnownByAll int
-	// EndsPrefix is that of the records of replicas that ended while they had requests.
-	EndsPrefix string
+	// CrashPrefix is the key prefix of the records of replicas that ended while they served requests.
+	CrashPrefix string
 }
 
-// MetricsOn gives metrics a port on the peer address's IP, unless the settings name an
-// address of their own; port 0 changes nothing.
-func (c *Config) MetricsOn(port int) {
-	if c.MetricsAddr != "" || port == 0 {
+// EnableMetrics serves metrics on a port of the peer address's IP, unless MetricsAddress is set already;
+// port 0 changes nothing.
+func (c *Config) EnableMetrics(port int) {
+	if c.MetricsAddress != "" || port == 0 {
 		return
 	}
 	if ip, _, err := net.SplitHostPort(c.PeerAddress); err == nil {
-		c.MetricsAddr = net.JoinHostPort(ip, strconv.Itoa(port))
+		c.MetricsAddress = net.JoinHostPort(ip, strconv.Itoa(port))
 	}
 }
 
-// Adapters are the platform's interfaces.
+// Adapters implement the platform's interfaces.
 type Adapters struct {
 	Store kv.LongPollStore
-	// ReplicaPrefix is the prefix of the registry's records; ReadReplica reads one.
+	// ReplicaPrefix is the key prefix of the registry's records; ReadReplica decodes one.
 	ReplicaPrefix string
 	ReadReplica   func(kv.Pair) (fleet.Entry, error)
-	// TableKey is the record of the routing table; ReadTable reads it.
+	// TableKey is the key of the routing table's record; ReadTable decodes it.
 	TableKey  string
 	ReadTable func(kv.Pair) (routing.Revision, error)
-	// Replicas makes the protocol of the replicas.
-	Replicas func(*upstream.Pool, Notices) ReplicaProtocol
-	// Callers serves the caller interface; ReadyPath is where readiness is asked.
-	Callers   func(*routing.Store, *access.Gate, *core.Core) http.Handler
-	ReadyPath string
+	// Replicas returns the clients of the protocol that replicas speak.
+	Replicas func(*upstream.Pool, ReplicaCallbacks) ReplicaProtocol
+	// NewCallerHandler returns the handler of callers' requests.
+	NewCallerHandler func(*routing.Store, *access.Gate, *core.Core) http.Handler
+	ReadyPath        string // of the readiness check
 }
 
-// ReplicaProtocol is the protocol that replicas speak: Driver for requests, Orders for what they are to
-// load, and Prober asks whether they run.
+// ReplicaProtocol holds the clients of the protocol that replicas speak: Driver sends requests, Orders sends
+// load orders, and Prober checks whether a replica's process runs.
 type ReplicaProtocol struct {
 	Driver core.Driver
 	Orders loader.Replicas
 	Prober quarantine.Prober
 }
 
-// Node is one daemon.
+// Node is a daemon. New assembles it, and Run serves until it is stopped.
 type Node struct {
-	config  Config
-	log     logrus.FieldLogger
-	metrics *prometheus.Registry
-	routes  *routing.Store
-	fleet   *fleet.Directory
-	core    *core.Core
-	mirror  *records.Mirror
-	// registryLog writes what the registry says of replicas.
-	registryLog *registryLog
-	gate        *access.Gate
-	limits      *limiter.Server
-	quotas      *limiter.Client
-	quarantine  *quarantine.Guard
-	election    *election.Election
-	holder      *loader.Leader
-	follower    *loader.Follower
-	replicas    *replicaKnowledge
-	peers       *transport.Server
-	ended       chan struct{} // closed by End
-	frontend    *frontend.Server
-	pool        *upstream.Pool
-	listeners   listeners
-	notices     *noticeCounts
-	supervisor  *suture.Supervisor
-	seeds       atomic.Pointer[[]string]
-	tableAt     atomic.Pointer[time.Time] // when the table in force was taken; nil: none
+	config         Config
+	log            logrus.FieldLogger
+	metrics        *prometheus.Registry
+	routes         *routing.Store
+	fleet          *fleet.Directory
+	core           *core.Core
+	mirror         *records.Mirror
+	registryLog    *registryLog
+	gate           *access.Gate
+	limitServer    *limiter.Server
+	limitClient    *limiter.Client
+	quarantine     *quarantine.Guard
+	election       *election.Election
+	leader         *loader.Leader
+	follower       *loader.Follower
+	replicas       *replicaDiscovery
+	peers          *transport.Server
+	ended          chan struct{} // closed by Kill
+	frontend       *frontend.Server
+	pool           *upstream.Pool
+	listeners      listeners
+	hints          *hintCounters
+	supervisor     *suture.Supervisor
+	seeds          atomic.Pointer[[]string]
+	tableAppliedAt atomic.Pointer[time.Time] // when the current routing table was applied; nil: none
 }
 
 type listeners struct {
@@ -146,39 +145,39 @@
 }
 
 func (l listeners) close() {
-	for _, one := range []net.Listener{l.callers, l.ready, l.peers, l.metrics} {
-		if one != nil {
-			_ = one.Close()
+	for _, listener := range []net.Listener{l.callers, l.ready, l.peers, l.metrics} {
+		if listener != nil {
+			_ = listener.Close()
 		}
 	}
 }
 
-func listen(config Config) (opened listeners, err error) {
+func openListeners(config Config) (opened listeners, err error) {
 	defer func() {
 		if err != nil {
 			opened.close()
 		}
 	}()
-	for _, one := range []struct {
+	for _, spec := range []struct {
 		name, address string
-		into          *net.Listener
+		target        *net.Listener
 	}{
 		{"callers", config.CallerAddress, &opened.callers}, {"readiness", config.ReadyAddress, &opened.ready},
-		{"daemons", config.PeerAddress, &opened.peers}, {"metrics", config.MetricsAddr, &opened.metrics},
+		{"daemons", config.PeerAddress, &opened.peers}, {"metrics", config.MetricsAddress, &opened.metrics},
 	} {
-		if one.address == "" && one.name == "metrics" {
+		if spec.address == "" && spec.name == "metrics" {
 			continue
 		}
-		if *one.into, err = net.Listen("tcp", one.address); err != nil {
-			return opened, failure.Wrap(err, failure.InvalidConfig, "give a free address of this machine", "cannot listen on %q for %s", one.address, one.name)
+		if *spec.target, err = net.Listen("tcp", spec.address); err != nil {
+			return opened, failure.Wrap(err, failure.InvalidConfig, "give a free address of this machine", "cannot listen on %q for %s", spec.address, spec.name)
 		}
 	}
 	return opened, nil
 }
 
-// New opens a node's sockets and assembles it; Run starts it.
+// New opens a node's listeners and assembles its services; Run starts them.
 func New(config Config, adapters Adapters, log logrus.FieldLogger) (*Node, error) {
-	opened, err := listen(config)
+	opened, err := openListeners(config)
 	if err != nil {
 		return nil, err
 	}
@@ -194,83 +193,83 @@
 }
 
 func (n *Node) assemble(adapters Adapters) {
-	adapters.Store = n.meter(adapters.Store)
-	opened := prometheus.NewCounter(prometheus.CounterOpts{
+	adapters.Store = n.meterStore(adapters.Store)
+	connectionsOpened := prometheus.NewCounter(prometheus.CounterOpts{
 		Name: "finchspoke_replica_connections_opened_total", Help: "Connections opened to replicas.",
 	})
-	n.metrics.MustRegister(opened)
-	n.pool = upstream.NewPool(opened.Inc)
+	n.metrics.MustRegister(connectionsOpened)
+	n.pool = upstream.NewPool(connectionsOpened.Inc)
 	n.fleet.SetConnected(n.pool.HasIdle)
-	n.notices = newNoticeCounts(n.metrics)
-	replicas := adapters.Replicas(n.pool, Notices{Hear: n.hear, Admit: func(replica string, held fleet.Permit) error { return n.fleet.Admit(replica, held, time.Now()) }})
+	n.hints = newHintCounters(n.metrics)
+	replicas := adapters.Replicas(n.pool, ReplicaCallbacks{OnHint: n.handleHint, Admit: func(replica string, permit fleet.Permit) error { return n.fleet.Admit(replica, permit, time.Now()) }})
 	tracker := demand.NewTracker()
-	requests := &core.Core{
+	requestCore := &core.Core{
 		Fleet: n.fleet, Demand: tracker, Driver: replicas.Driver, Retries: n.config.Retries,
 		Metrics: core.NewMetrics(n.metrics), Log: n.log,
 	}
-	requests.Prepare()
-	n.core = requests
-	n.mirror = records.NewMirror(adapters.Store, n.config.RecordsRoot, n.log)
+	requestCore.Prepare()
+	n.core = requestCore
+	n.mirror = records.NewMirror(adapters.Store, n.config.RecordsPrefix, n.log)
 	n.mirror.SetClock(boottime.Now)
-	n.gate = &access.Gate{Table: n.routes, VerifiedAt: n.mirror.VerifiedAt, Bound: n.config.Configurations, Now: boottime.Now}
-	requests.Gate = n.gate
-	if n.config.Configurations.Strict {
-		n.mirror.VerifyWithin(adapters.TableKey, time.Duration(proofShare*float64(n.config.Configurations.MaxAge)))
+	n.gate = &access.Gate{Table: n.routes, VerifiedAt: n.mirror.VerifiedAt, Bound: n.config.ConfigurationAge, Now: boottime.Now}
+	requestCore.Gate = n.gate
+	if n.config.ConfigurationAge.Strict {
+		n.mirror.VerifyWithin(adapters.TableKey, time.Duration(storeVerificationShare*float64(n.config.ConfigurationAge.MaxAge)))
 	}
-	n.registryLog = &registryLog{log: n.log, leading: n.mirror.Leading, now: time.Now}
+	n.registryLog = &registryLog{log: n.log, isLeading: n.mirror.Leading, now: time.Now}
 	n.election = election.New(election.Config{
-		Key: n.config.TermKey, Daemon: n.config.ID, Address: n.config.PeerAddress, TTL: n.config.LeaseTime,
-		HasLeaderHistory: func() bool { return n.holder.HasLeaderHistory() }, CampaignDelay: n.termDelay,
-		Now: boottime.Now, OnWritten: n.mirror.PollNow, // other daemons hear of it from this one
+		Key: n.config.TermKey, Daemon: n.config.ID, Address: n.config.PeerAddress, TTL: n.config.LeaseTTL,
+		HasLeaderHistory: func() bool { return n.leader.HasLeaderHistory() }, CampaignDelay: n.campaignDelay,
+		Now: boottime.Now, OnWritten: n.mirror.PollNow, // the mirror forwards the record to the other daemons
 	}, adapters.Store, n.log)
-	n.holder = &loader.Leader{
+	n.leader = &loader.Leader{
 		Daemon: n.config.ID, Fleet: n.fleet, Table: n.routes, Replicas: replicas.Orders, Election: n.election,
 		Limits: n.config.LoadLimits, Metrics: loader.NewMetrics(n.metrics), Log: n.log, FirstStart: n.config.FirstStart,
-		TermDelay: n.config.TermDelay, Address: n.config.PeerAddress, TooManyReplicas: n.mirror.TooManyReplicas, KnowsReplicas: func() bool { return n.replicas.all() },
-		ExpectedDaemons: requests.Daemons,
+		TermDelay: n.config.TermDelay, Address: n.config.PeerAddress, TooManyReplicas: n.mirror.TooManyReplicas, KnowsReplicas: func() bool { return n.replicas.knowsAll() },
+		ExpectedDaemons: requestCore.Daemons,
 	}
-	n.holder.Prepare()
-	n.replicas = newReplicaKnowledge(n)
-	n.follower = &loader.Follower{Daemon: n.config.ID, Demand: tracker, Fleet: n.fleet, Leader: n.holder, Log: n.log, Daemons: requests.SetDaemons,
-		TermDelay: n.config.TermDelay, KnowsReplicas: n.replicas.all, SetDirectories: n.replicas.setDirectories, Address: n.config.PeerAddress, Zone: n.config.Zone}
+	n.leader.Prepare()
+	n.replicas = newReplicaDiscovery(n)
+	n.follower = &loader.Follower{Daemon: n.config.ID, Demand: tracker, Fleet: n.fleet, Leader: n.leader, Log: n.log, Daemons: requestCore.SetDaemons,
+		TermDelay: n.config.TermDelay, KnowsReplicas: n.replicas.knowsAll, SetDirectories: n.replicas.setDirectories, Address: n.config.PeerAddress, Zone: n.config.Zone}
 	n.follower.Prepare()
-	requests.LeaderAttached = n.follower.Attached
-	n.election.AddListener(func(holder election.Leader) {
-		n.follower.LeaderChanged(holder)
-		if holder.Daemon != n.config.ID {
-			n.holder.ObserveOtherLeader()
+	requestCore.LeaderAttached = n.follower.Attached
+	n.election.AddListener(func(leader election.Leader) {
+		n.follower.LeaderChanged(leader)
+		if leader.Daemon != n.config.ID {
+			n.leader.ObserveOtherLeader()
 		}
-		n.mirror.SetLeading(holder.Daemon == n.config.ID)
-		n.holder.Wake()
+		n.mirror.SetLeading(leader.Daemon == n.config.ID)
+		n.leader.Wake()
 	})
 	n.quarantine = &quarantine.Guard{
-		Prefix: n.config.EndsPrefix, Store: adapters.Store, Prober: replicas.Prober, Leaves: n.leaves, RestsUntil: n.fleet.RestsUntil, Leading: n.mirror.Leading,
+		Prefix: n.config.CrashPrefix, Store: adapters.Store, Prober: replicas.Prober, Leaves: n.isDraining, RestsUntil: n.fleet.RestsUntil, Leading: n.mirror.Leading,
 		Now: time.Now, Metrics: quarantine.NewMetrics(n.metrics), Log: n.log,
 	}
 	n.quarantine.Prepare()
-	requests.Quarantine = n.quarantine
-	n.follow(adapters)
-	n.quotas = &limiter.Client{Bounds: n.config.Quotas, Leader: n.election.LeaderAddress, HasLimits: n.needsQuotas, Now: boottime.Now,
-		Daemons: requests.Daemons, CountPermit: newPermitCounts(n.metrics), Log: n.log}
-	n.quotas.Prepare()
-	requests.Limits, requests.Permits = n.quotas, n.quotas
-	n.quarantine.Turns = &replicaTurns{fleet: n.fleet, quotas: n.quotas}
-	n.limits = &limiter.Server{Bounds: n.config.Quotas, Table: n.routes, Term: n.election.Term, IsFirstTerm: n.holder.FirstTerm, Now: boottime.Now,
-		Reached: n.holder.Reached, LimitOf: n.fleet.LimitOf, Log: n.log}
-	n.holder.Turns = n.limits
-	subscriber := &records.Subscriber{Daemon: n.config.ID, Mirror: n.mirror, Source: n.recordSource, Standby: n.deputySource, Seeds: n.replicas.recordPeers, Log: n.log}
+	requestCore.Quarantine = n.quarantine
+	n.followRecords(adapters)
+	n.limitClient = &limiter.Client{Bounds: n.config.QuotaBounds, Leader: n.election.LeaderAddress, HasLimits: n.hasLimits, Now: boottime.Now,
+		Daemons: requestCore.Daemons, CountPermit: newPermitCounter(n.metrics), Log: n.log}
+	n.limitClient.Prepare()
+	requestCore.Limits, requestCore.Permits = n.limitClient, n.limitClient
+	n.quarantine.Turns = &probeLimiter{fleet: n.fleet, limitClient: n.limitClient}
+	n.limitServer = &limiter.Server{Bounds: n.config.QuotaBounds, Table: n.routes, Term: n.election.Term, IsFirstTerm: n.leader.FirstTerm, Now: boottime.Now,
+		Reached: n.leader.Reached, LimitOf: n.fleet.LimitOf, Log: n.log}
+	n.leader.Turns = n.limitServer
+	subscriber := &records.Subscriber{Daemon: n.config.ID, Mirror: n.mirror, Source: n.recordSource, Standby: n.standbySource, Seeds: n.replicas.recordPeers, Log: n.log}
 	n.registerGauges()
-	n.frontend = frontend.New(n.listeners.callers, adapters.Callers(n.routes, n.gate, requests), frontend.Options{
-		ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTime: n.idleTime, TurnAway: turnAway, Log: n.log,
+	n.frontend = frontend.New(n.listeners.callers, adapters.NewCallerHandler(n.routes, n.gate, requestCore), frontend.Options{
+		ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTime: n.idleTimeout, TurnAway: shutdownDelay, Log: n.log,
 	})
 	server := transport.NewServer(n.listeners.peers)
 	n.peers = server
-	n.register(server)
+	n.registerRPC(server)
 	n.supervisor = suture.New("finchspoke", suture.Spec{EventHook: func(event suture.Event) {
-		n.log.WithField(logging.Cause, event.String()).Warn("supervisor")
+		n.log.WithField(logging.Cause, event.String()).Warn("supervisor event")
 	}})
 	for _, service := range []suture.Service{
-		n.mirror, n.election, n.holder, n.follower, n.quotas, n.quarantine, server, n.frontend, subscriber, n.replicas.client, &sweeper{node: n},
+		n.mirror, n.election, n.leader, n.follower, n.limitClient, n.quarantine, server, n.frontend, subscriber, n.replicas.client, &connectionSweeper{node: n},
 		&readiness{node: n, path: adapters.ReadyPath, listener: n.listeners.ready},
 	} {
 		n.supervisor.Add(service)
@@ -280,88 +279,85 @@
 	}
 }
 
-// proofShare is the share of the age that the configuration may have from which a daemon asks
-// the key-value service itself. With what the holder of load orders passes on, proofs are up to
-// 2.1 s old: three calls of 0.7 s, of which one is under way, one is the newest that was
-// answered and one was under way when the question was sent.
-const proofShare = 0.7
+// storeVerificationShare is the age of the last verification at which a daemon queries the key-value service
+// itself, as a share of the maximum age. It exceeds the lag of verifications that the leader relays, so that
+// daemons normally need no query of their own.
+const storeVerificationShare = 0.7
 
-func (n *Node) register(server *transport.Server) {
+func (n *Node) registerRPC(server *transport.Server) {
 	for _, err := range []error{
-		rpc.DRPCRegisterLoads(server.Mux(), n.holder), rpc.DRPCRegisterRecords(server.Mux(), &records.Feed{Mirror: n.mirror}),
-		rpc.DRPCRegisterQuotas(server.Mux(), n.limits), rpc.DRPCRegisterDiscovery(server.Mux(), n.replicas.server),
+		rpc.DRPCRegisterLoads(server.Mux(), n.leader), rpc.DRPCRegisterRecords(server.Mux(), &records.Feed{Mirror: n.mirror}),
+		rpc.DRPCRegisterQuotas(server.Mux(), n.limitServer), rpc.DRPCRegisterDiscovery(server.Mux(), n.replicas.server),
 	} {
 		if err != nil {
-			panic(err) // a service registered twice: a mistake in this function
+			panic(err) // a service was registered twice, which is a programming error
 		}
 	}
 }
 
-// Reload takes in settings that changed: the seeds. Others need a restart.
+// Reload applies changed seeds. Other settings need a restart.
 func (n *Node) Reload(changed Config) {
 	n.seeds.Store(&changed.Seeds)
 	n.log.WithField(logging.Outcome, "seeds taken").Info("settings reloaded")
 }
 
-// leaves tells whether a replica was going to end anyway: it says so, or the registry has it no
-// more.
-func (n *Node) leaves(replica string) bool {
+// isDraining reports whether a replica was expected to end: it is draining, or no longer in the registry.
+func (n *Node) isDraining(replica string) bool {
 	entry, listed := n.fleet.Entry(replica)
 	return !listed || entry.Draining
 }
 
-// idleTime returns how long callers' connections may rest by the table; zero without one.
-func (n *Node) idleTime() time.Duration {
+// idleTimeout returns the routing table's idle timeout for callers' connections; zero without a table.
+func (n *Node) idleTimeout() time.Duration {
 	if table := n.routes.Current(); table != nil {
 		return table.Limits.IdleTimeout
 	}
 	return 0
 }
 
-// needsQuotas tells whether the holder of load orders has to be asked for some requests.
-func (n *Node) needsQuotas() bool { return n.limitsTenants() || n.fleet.RateLimitedCount() > 0 }
+// hasLimits reports whether any tenant or replica has a limit, so that the leader must admit some requests.
+func (n *Node) hasLimits() bool { return n.hasTenantLimits() || n.fleet.RateLimitedCount() > 0 }
 
-// limitsTenants tells whether a tenant of the table has a limit.
-func (n *Node) limitsTenants() bool {
+func (n *Node) hasTenantLimits() bool {
 	table := n.routes.Current()
-	return table != nil && slices.ContainsFunc(table.Tenants(), func(one *routing.Tenant) bool { return !one.Limit.Unlimited() })
+	return table != nil && slices.ContainsFunc(table.Tenants(), func(tenant *routing.Tenant) bool { return !tenant.Limit.Unlimited() })
 }
 
-// ready tells whether the node should get callers.
+// ready reports whether the node should receive requests.
 func (n *Node) ready() bool {
 	return !n.frontend.Stopping() && n.gate.Open() && n.replicas.ready()
 }
 
 const (
-	// maxHeaderBytes bounds what is read of a caller's headers; the table's own limit is
-	// applied by the caller interface.
+	// maxHeaderBytes bounds the request headers that are read; the handler applies the routing table's
+	// own limit.
 	maxHeaderBytes    = 1 << 20
 	readHeaderTimeout = 10 * time.Second
-	// turnAway is how long a stopping daemon goes on to take new connections, for
-	// the entry to notice that it is not ready.
-	turnAway = 3 * time.Second
-	// stopMargin is kept from the time that a planned stop may take.
+	// shutdownDelay is how long a stopping daemon still accepts new connections, until load balancers
+	// notice that it is not ready.
+	shutdownDelay = 3 * time.Second
+	// stopMargin is the part of StopTimeout that is left for closing the services.
 	stopMargin = 600 * time.Millisecond
-	// lastAnswers is the time for the final answers of calls that still run then.
-	lastAnswers = 200 * time.Millisecond
-	// resignTime is how long the end of this daemon's term may take to be recorded.
-	resignTime = 500 * time.Millisecond
+	// finalResponseTime is left to send final responses to calls that did not finish in time.
+	finalResponseTime = 200 * time.Millisecond
+	// resignTimeout bounds the write that ends this daemon's term.
+	resignTimeout = 500 * time.Millisecond
 )
 
-// Run serves until ctx ends, which begins a planned stop: callers are sent
-// elsewhere, what still comes is served, and what runs is finished.
+// Run serves until ctx ends, and then stops gracefully: the readiness check fails, and requests that are
+// running or still arrive are served until the stop's time limits. It returns after the stop.
 func (n *Node) Run(ctx context.Context) error {
-	serving, stop := context.WithCancel(context.Background())
+	serveCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	ended := n.supervisor.ServeBackground(serving)
+	ended := n.supervisor.ServeBackground(serveCtx)
 	n.log.WithFields(logrus.Fields{logging.Address: n.listeners.callers.Addr().String(), logging.Zone: n.config.Zone}).Info("daemon started")
 	var err error
 	select {
 	case <-ctx.Done():
-		err = n.leave()
+		err = n.shutdown()
 	case <-n.ended:
 	case err = <-ended:
-		return errors.Wrap(err, "the daemon's services ended")
+		return errors.Wrap(err, "supervisor stopped unexpectedly")
 	}
 	stop()
 	<-ended
@@ -371,50 +367,49 @@
 	return err
 }
 
-// End makes Run end as a killed process does: nothing is handed over, and no request is finished. It
-// is for laboratories, and called once.
-func (n *Node) End() { close(n.ended) }
+// Kill makes Run return without a planned stop, as if the process was killed: the term is not handed over, and
+// no request is finished. It is for simulations and must be called at most once.
+func (n *Node) Kill() { close(n.ended) }
 
-// Status is a node's own view of itself.
+// Status is the state of a node as it knows it.
 type Status struct {
-	Ready         bool
-	ConfigVersion int64
-	Replicas      int   // that it knows
-	KnowsReplicas bool  // all of them
-	Fence         int64 // of its term; zero without one
-	Attached      int   // daemons attached to the holder, as it last told
-	Peers         transport.Traffic
+	Ready            bool
+	ConfigVersion    int64
+	Replicas         int   // known to this node
+	KnowsAllReplicas bool  // whether Replicas counts all of them
+	Fence            int64 // of this node's term; zero if it is not the leader
+	Attached         int   // daemons attached to the leader, as last reported by it
+	PeerTraffic      transport.Traffic
 }
 
-// Status returns the node's view of itself.
+// Status returns the node's current state.
 func (n *Node) Status() Status {
 	fence, _ := n.election.Term()
 	return Status{
-		Ready: n.ready(), ConfigVersion: n.routes.Version(), Replicas: n.fleet.Len(), KnowsReplicas: n.replicas.all(), Fence: fence,
-		Attached: n.core.Daemons(), Peers: n.peers.Traffic(),
+		Ready: n.ready(), ConfigVersion: n.routes.Version(), Replicas: n.fleet.Len(), KnowsAllReplicas: n.replicas.knowsAll(), Fence: fence,
+		Attached: n.core.Daemons(), PeerTraffic: n.peers.Traffic(),
 	}
 }
 
-// Ask looks for a replica that serves a model as a caller's request does, and sends nothing. It is for
-// laboratories.
+// Ask chooses a replica for a model as for a request, but sends nothing. It is for simulations.
 func (n *Node) Ask(service, model string) {
 	if pick, _ := n.fleet.Choose(fleet.Ask{Service: service, Target: fleet.Target{Model: model}}, time.Now()); pick != nil {
 		pick.Cancel()
 	}
 }
 
-// leave is a planned stop.
-func (n *Node) leave() error {
-	n.log.Info("planned stop begins")
-	ctx, cancel := context.WithTimeout(context.Background(), n.config.StopTime-stopMargin)
+// shutdown carries out a planned stop: it gives up the term and drains callers' connections.
+func (n *Node) shutdown() error {
+	n.log.Info("planned stop started")
+	ctx, cancel := context.WithTimeout(context.Background(), n.config.StopTimeout-stopMargin)
 	now := time.Now()
-	n.core.Stop(core.StopTimes{AcceptUntil: now.Add(turnAway), EndBy: now.Add(n.config.StopTime - stopMargin - lastAnswers)})
+	n.core.Stop(core.StopTimes{AcceptUntil: now.Add(shutdownDelay), EndBy: now.Add(n.config.StopTimeout - stopMargin - finalResponseTime)})
 	defer cancel()
-	resigning, done := context.WithTimeout(ctx, resignTime)
-	defer done()
-	go n.election.Resign(resigning, n.holder.Handover)
+	resignCtx, cancelResign := context.WithTimeout(ctx, resignTimeout)
+	defer cancelResign()
+	go n.election.Resign(resignCtx, n.leader.Handover)
 	if err := n.frontend.Drain(ctx); err != nil {
-		n.log.WithField(logging.Cause, err.Error()).Warn("requests were still running at the end of the stop")
+		n.log.WithField(logging.Cause, err.Error()).Warn("planned stop timed out with requests still running")
 	}
 	return nil
 }
--- a/node/notices.go
+++ b/node/notices.go
@@ -10,74 +10,76 @@
 	"github.com/finchspoke/finchspoke/logging"
 )
 
-// Notices is how the replicas' protocol deals with what replicas say of themselves.
-type Notices struct {
-	// Hear takes in a notice, before the answer that it came with is used.
-	Hear func(fleet.Hint)
-	// Admit tells, right before a request is written, whether its replica still takes it.
-	Admit func(replica string, held fleet.Permit) error
+// ReplicaCallbacks are called by the clients of the replicas' protocol.
+type ReplicaCallbacks struct {
+	// OnHint receives the hint of each response, which may be empty, before the response is used.
+	OnHint func(fleet.Hint)
+	// Admit returns an error if a request must not be sent to its replica. It is called right before
+	// sending, and consumes the permit if the replica has a request limit.
+	Admit func(replica string, permit fleet.Permit) error
 }
 
-// hear takes in what a replica said of itself.
-func (n *Node) hear(notice fleet.Hint) {
+// handleHint applies the hint of a replica's response: its request limit, draining, or a back-off.
+func (n *Node) handleHint(hint fleet.Hint) {
 	now := time.Now()
-	if notice.InvalidLimit != "" {
-		n.noticeEntry(notice).WithField(logging.Limit, notice.InvalidLimit).Warn(logging.MessageLimitUnreadable)
+	if hint.InvalidLimit != "" {
+		n.hintLogEntry(hint).WithField(logging.Limit, hint.InvalidLimit).Warn(logging.MessageLimitUnreadable)
 	}
-	if change, news := n.fleet.ApplyLimitHint(notice, now); news {
-		n.notices.limits.Inc()
-		n.noticeEntry(notice).WithFields(logrus.Fields{logging.Limit: change.PerSecond, logging.LimitBefore: change.Previous}).Info(logging.MessageReplicaLimit)
+	if change, changed := n.fleet.ApplyLimitHint(hint, now); changed {
+		n.hints.limitChanges.Inc()
+		n.hintLogEntry(hint).WithFields(logrus.Fields{logging.Limit: change.PerSecond, logging.LimitBefore: change.Previous}).Info(logging.MessageReplicaLimit)
 		n.follower.LimitReported()
-		n.holder.RegistryChanged(notice.Replica)
+		n.leader.RegistryChanged(hint.Replica)
 	}
-	if !notice.Leaving && notice.Backoff == 0 {
+	if !hint.Leaving && hint.Backoff == 0 {
 		return
 	}
-	leaves := n.fleet.ApplyHint(notice, now)
-	n.holder.RegistryChanged(notice.Replica)
-	if leaves {
-		n.notices.leaving.Inc()
-		n.noticeEntry(notice).Info(logging.MessageReplicaLeaves)
+	newlyDraining := n.fleet.ApplyHint(hint, now)
+	n.leader.RegistryChanged(hint.Replica)
+	if newlyDraining {
+		n.hints.draining.Inc()
+		n.hintLogEntry(hint).Info(logging.MessageReplicaLeaves)
 	}
-	if notice.Backoff > 0 {
-		n.notices.rests.Inc()
-		n.noticeEntry(notice).WithField(logging.RestMs, notice.Backoff.Milliseconds()).Info(logging.MessageReplicaRests)
+	if hint.Backoff > 0 {
+		n.hints.backoffs.Inc()
+		n.hintLogEntry(hint).WithField(logging.RestMs, hint.Backoff.Milliseconds()).Info(logging.MessageReplicaRests)
 	}
 }
 
-// noticeEntry begins a line of a notice. It is made where one is written: most answers say nothing.
-func (n *Node) noticeEntry(notice fleet.Hint) *logrus.Entry {
-	return n.log.WithFields(logrus.Fields{logging.RequestID: notice.RequestID, logging.Replica: notice.Replica})
+// hintLogEntry returns the log entry for a hint. It is called only where a line is written, since most responses
+// carry no hint.
+func (n *Node) hintLogEntry(hint fleet.Hint) *logrus.Entry {
+	return n.log.WithFields(logrus.Fields{logging.RequestID: hint.RequestID, logging.Replica: hint.Replica})
 }
 
-// noticeCounts count what replicas said of themselves.
-type noticeCounts struct {
-	leaving prometheus.Counter // replicas that say that they leave, each once
-	rests   prometheus.Counter // answers that asked for rest
-	limits  prometheus.Counter // changes of replicas' limits
+// hintCounters count the hints of replicas.
+type hintCounters struct {
+	draining     prometheus.Counter // replicas that reported that they are draining, each once
+	backoffs     prometheus.Counter // responses that asked for a back-off
+	limitChanges prometheus.Counter // changes of replicas' request limits
 }
 
-// newPermitCounts registers the counter of questions for permits, and returns how to count one.
-func newPermitCounts(registry *prometheus.Registry) func(source, outcome string) {
-	asked := prometheus.NewCounterVec(prometheus.CounterOpts{
-		Name: "finchspoke_permits_asked_total", Help: "Questions for permits at replicas with a limit, by who answered and how.",
+// newPermitCounter registers the counter of permit requests, and returns a function that counts one.
+func newPermitCounter(registry *prometheus.Registry) func(source, outcome string) {
+	requests := prometheus.NewCounterVec(prometheus.CounterOpts{
+		Name: "finchspoke_permits_asked_total", Help: "Permit requests for replicas with a request limit, by source of the answer and outcome.",
 	}, []string{"source", "outcome"})
-	registry.MustRegister(asked)
-	return func(source, outcome string) { asked.WithLabelValues(source, outcome).Inc() }
+	registry.MustRegister(requests)
+	return func(source, outcome string) { requests.WithLabelValues(source, outcome).Inc() }
 }
 
-func newNoticeCounts(registry *prometheus.Registry) *noticeCounts {
-	made := &noticeCounts{
-		leaving: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "finchspoke_replicas_leaving_total", Help: "Replicas whose answers to this daemon said that they leave.",
+func newHintCounters(registry *prometheus.Registry) *hintCounters {
+	counters := &hintCounters{
+		draining: prometheus.NewCounter(prometheus.CounterOpts{
+			Name: "finchspoke_replicas_leaving_total", Help: "Replicas whose responses to this daemon reported that they are draining.",
 		}),
-		rests: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "finchspoke_replica_rests_total", Help: "Answers of replicas that asked this daemon for rest.",
+		backoffs: prometheus.NewCounter(prometheus.CounterOpts{
+			Name: "finchspoke_replica_rests_total", Help: "Responses of replicas that asked this daemon to back off.",
 		}),
 	}
-	made.limits = prometheus.NewCounter(prometheus.CounterOpts{
-		Name: "finchspoke_replica_limit_changes_total", Help: "Answers to this daemon that named, changed or lifted their replica's limit.",
+	counters.limitChanges = prometheus.NewCounter(prometheus.CounterOpts{
+		Name: "finchspoke_replica_limit_changes_total", Help: "Responses to this daemon that set, changed or removed their replica's request limit.",
 	})
-	registry.MustRegister(made.leaving, made.rests, made.limits)
-	return made
+	registry.MustRegister(counters.draining, counters.backoffs, counters.limitChanges)
+	return counters
 }
--- a/node/registrylog.go
+++ b/node/registrylog.go
@@ -10,78 +10,73 @@
 	"github.com/finchspoke/finchspoke/logging"
 )
 
-// registrySummaryPause is the least time between two summaries of registry changes. With
-// 300 daemons and 200 replicas, a line for each replica on each daemon was four in five of
-// all lines of a day.
-const registrySummaryPause = 5 * time.Second
+const registrySummaryInterval = 5 * time.Second
 
-// registryLog writes the registry's changes to the log: each of them where load orders are
-// decided, and counts elsewhere, since all daemons hear the same changes.
+// registryLog logs the changes of the registry. All daemons receive the same changes, so only the leader logs
+// each of them; the others log summaries with counts.
 type registryLog struct {
-	log     logrus.FieldLogger
-	leading func() bool
-	now     func() time.Time
+	log       logrus.FieldLogger
+	isLeading func() bool
+	now       func() time.Time
 
-	mutex        sync.Mutex
-	lines        int       // of single changes in the present second
-	second       time.Time // when it began
-	summaryAt    time.Time // of the last summary; zero before the first
-	listed, gone int       // changes since then
+	mutex           sync.Mutex
+	linesInWindow   int       // of single changes since windowStart
+	windowStart     time.Time // of the current second
+	summaryAt       time.Time // time of the last summary; zero before the first
+	listed, removed int       // since the last summary
 }
 
-// replicaListed logs that a replica came, or that its entry changed.
-func (r *registryLog) replicaListed(entry fleet.Entry, revision int64) {
-	if !r.leading() || !r.mayWrite() {
-		r.count(1, 0, revision)
+// logListed logs that a replica's entry was added or changed.
+func (r *registryLog) logListed(entry fleet.Entry, revision int64) {
+	if !r.isLeading() || !r.allowLine() {
+		r.addToSummary(1, 0, revision)
 		return
 	}
 	r.log.WithFields(logrus.Fields{logging.Replica: entry.ID, logging.Service: entry.Service, logging.Address: entry.Address,
 		logging.Draining: entry.Draining}).WithFields(logging.AtRevision(revision)).Info(logging.MessageReplicaListed)
 }
 
-// replicaGone logs that a replica's entry is gone.
-func (r *registryLog) replicaGone(id string, revision int64) {
-	if !r.leading() || !r.mayWrite() {
-		r.count(0, 1, revision)
+func (r *registryLog) logRemoved(id string, revision int64) {
+	if !r.isLeading() || !r.allowLine() {
+		r.addToSummary(0, 1, revision)
 		return
 	}
 	r.log.WithField(logging.Replica, id).WithFields(logging.AtRevision(revision)).Info(logging.MessageReplicaGone)
 }
 
-// entryRefused logs that an entry is not one of a replica. Others may write it again and again.
-func (r *registryLog) entryRefused(id string, cause error, revision int64) {
-	if !r.leading() || !r.mayWrite() {
-		r.count(1, 0, revision)
+// logInvalid logs that an entry cannot be decoded. The writer of the entry may repeat it often.
+func (r *registryLog) logInvalid(id string, cause error, revision int64) {
+	if !r.isLeading() || !r.allowLine() {
+		r.addToSummary(1, 0, revision)
 		return
 	}
 	r.log.WithFields(logrus.Fields{logging.Replica: id, logging.Cause: cause.Error()}).WithFields(logging.AtRevision(revision)).Warn(logging.MessageEntryRefused)
 }
 
-// mostLines bounds the lines of single changes in a second: 10,000 replicas that a new holder reads at
-// once were 4 MB of lines, and a second of its processor.
-const mostLines = 50
+// maxLinesPerSecond bounds the lines of single changes. A new leader reads the entries of all replicas at once.
+const maxLinesPerSecond = 50
 
-// mayWrite tells whether one more line of a single change may be written now.
-func (r *registryLog) mayWrite() bool {
+// allowLine reports whether another line of a single change may be written now, and counts it.
+func (r *registryLog) allowLine() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if now := r.now(); now.Sub(r.second) >= time.Second {
-		r.second, r.lines = now, 0
+	if now := r.now(); now.Sub(r.windowStart) >= time.Second {
+		r.windowStart, r.linesInWindow = now, 0
 	}
-	r.lines++
-	return r.lines <= mostLines
+	r.linesInWindow++
+	return r.linesInWindow <= maxLinesPerSecond
 }
 
-// count adds changes to the next summary, and writes it if the last one is old enough.
-func (r *registryLog) count(listed, gone int, revision int64) {
+// addToSummary adds changes to the next summary, and logs it if registrySummaryInterval has passed.
+func (r *registryLog) addToSummary(listed, removed int, revision int64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.listed += listed
-	r.gone += gone
+	r.removed += removed
 	now := r.now()
-	if now.Sub(r.summaryAt) < registrySummaryPause {
+	if now.Sub(r.summaryAt) < registrySummaryInterval {
 		return
 	}
-	r.log.WithFields(logrus.Fields{logging.Listed: r.listed, logging.Gone: r.gone}).WithFields(logging.AtRevision(revision)).Info(logging.MessageRegistryFollowed)
-	r.summaryAt, r.listed, r.gone = now, 0, 0
+	r.log.WithFields(logrus.Fields{logging.Listed: r.listed, logging.Gone: r.removed}).WithFields(logging.AtRevision(revision)).Info(logging.MessageRegistryFollowed)
+	r.summaryAt, r.listed, r.removed = now, 0, 0
 }
--- a/node/replicas.go
+++ b/node/replicas.go
@@ -12,164 +12,158 @@
 )
 
 const (
-	// KnownByAll is up to how many replicas every daemon knows them all. Each costs a daemon 1 to 1.6 KB
-	// of heap (9.7 and 16.3 MB at 10,000, without and with the holder's word of it), and a change of it a
-	// message from the holder of load orders to each daemon: 300 daemons that knew 3,000 replicas took
-	// 2.3 to 7.2 MB a second of it. Twice what fleets of some hundred daemons and 300 replicas have, for
-	// which a request without a question to anybody is worth more.
+	// KnownByAll is the default size of the fleet up to which every daemon knows all replicas, so that it
+	// need not look any up. A larger fleet would cost each daemon too much memory, and the leader too many
+	// messages about changes.
 	KnownByAll = 600
-	// loneTime is how long after the last word of its peers a daemon that does not know all replicas
-	// asks the key-value service itself; up to loneSpread more, so that not all ask at once. A holder
-	// that ends is replaced within some 3 s, and directories vouch for the records meanwhile.
-	loneTime   = 3 * time.Second
-	loneSpread = time.Second
-	// campaignLater is how much later than directories a daemon that does not know all replicas
-	// campaigns for the term: it would have to read their records first, and all of a thousand daemons
-	// would ask at once.
-	campaignLater = time.Second
-	// campaignTimes is by how many times longer such a daemon waits where it knows of no directory: all
-	// were lost at once. Daemons on strong machines then campaign a second before those on weak ones,
-	// and 0.7 s sooner than campaignLater lets them.
-	campaignTimes = 4
+	// fallbackBaseDelay is how long after the last report of its peers a daemon without replica records polls
+	// the key-value service itself, plus up to fallbackJitter so that not all do at once. By then a lost
+	// leader is usually replaced; until then directories confirm that the records are current.
+	fallbackBaseDelay = 3 * time.Second
+	fallbackJitter    = time.Second
+	// campaignExtraDelay is how much longer a daemon without replica records waits before it campaigns for
+	// the term, so that directories go first: as the leader it would have to read these records.
+	campaignExtraDelay = time.Second
+	// campaignDelayFactor multiplies TermDelay on a daemon without replica records that knows of no directory.
+	// If all were lost at once, daemons with more CPU then campaign clearly before the others.
+	campaignDelayFactor = 4
 )
 
-// replicaKnowledge decides whether this daemon knows all replicas, or asks directories for those that
-// its callers need, and whether it is a directory itself.
-type replicaKnowledge struct {
-	node   *Node
-	client *discovery.Client
-	server *discovery.Server
-	whole  atomic.Bool // the directory of this daemon holds all replicas
-	lone   time.Duration
+// replicaDiscovery tracks whether this daemon knows all replicas or only those that its callers need, which it
+// gets from a directory, and whether it is a directory itself.
+type replicaDiscovery struct {
+	node          *Node
+	client        *discovery.Client
+	server        *discovery.Server
+	complete      atomic.Bool   // whether this daemon knows all replicas
+	jitteredDelay time.Duration // see fallbackDelay
 
 	mutex     sync.Mutex
-	addresses []string // of the directories, as the holder of load orders named them
+	addresses []string // of the directories that the leader named, in order of preference
 }
 
-func newReplicaKnowledge(n *Node) *replicaKnowledge {
-	k := &replicaKnowledge{node: n, lone: loneTime + time.Duration(rand.Float64()*float64(loneSpread))}
-	k.client = &discovery.Client{Daemon: n.config.ID, Zone: n.config.Zone, Fleet: n.fleet, Directories: k.directories, Log: n.log}
-	k.client.Prepare()
-	k.server = &discovery.Server{Fleet: n.fleet, HasAllReplicas: k.whole.Load, IsLoading: n.mirror.RequiresAll, ContactAge: n.mirror.ContactAge, Now: time.Now}
-	k.server.Prepare()
-	return k
+func newReplicaDiscovery(n *Node) *replicaDiscovery {
+	d := &replicaDiscovery{node: n, jitteredDelay: fallbackBaseDelay + time.Duration(rand.Float64()*float64(fallbackJitter))}
+	d.client = &discovery.Client{Daemon: n.config.ID, Zone: n.config.Zone, Fleet: n.fleet, Directories: d.directories, Log: n.log}
+	d.client.Prepare()
+	d.server = &discovery.Server{Fleet: n.fleet, HasAllReplicas: d.complete.Load, IsLoading: n.mirror.RequiresAll, ContactAge: n.mirror.ContactAge, Now: time.Now}
+	d.server.Prepare()
+	return d
 }
 
-// all tells whether this daemon knows all replicas.
-func (k *replicaKnowledge) all() bool { return k.whole.Load() }
-
-// changed takes in that this daemon begins to do without the records of replicas, or knows them all
-// again; they follow.
-func (k *replicaKnowledge) changed(without bool) {
-	if without {
-		k.whole.Store(false)
-		k.server.StopObserving()
-		k.node.fleet.Limit(k.client)
-		k.client.Enable(true)
+func (d *replicaDiscovery) knowsAll() bool { return d.complete.Load() }
+
+// omissionChanged is called when this daemon starts or stops omitting replica records, before the mirror
+// delivers the records.
+func (d *replicaDiscovery) omissionChanged(omitted bool) {
+	if omitted {
+		d.complete.Store(false)
+		d.server.StopObserving()
+		d.node.fleet.Limit(d.client)
+		d.client.Enable(true)
 		return
 	}
-	k.node.fleet.BeginFullSync()
-	k.client.Enable(false)
+	d.node.fleet.BeginFullSync()
+	d.client.Enable(false)
 }
 
-// loaded takes in that a whole list of the records was handled.
-func (k *replicaKnowledge) loaded() {
-	isWhole := k.node.mirror.HasAll()
-	if isWhole && !k.whole.Load() {
-		k.node.fleet.EndFullSync()
-		k.server.StartObserving()
-		k.node.holder.RegistryChanged("")
+// recordsLoaded is called after a complete list of the records was applied.
+func (d *replicaDiscovery) recordsLoaded() {
+	isComplete := d.node.mirror.HasAll()
+	if isComplete && !d.complete.Load() {
+		d.node.fleet.EndFullSync()
+		d.server.StartObserving()
+		d.node.leader.RegistryChanged("")
 	}
-	k.whole.Store(isWhole)
+	d.complete.Store(isComplete)
 }
 
-// setDirectories takes in which daemons the holder of load orders named, and whether this is one.
-func (k *replicaKnowledge) setDirectories(serve bool, addresses []string) {
-	k.node.mirror.RequireReplicaRecords(serve)
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	k.addresses = rendezvous.Ranked(k.node.config.ID, addresses)
+// setDirectories sets the directories that the leader named, and whether this daemon is one.
+func (d *replicaDiscovery) setDirectories(isDirectory bool, addresses []string) {
+	d.node.mirror.RequireReplicaRecords(isDirectory)
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.addresses = rendezvous.Ranked(d.node.config.ID, addresses)
 }
 
-// directories returns the addresses of daemons that know all replicas, in the order in which this
-// one asks them. Before any is named, that is the holder.
-func (k *replicaKnowledge) directories() []string {
-	k.mutex.Lock()
-	known := k.addresses
-	k.mutex.Unlock()
-	holder := k.node.election.LeaderAddress()
-	if len(known) == 0 && holder != "" {
-		return []string{holder}
+// directories returns the addresses of the directories in order of preference, or of the leader if it has not
+// named any yet.
+func (d *replicaDiscovery) directories() []string {
+	d.mutex.Lock()
+	known := d.addresses
+	d.mutex.Unlock()
+	leader := d.node.election.LeaderAddress()
+	if len(known) == 0 && leader != "" {
+		return []string{leader}
 	}
 	return known
 }
 
-// directory returns the address of the directory that this daemon asks; empty: it knows all replicas
-// itself, or is asking none yet.
-func (k *replicaKnowledge) directory() string {
-	if !k.node.mirror.OmitsReplicaRecords() || k.node.mirror.Leading() {
+// directory returns the address of the directory that this daemon uses. It is empty if the daemon knows all
+// replicas or uses no directory yet.
+func (d *replicaDiscovery) directory() string {
+	if !d.node.mirror.OmitsReplicaRecords() || d.node.mirror.Leading() {
 		return ""
 	}
-	current := k.client.DirectoryAddress()
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if !slices.Contains(k.addresses, current) {
-		return "" // the holder, until it names some
+	current := d.client.DirectoryAddress()
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if !slices.Contains(d.addresses, current) {
+		return "" // connected to the leader, which has not named directories yet
 	}
 	return current
 }
 
-// knowsDirectories tells whether a holder has named directories to this daemon.
-func (k *replicaKnowledge) knowsDirectories() bool {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return len(k.addresses) > 0
+func (d *replicaDiscovery) knowsDirectories() bool {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return len(d.addresses) > 0
 }
 
-// loneTime returns how long after the last word of a peer this daemon asks the key-value service
-// itself. Where no directory is named, nobody else may be asking it.
-func (k *replicaKnowledge) loneTime() time.Duration {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if len(k.addresses) == 0 {
+// fallbackDelay returns how long after the last report of a peer this daemon polls the key-value service
+// itself. It is zero if no directories are known, since then perhaps no other daemon polls.
+func (d *replicaDiscovery) fallbackDelay() time.Duration {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if len(d.addresses) == 0 {
 		return 0
 	}
-	return k.lone
+	return d.jitteredDelay
 }
 
-// recordPeers lists the daemons to ask for records while nobody vouches for them: the directories,
-// which follow the key-value service when the holder is silent, and the seeds.
-func (k *replicaKnowledge) recordPeers() []string {
-	k.mutex.Lock()
-	peers := slices.Clone(k.addresses)
-	k.mutex.Unlock()
-	others := k.node.otherSeeds()
-	if holder := k.node.election.LeaderAddress(); holder != "" {
-		others = append([]string{holder}, others...)
+// recordPeers returns the daemons to try while no peer confirms that the records are current: the directories,
+// which poll the key-value service if the leader is silent, the leader, and the seeds.
+func (d *replicaDiscovery) recordPeers() []string {
+	d.mutex.Lock()
+	peers := slices.Clone(d.addresses)
+	d.mutex.Unlock()
+	candidates := d.node.otherSeeds()
+	if leader := d.node.election.LeaderAddress(); leader != "" {
+		candidates = append([]string{leader}, candidates...)
 	}
-	for _, seed := range others {
-		if !slices.Contains(peers, seed) {
-			peers = append(peers, seed)
+	for _, candidate := range candidates {
+		if !slices.Contains(peers, candidate) {
+			peers = append(peers, candidate)
 		}
 	}
-	return slices.DeleteFunc(peers, func(peer string) bool { return peer == k.node.config.PeerAddress })
+	return slices.DeleteFunc(peers, func(peer string) bool { return peer == d.node.config.PeerAddress })
 }
 
-// ready tells whether requests find replicas: some are known, or a directory is there to be asked.
-func (k *replicaKnowledge) ready() bool {
-	if k.node.fleet.Limited() {
-		return k.client.Connected()
+// ready reports whether requests can find replicas: this daemon knows some, or is connected to a directory.
+func (d *replicaDiscovery) ready() bool {
+	if d.node.fleet.Limited() {
+		return d.client.Connected()
 	}
-	return k.node.fleet.Len() > 0
+	return d.node.fleet.Len() > 0
 }
 
-// termDelay returns how much later than others this daemon campaigns for the term.
-func (n *Node) termDelay() time.Duration {
+// campaignDelay returns how long this daemon waits before it campaigns for the term.
+func (n *Node) campaignDelay() time.Duration {
 	switch {
 	case !n.mirror.OmitsReplicaRecords():
 		return n.config.TermDelay
 	case n.replicas.knowsDirectories():
-		return n.config.TermDelay + campaignLater
+		return n.config.TermDelay + campaignExtraDelay
 	}
-	return campaignTimes * n.config.TermDelay
+	return campaignDelayFactor * n.config.TermDelay
 }
--- a/node/services.go
+++ b/node/services.go
@@ -23,7 +23,8 @@
 	return ctx.Err()
 }
 
-// readiness answers whether the node takes callers. It is a suture service.
+// readiness serves the readiness check: status 200 if the node should receive requests, else 503. It is a
+// suture service.
 type readiness struct {
 	node     *Node
 	path     string
@@ -44,7 +45,7 @@
 	return serveHTTP(ctx, r.listener, mux)
 }
 
-// metricsServer serves the figures of the process. It is a suture service.
+// metricsServer serves the metrics to Prometheus. It is a suture service.
 type metricsServer struct {
 	registry *prometheus.Registry
 	listener net.Listener
@@ -60,22 +61,23 @@
 	return serveHTTP(ctx, m.listener, mux)
 }
 
-// sweeper closes connections that nothing uses any more. It is a suture service.
-type sweeper struct{ node *Node }
+// connectionSweeper closes idle connections that have expired, and those to replicas that are no longer known.
+// It is a suture service.
+type connectionSweeper struct{ node *Node }
 
-const poolSweep = 5 * time.Second
+const sweepInterval = 5 * time.Second
 
 // String names the service in the supervisor's events.
-func (s *sweeper) String() string { return "connection-sweeper" }
+func (s *connectionSweeper) String() string { return "connection-sweeper" }
 
 // Serve implements suture.Service.
-func (s *sweeper) Serve(ctx context.Context) error {
-	for sleep.For(ctx, poolSweep) {
-		wanted := map[string]bool{}
+func (s *connectionSweeper) Serve(ctx context.Context) error {
+	for sleep.For(ctx, sweepInterval) {
+		listed := map[string]bool{}
 		for _, entry := range s.node.fleet.Entries() {
-			wanted[entry.Address] = true
+			listed[entry.Address] = true
 		}
-		s.node.pool.Sweep(func(address string) bool { return wanted[address] })
+		s.node.pool.Sweep(func(address string) bool { return listed[address] })
 	}
 	return ctx.Err()
 }
--- a/node/turns.go
+++ b/node/turns.go
@@ -8,26 +8,24 @@
 	"github.com/finchspoke/finchspoke/permit"
 )
 
-// replicaTurns has the quarantine's questions counted that go to replicas with a limit. It implements
+// probeLimiter counts the quarantine's probes against the request limits of replicas. It implements
 // quarantine.Turns.
-type replicaTurns struct {
-	fleet  *fleet.Directory
-	quotas *limiter.Client
+type probeLimiter struct {
+	fleet       *fleet.Directory
+	limitClient *limiter.Client
 }
 
-// Take implements quarantine.Turns.
-func (t *replicaTurns) Take(ctx context.Context, replica fleet.Incarnation) bool {
-	perSecond := t.fleet.LimitOf(replica.ID)
+func (l *probeLimiter) Take(ctx context.Context, replica fleet.Incarnation) bool {
+	perSecond := l.fleet.LimitOf(replica.ID)
 	if perSecond == 0 {
 		return true
 	}
-	granted, _ := t.quotas.RequestPermit(ctx, permit.Request{Replica: replica, PerSecond: perSecond, Priority: permit.LowestPriority})
+	granted, _ := l.limitClient.RequestPermit(ctx, permit.Request{Replica: replica, PerSecond: perSecond, Priority: permit.LowestPriority})
 	return granted != nil && granted.Use()
 }
 
-// Charge implements quarantine.Turns.
-func (t *replicaTurns) Charge(replica fleet.Incarnation) {
-	if perSecond := t.fleet.LimitOf(replica.ID); perSecond > 0 {
-		t.quotas.Charge(replica, perSecond)
+func (l *probeLimiter) Charge(replica fleet.Incarnation) {
+	if perSecond := l.fleet.LimitOf(replica.ID); perSecond > 0 {
+		l.limitClient.Charge(replica, perSecond)
 	}
 }
