--- a/group/manager.go
+++ b/group/manager.go
@@ -275,7 +275,7 @@
 }
 
 func (m *Manager) client(ctx context.Context, member GroupMember) rpc.DRPCGroupsClient {
-	return rpc.NewDRPCGroupsClient(m.pool.To(ctx, member.RPCAddress))
+	return rpc.NewDRPCGroupsClient(m.pool.Conn(ctx, member.RPCAddress))
 }
 
 // withTimeout bounds one call; the timer ends by itself soon after.
