--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -23,12 +23,12 @@
 
 const (
 	maxApplyBytes        = 64 << 20
-	maxOperationID       = 128
+	maxOperationID       = 128 // bytes
 	adminHeaderTimeout   = 5 * time.Second
 	adminShutdownTimeout = 2 * time.Second
 )
 
-// adminServer is the operator interface. It is a suture service.
+// adminServer serves the operator interface over HTTP. It is a suture service.
 type adminServer struct {
 	daemon   *Daemon
 	listener net.Listener
@@ -50,7 +50,7 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return errors.Wrap(err, "serve operators")
+	return errors.Wrap(err, "serve operator interface")
 }
 
 func (a *adminServer) routes() http.Handler {
@@ -61,10 +61,10 @@
 	mux.HandleFunc("GET /readyz", a.readyz)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(a.daemon.metrics, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET "+adminapi.PathStatus, a.guarded(a.status))
-	mux.HandleFunc("GET "+adminapi.PathCurrent, a.guarded(a.current))
-	mux.HandleFunc("GET "+adminapi.PathRevisions+"{number}", a.guarded(a.revision))
-	mux.HandleFunc("GET "+adminapi.PathHistory, a.guarded(a.history))
-	mux.HandleFunc("POST "+adminapi.PathApply, a.guarded(a.apply))
+	mux.HandleFunc("GET "+adminapi.PathSettingsCurrent, a.guarded(a.current))
+	mux.HandleFunc("GET "+adminapi.PathSettingsRevisions+"{number}", a.guarded(a.revision))
+	mux.HandleFunc("GET "+adminapi.PathSettingsHistory, a.guarded(a.history))
+	mux.HandleFunc("POST "+adminapi.PathSettingsApply, a.guarded(a.apply))
 	mux.HandleFunc("POST "+adminapi.PathDrain, a.guarded(a.drain))
 	mux.HandleFunc("GET "+adminapi.PathExplainModel+"{name}", a.guarded(a.explainModel))
 	mux.HandleFunc("GET "+adminapi.PathExplainRequest+"{id}", a.guarded(a.explainRequest))
@@ -72,7 +72,7 @@
 	return mux
 }
 
-// profiles serves the runtime's profiles, to operators only.
+// profiles serves pprof profiles to authorized operators.
 func (a *adminServer) profiles(writer http.ResponseWriter, httpRequest *http.Request) {
 	if err := a.authorize(httpRequest); err != nil {
 		http.Error(writer, err.Error(), http.StatusUnauthorized)
@@ -93,33 +93,34 @@
 	_, _ = writer.Write([]byte("ready\n"))
 }
 
-// guarded asks for the operator token, where there is one, and turns the result
-// of a call into its answer.
+// guarded wraps a call as an HTTP handler that requires the operator token, if one is
+// configured, and writes the result or the error as JSON.
 func (a *adminServer) guarded(call func(*http.Request) (any, error)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, httpRequest *http.Request) {
 		writer.Header().Set("Content-Type", "application/json")
-		answer, err := any(nil), a.authorize(httpRequest)
+		result, err := any(nil), a.authorize(httpRequest)
 		if err == nil {
-			answer, err = call(httpRequest)
+			result, err = call(httpRequest)
 		}
 		if err != nil {
 			failed := failure.As(err)
 			writer.WriteHeader(adminStatus(failed.Kind))
-			answer = adminapi.Error{Kind: failed.Kind, Message: failed.Message, Remedy: failed.Remedy, Execution: failed.Execution}
+			result = adminapi.Error{Kind: failed.Kind, Message: failed.Message, Remedy: failed.Remedy, Execution: failed.Execution}
 		}
-		_ = json.NewEncoder(writer).Encode(answer) // the operator may be gone
+		_ = json.NewEncoder(writer).Encode(result) // fails only if the client has disconnected
 	}
 }
 
 func (a *adminServer) authorize(httpRequest *http.Request) error {
-	wanted := a.daemon.config.OperatorToken
+	expected := a.daemon.config.OperatorToken
 	given := strings.TrimPrefix(httpRequest.Header.Get("Authorization"), "Bearer ")
-	if wanted != "" && subtle.ConstantTimeCompare([]byte(wanted), []byte(given)) != 1 {
-		return failure.New(failure.Unauthenticated, "give the operator token with --token", "the operator token is missing or wrong")
+	if expected != "" && subtle.ConstantTimeCompare([]byte(expected), []byte(given)) != 1 {
+		return failure.New(failure.Unauthenticated, "pass the operator token with --token", "the operator token is missing or wrong")
 	}
 	return nil
 }
 
+// adminStatus returns the HTTP status for a kind of failure.
 func adminStatus(kind failure.Kind) int {
 	switch kind {
 	case failure.Unauthenticated:
@@ -143,17 +144,17 @@
 	}
 	sort.Slice(status.Queues, func(i, j int) bool { return status.Queues[i].Model < status.Queues[j].Model })
 	for _, member := range d.members.View().Members {
-		heard := d.members.HeardRevision(member.ID)
+		revision := d.members.HeardRevision(member.ID)
 		if member.ID == self.ID {
-			heard = d.settings.Number()
+			revision = d.settings.Number()
 		}
 		status.Members = append(status.Members, adminapi.Member{
 			ID: member.ID, Region: member.Region, Zone: member.Zone, Status: member.Status.String(),
-			RPCAddress: member.RPCAddress, SettingsRevision: heard})
+			RPCAddress: member.RPCAddress, SettingsRevision: revision})
 	}
-	if shown, leads := d.placer.Picture(); leads {
-		status.Placement = &adminapi.Placement{Region: self.Region, Epoch: shown.Epoch, Plan: shown.Plan.Fence.Revision}
-		for _, planned := range shown.Plan.Engines {
+	if placement, leads := d.placer.PlacementStatus(); leads {
+		status.Placement = &adminapi.Placement{Region: self.Region, Epoch: placement.Epoch, Plan: placement.Plan.Fence.Revision}
+		for _, planned := range placement.Plan.Engines {
 			status.Placement.Engines = append(status.Placement.Engines, planned)
 		}
 		sort.Slice(status.Placement.Engines, func(i, j int) bool {
@@ -181,7 +182,7 @@
 func (a *adminServer) revision(httpRequest *http.Request) (any, error) {
 	number, err := strconv.ParseUint(httpRequest.PathValue("number"), 10, 64)
 	if err != nil {
-		return nil, failure.Wrap(err, failure.InvalidRequest, "give a revision number", "the revision is not a number")
+		return nil, failure.Wrap(err, failure.InvalidRequest, "specify a revision number", "the revision number is invalid")
 	}
 	revision, err := a.daemon.registry.Get(httpRequest.Context(), number)
 	if err != nil {
@@ -204,20 +205,20 @@
 }
 
 func (a *adminServer) apply(httpRequest *http.Request) (any, error) {
-	var wanted adminapi.Application
+	var application adminapi.Application
 	body := http.MaxBytesReader(nil, httpRequest.Body, maxApplyBytes)
-	if err := json.NewDecoder(body).Decode(&wanted); err != nil {
-		return nil, failure.Wrap(err, failure.InvalidRequest, "use `finchspoke settings apply`", "the application is not understood")
+	if err := json.NewDecoder(body).Decode(&application); err != nil {
+		return nil, failure.Wrap(err, failure.InvalidRequest, "use `finchspoke settings apply`", "the request body is not valid JSON for applying settings")
 	}
-	if wanted.OperationID == "" || len(wanted.OperationID) > maxOperationID {
-		return nil, failure.New(failure.InvalidRequest, "give an operation id of 1 to 128 bytes", "the operation id is not valid")
+	if application.OperationID == "" || len(application.OperationID) > maxOperationID {
+		return nil, failure.New(failure.InvalidRequest, "specify an operation id of 1 to 128 bytes", "the operation id has an invalid length")
 	}
-	tree, err := settings.Parse(settings.Source{Name: "settings", Data: []byte(wanted.YAML)})
+	tree, err := settings.Parse(settings.Source{Name: "settings", Data: []byte(application.YAML)})
 	if err != nil {
 		return nil, err
 	}
 	revision, err := a.daemon.registry.Apply(httpRequest.Context(), settings.Application{
-		BaseRevision: wanted.BaseRevision, OperationID: wanted.OperationID, Author: wanted.Author, Tree: tree})
+		BaseRevision: application.BaseRevision, OperationID: application.OperationID, Author: application.Author, Tree: tree})
 	if err != nil {
 		return nil, err
 	}
@@ -225,13 +226,13 @@
 	return describe(revision), nil
 }
 
-// explainModel names the model's home and asks the region's placer for the rest.
+// explainModel returns the model's home and the explanation from its region's placer.
 func (a *adminServer) explainModel(httpRequest *http.Request) (any, error) {
 	d := a.daemon
 	name := httpRequest.PathValue("name")
 	current := d.settings.Current()
 	if current == nil {
-		return nil, failure.New(failure.Unavailable, "try again shortly", "this daemon has no settings yet")
+		return nil, failure.New(failure.Unavailable, "try again shortly", "this daemon has not received any settings yet")
 	}
 	target, found := current.Tree.Targets[name]
 	if !found {
@@ -245,21 +246,21 @@
 		return adminapi.Explanation{Lines: []string{"no daemon runs in a region that serves " + model.Name}}, nil
 	}
 	placer, _ := view.Placer(home.Region)
-	answer, err := rpc.NewDRPCExplainClient(d.pool.To(httpRequest.Context(), placer.RPCAddress)).
+	response, err := rpc.NewDRPCExplainClient(d.pool.Conn(httpRequest.Context(), placer.RPCAddress)).
 		Model(httpRequest.Context(), &rpc.ExplainModel{Target: name})
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Unavailable, "try again shortly", "the placer of %s, %s, did not answer", home.Region, placer.ID)
 	}
-	first := "requests through this daemon queue at home " + home.ID + "; " + placer.ID + " places for " + home.Region
-	return adminapi.Explanation{Lines: append([]string{first}, answer.GetLines()...)}, nil
+	summary := "requests through this daemon queue at home " + home.ID + "; " + placer.ID + " is the placer of " + home.Region
+	return adminapi.Explanation{Lines: append([]string{summary}, response.GetLines()...)}, nil
 }
 
 func (a *adminServer) explainRequest(httpRequest *http.Request) (any, error) {
 	id := httpRequest.PathValue("id")
 	ended, found := a.daemon.gateway.EndedRequest(id)
 	if !found {
-		return nil, failure.New(failure.InvalidRequest, "ask the daemon that served it, or search the logs for request_id",
-			"request %s is not among those that ended here last", id)
+		return nil, failure.New(failure.InvalidRequest, "query the daemon that served it, or search the logs for request_id",
+			"request %s is not among the requests that ended last on this daemon", id)
 	}
 	return ended, nil
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon assembles a finchspoke daemon: gateway, home, placer, membership
-// and settings, each a service under one suture supervisor.
+// Package daemon assembles a finchspoke daemon from its gateway, home, placer, membership
+// and settings services, which run under one suture supervisor.
 package daemon
 
 import (
@@ -33,17 +33,18 @@
 	"github.com/finchspoke/finchspoke/transport"
 )
 
-// Version of the product.
+// Version is the version that the status endpoint reports.
 const Version = "0.1.0"
 
 const (
-	// leaveSpread is the time for the news of leaving to spread before the
-	// gateway stops to listen.
-	leaveSpread = 500 * time.Millisecond
-	// handOverTime bounds the wait for others to take over this daemon's claims.
-	handOverTime = 15 * time.Second
-	handOverPoll = 50 * time.Millisecond
-	// suspicionIntervals is how many probe intervals a suspect has to refute.
+	// leavePropagationDelay lets the other members learn by gossip that this daemon leaves
+	// before its gateway closes its listener.
+	leavePropagationDelay = 500 * time.Millisecond
+	// handoverTimeout bounds the wait for others to replace this daemon in its groups.
+	handoverTimeout      = 15 * time.Second
+	handoverPollInterval = 50 * time.Millisecond
+	// suspicionIntervals is the number of probe intervals within which a suspected member
+	// must answer before it is declared dead.
 	suspicionIntervals  = 3
 	probeTimeoutDivisor = 3
 )
@@ -70,7 +71,7 @@
 	drainOnce  sync.Once
 }
 
-// sockets are what a daemon listens on.
+// sockets are a daemon's listening sockets.
 type sockets struct {
 	gateway net.Listener
 	rpc     net.Listener
@@ -78,7 +79,7 @@
 	gossip  net.PacketConn
 }
 
-// Addresses are those a daemon listens on, host:port.
+// Addresses are a daemon's listening addresses, as host:port.
 type Addresses struct {
 	Gateway string
 	RPC     string
@@ -86,20 +87,20 @@
 	Admin   string
 }
 
-// New opens a daemon's sockets and assembles it; Run starts it.
-func New(settingsFile config.Config, log logrus.FieldLogger) (*Daemon, error) {
-	if err := settingsFile.Check(); err != nil {
+// New opens a daemon's sockets and assembles its services; Run starts them.
+func New(cfg config.Config, log logrus.FieldLogger) (*Daemon, error) {
+	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	opened, err := listen(settingsFile)
+	opened, err := listen(cfg)
 	if err != nil {
 		return nil, err
 	}
-	if settingsFile.ID == "" {
-		settingsFile.ID = opened.rpc.Addr().String()
+	if cfg.ID == "" {
+		cfg.ID = opened.rpc.Addr().String()
 	}
 	created := &Daemon{
-		config: settingsFile, log: log.WithFields(logrus.Fields{"daemon": settingsFile.ID, "zone": settingsFile.Zone}),
+		config: cfg, log: log.WithFields(logrus.Fields{"daemon": cfg.ID, "zone": cfg.Zone}),
 		metrics: prometheus.NewRegistry(), sockets: opened, settings: &settings.Store{}, engines: engine.NewClient(),
 		drain: make(chan struct{}),
 	}
@@ -108,27 +109,27 @@
 	return created, nil
 }
 
-func listen(settingsFile config.Config) (opened sockets, err error) {
+func listen(cfg config.Config) (opened sockets, err error) {
 	defer func() {
 		if err != nil {
 			opened.close()
 		}
 	}()
-	if opened.gateway, err = listenTCP("gateway", settingsFile.Listen.Gateway); err != nil {
+	if opened.gateway, err = listenTCP("gateway", cfg.Listen.Gateway); err != nil {
 		return opened, err
 	}
-	if opened.gateway, err = withTLS(opened.gateway, settingsFile.TLS); err != nil {
+	if opened.gateway, err = withTLS(opened.gateway, cfg.TLS); err != nil {
 		return opened, err
 	}
-	if opened.rpc, err = listenTCP("rpc", settingsFile.Listen.RPC); err != nil {
+	if opened.rpc, err = listenTCP("rpc", cfg.Listen.RPC); err != nil {
 		return opened, err
 	}
-	if opened.admin, err = listenTCP("admin", settingsFile.Listen.Admin); err != nil {
+	if opened.admin, err = listenTCP("admin", cfg.Listen.Admin); err != nil {
 		return opened, err
 	}
-	opened.gossip, err = net.ListenPacket("udp", settingsFile.Listen.Gossip)
+	opened.gossip, err = net.ListenPacket("udp", cfg.Listen.Gossip)
 	if err != nil {
-		return opened, cannotListen(err, "gossip", settingsFile.Listen.Gossip)
+		return opened, listenError(err, "gossip", cfg.Listen.Gossip)
 	}
 	return opened, nil
 }
@@ -136,13 +137,13 @@
 func listenTCP(name, address string) (net.Listener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, cannotListen(err, name, address)
+		return nil, listenError(err, name, address)
 	}
 	return listener, nil
 }
 
-func cannotListen(err error, name, address string) error {
-	return failure.Wrap(err, failure.InvalidConfig, "give a free address of this machine under listen."+name, "cannot listen on %s for %s", address, name)
+func listenError(err error, name, address string) error {
+	return failure.Wrap(err, failure.InvalidConfig, "set an unused address of this machine in listen."+name, "cannot listen on %s for %s", address, name)
 }
 
 func withTLS(listener net.Listener, files config.TLS) (net.Listener, error) {
@@ -151,7 +152,7 @@
 	}
 	certificate, err := tls.LoadX509KeyPair(files.CertificateFile, files.KeyFile)
 	if err != nil {
-		return listener, failure.Wrap(err, failure.InvalidConfig, "give a certificate and its key as PEM files", "the TLS files cannot be used")
+		return listener, failure.Wrap(err, failure.InvalidConfig, "provide a certificate and its key as PEM files", "cannot load the TLS certificate and key")
 	}
 	return tls.NewListener(listener, &tls.Config{Certificates: []tls.Certificate{certificate}, MinVersion: tls.VersionTLS12}), nil
 }
@@ -167,7 +168,7 @@
 	}
 }
 
-// Addresses returns the addresses listened on, with the ports that were taken.
+// Addresses returns the addresses listened on, with the ports actually assigned.
 func (d *Daemon) Addresses() Addresses {
 	return Addresses{
 		Gateway: d.sockets.gateway.Addr().String(),
@@ -177,19 +178,19 @@
 	}
 }
 
-// SettingsRevision returns the number of the settings revision in force here.
+// SettingsRevision returns the number of the settings revision in effect on this daemon.
 func (d *Daemon) SettingsRevision() uint64 { return d.settings.Number() }
 
 // GossipTraffic returns the bytes of membership packets sent and received so far.
 func (d *Daemon) GossipTraffic() (sent, received uint64) { return d.members.Traffic() }
 
-// PlacerEpoch returns the epoch in which this daemon places; zero if it does not.
+// PlacerEpoch returns the epoch in which this daemon is the placer; zero if it is not.
 func (d *Daemon) PlacerEpoch() uint64 { return d.placer.Epoch() }
 
-// ID returns the daemon's id.
+// ID returns the configured id, or the rpc address if none is configured.
 func (d *Daemon) ID() string { return d.config.ID }
 
-// assemble makes the parts and hands them to the supervisor.
+// assemble creates the services and adds them to the supervisor.
 func (d *Daemon) assemble() {
 	store := kv.NewClient(d.config.Platform.KeyValue)
 	d.registry = settings.NewRegistry(store, time.Now)
@@ -211,28 +212,28 @@
 		Settings: d.settings, Engines: d.engines, Ledger: group.NewLedger(d.members.View, d.pool), Log: d.log,
 		Registerer: d.metrics, MaxConnections: d.config.MaxConnections,
 	}, d.homes, d.sockets.gateway)
-	spread := newSpreader(d.settings, d.registry, d.members, d.log)
+	distributor := newSettingsDistributor(d.settings, d.registry, d.members, d.log)
 	d.registerMetrics()
 	server := transport.NewServer(d.sockets.rpc)
-	d.register(server, spread, group.NewService(d.claims, manager))
+	d.registerServices(server, distributor, group.NewService(d.claims, manager))
 	d.supervisor = suture.New("finchspoke", suture.Spec{EventHook: d.logEvent})
 	for _, service := range []suture.Service{
-		d.members, server, spread, d.home, home.NewReporter(d.home, d.config.Region), d.placer, manager, d.gateway,
+		d.members, server, distributor, d.home, home.NewDemandReporter(d.home, d.config.Region), d.placer, manager, d.gateway,
 		&adminServer{daemon: d, listener: d.sockets.admin},
 	} {
 		d.supervisor.Add(service)
 	}
 }
 
-func (d *Daemon) register(server *transport.Server, spread *spreader, claims *group.Service) {
+func (d *Daemon) registerServices(server *transport.Server, distributor *settingsDistributor, claims *group.Service) {
 	mux := server.Mux()
 	for _, err := range []error{
 		rpc.DRPCRegisterHome(mux, d.home), rpc.DRPCRegisterPlacer(mux, d.placer),
-		rpc.DRPCRegisterMembership(mux, d.members), rpc.DRPCRegisterSettings(mux, spread),
+		rpc.DRPCRegisterMembership(mux, d.members), rpc.DRPCRegisterSettings(mux, distributor),
 		rpc.DRPCRegisterGroups(mux, claims), rpc.DRPCRegisterExplain(mux, d.placer),
 	} {
 		if err != nil {
-			panic(err) // a service registered twice: a mistake in this function
+			panic(err) // only if this function registers a service twice
 		}
 	}
 }
@@ -261,18 +262,18 @@
 }
 
 func (d *Daemon) logEvent(event suture.Event) {
-	d.log.WithField("event", event.String()).Warn("supervisor")
+	d.log.WithField("event", event.String()).Warn("supervisor event")
 }
 
 func (d *Daemon) registerMetrics() {
 	gauge := func(name, help string, value func() float64) {
 		d.metrics.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, value))
 	}
-	gauge("finchspoke_settings_revision", "Settings revision in force.", func() float64 { return float64(d.settings.Number()) })
-	gauge("finchspoke_members_running", "Members known as running.", func() float64 {
+	gauge("finchspoke_settings_revision", "Settings revision in effect.", func() float64 { return float64(d.settings.Number()) })
+	gauge("finchspoke_members_running", "Members known to be running.", func() float64 {
 		return float64(len(d.members.View().RunningIn("")))
 	})
-	gauge("finchspoke_placer_epoch", "Epoch in which this daemon places; 0 if it does not.", func() float64 { return float64(d.placer.Epoch()) })
+	gauge("finchspoke_placer_epoch", "Epoch in which this daemon is the placer; 0 if it is not.", func() float64 { return float64(d.placer.Epoch()) })
 	gauge("finchspoke_gossip_sent_bytes", "Bytes of membership packets sent.", func() float64 {
 		sent, _ := d.members.Traffic()
 		return float64(sent)
@@ -283,7 +284,7 @@
 	})
 }
 
-// notReady returns why the daemon should not get callers, or nothing.
+// notReady returns why the daemon should get no requests, or "" if it is ready.
 func (d *Daemon) notReady() string {
 	switch {
 	case d.draining.Load():
@@ -294,13 +295,14 @@
 	return ""
 }
 
-// BeginDrain starts a planned stop; Run returns when it is done.
+// BeginDrain starts a planned stop; Run returns when the stop is complete.
 func (d *Daemon) BeginDrain() {
 	d.draining.Store(true)
 	d.drainOnce.Do(func() { close(d.drain) })
 }
 
-// Run serves until ctx ends (at once) or a planned stop is done (no request cut).
+// Run serves until ctx ends, which stops the daemon at once, or until a planned stop
+// is complete, which lets running requests end within the drain timeout.
 func (d *Daemon) Run(ctx context.Context) error {
 	serving, stop := context.WithCancel(ctx)
 	defer stop()
@@ -324,23 +326,23 @@
 	return err
 }
 
-// handClaimsOver waits until other daemons have taken this one's place in the
-// run-once groups, if there are others and they do so soon: a rolling restart must
-// not take two members from one group.
-func (d *Daemon) handClaimsOver(ctx context.Context) {
-	until := time.Now().Add(handOverTime)
-	for d.claims.Serving() && time.Now().Before(until) && ctx.Err() == nil && len(d.members.View().RunningIn(d.config.Region)) > 0 {
-		sleep.For(ctx, handOverPoll)
+// handOverClaims waits, up to handoverTimeout, until other daemons of the region have
+// replaced this one in the run-once groups, which hold idempotency claims, so that a
+// rolling restart does not take two members from one group.
+func (d *Daemon) handOverClaims(ctx context.Context) {
+	deadline := time.Now().Add(handoverTimeout)
+	for d.claims.Serving() && time.Now().Before(deadline) && ctx.Err() == nil && len(d.members.View().RunningIn(d.config.Region)) > 0 {
+		sleep.For(ctx, handoverPollInterval)
 	}
 }
 
-// leave tells the members, so that queues move to other homes, and waits for the
-// requests of this gateway.
+// leave announces the stop to the members, so that queues move to other homes, and waits
+// for the gateway's requests to end.
 func (d *Daemon) leave(ctx context.Context) error {
-	d.log.Info("planned stop: leaving")
+	d.log.Info("planned stop: leaving the cluster")
 	d.members.Leave()
-	sleep.For(ctx, leaveSpread)
-	d.handClaimsOver(ctx)
+	sleep.For(ctx, leavePropagationDelay)
+	d.handOverClaims(ctx)
 	ctx, cancel := context.WithTimeout(ctx, d.config.DrainTimeout)
 	defer cancel()
 	if err := d.gateway.Drain(ctx); err != nil {
--- a/home/server.go
+++ b/home/server.go
@@ -1,9 +1,7 @@
-// Package home runs the queues of the models that a daemon is home to, and the
-// client with which a gateway asks a home for a slot on a replica.
-//
-// A gateway owns its requests: it holds the caller's connection and the request
-// body, and dispatches to the engine itself. A home decides when and where. When
-// a home is lost, gateways submit what still waits to the next one.
+// Package home implements home daemons, which queue the requests for the models assigned
+// to them, and the client with which gateways acquire slots on replicas. The home decides
+// when and where a request runs; the gateway dispatches it. When a home fails, gateways
+// submit their waiting requests to its successor.
 package home
 
 import (
@@ -22,44 +20,43 @@
 )
 
 const (
-	// tickInterval is how often queues look for items past their deadline.
+	// tickInterval is how often queues are checked for expired items.
 	tickInterval = 20 * time.Millisecond
-	// forgetAfter is how long a queue without requests is kept.
-	forgetAfter = time.Hour
-	// defaultConcurrency is for a model that this daemon's settings do not know yet.
+	// idleQueueRetention is how long a queue without requests is kept.
+	idleQueueRetention = time.Hour
+	// defaultConcurrency applies to models that the current settings do not declare.
 	defaultConcurrency = 1
 )
 
-// Server owns the queues. It is a suture service and serves the Home rpc.
+// Server runs a daemon's queues. It is a suture service and serves the Home rpc.
 type Server struct {
 	settings *settings.Store
 	view     func() *membership.View
 	selfID   string
 	log      logrus.FieldLogger
 
-	mutex    sync.Mutex
-	queues   map[string]*queue.Queue // by base model
-	sessions map[string]*Session     // by gateway id
-	orphans  map[string]bool         // gateways without a session that may still run requests
-	dirty    map[string]bool         // base models whose demand changed
-	urgent   chan struct{}           // signals demand that must not wait
-	waits    chan struct{}           // signals that some item waits
+	mutex       sync.Mutex
+	queues      map[string]*queue.Queue // by base model
+	sessions    map[string]*Session     // by gateway id
+	detached    map[string]bool         // disconnected gateways that may still run requests
+	dirty       map[string]bool         // base models whose demand changed
+	urgent      chan struct{}           // signals demand to report at once
+	itemWaiting chan struct{}           // signals that an item waits
 }
 
 // NewServer returns a server without queues.
 func NewServer(selfID string, store *settings.Store, view func() *membership.View, log logrus.FieldLogger) *Server {
 	return &Server{
 		settings: store, view: view, selfID: selfID, log: log,
-		queues: map[string]*queue.Queue{}, sessions: map[string]*Session{}, orphans: map[string]bool{}, dirty: map[string]bool{},
-		urgent: make(chan struct{}, 1), waits: make(chan struct{}, 1),
+		queues: map[string]*queue.Queue{}, sessions: map[string]*Session{}, detached: map[string]bool{}, dirty: map[string]bool{},
+		urgent: make(chan struct{}, 1), itemWaiting: make(chan struct{}, 1),
 	}
 }
 
 // String names the service in the supervisor's events.
 func (s *Server) String() string { return "home" }
 
-// Serve implements suture.Service: it drives the queues' time, and rests while
-// nothing waits.
+// Serve implements suture.Service: it ticks the queues, and pauses while no item waits.
 func (s *Server) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -76,97 +73,98 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.waits:
+		case <-s.itemWaiting:
 			ticker.Reset(tickInterval)
 		}
 	}
 }
 
-// tick returns how many items wait after it.
+// tick ticks all queues and returns the number of items that still wait.
 func (s *Server) tick(now time.Time) (waiting int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for model, held := range s.queues {
-		if held.Waiting() == 0 {
+	for model, q := range s.queues {
+		if q.Waiting() == 0 {
 			continue
 		}
-		if actions := held.Tick(now); len(actions) > 0 {
-			s.carryOut(model, actions)
+		if actions := q.Tick(now); len(actions) > 0 {
+			s.deliverActions(model, actions)
 		}
-		waiting += held.Waiting()
+		waiting += q.Waiting()
 	}
 	return waiting
 }
 
-// Session is a gateway's link, over the network or within the process.
+// Session is the server's end of a gateway's link, over the network or in the process.
 type Session struct {
 	server    *Server
 	gatewayID string
 	deliver   func(*rpc.HomeMessage)
 }
 
-// Attach opens a session for a gateway; deliver must not block.
-func (s *Server) Attach(gatewayID string, deliver func(*rpc.HomeMessage)) *Session {
+// OpenSession opens a session for a gateway and replaces its earlier one. The server calls
+// deliver with its mutex held; it must not block.
+func (s *Server) OpenSession(gatewayID string, deliver func(*rpc.HomeMessage)) *Session {
 	session := &Session{server: s, gatewayID: gatewayID, deliver: deliver}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.sessions[gatewayID] = session
-	delete(s.orphans, gatewayID)
+	delete(s.detached, gatewayID)
 	return session
 }
 
-// Close ends the session; what it had waiting is forgotten, since the gateway
-// submits it again elsewhere.
+// Close ends the session and drops the gateway's waiting items, which the gateway submits
+// again when it reconnects or to another home.
 func (l *Session) Close() {
 	s := l.server
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.sessions[l.gatewayID] != l {
-		return // a newer session of the gateway has taken over
+		return // a newer session of the gateway has replaced it
 	}
 	delete(s.sessions, l.gatewayID)
-	for _, held := range s.queues {
-		held.DropWaiting(l.gatewayID)
+	for _, q := range s.queues {
+		q.DropWaiting(l.gatewayID)
 	}
-	s.orphans[l.gatewayID] = true
-	s.forgetDead(s.view())
+	s.detached[l.gatewayID] = true
+	s.reconcileDead(s.view())
 }
 
-// MembersChanged frees what gateways held that are known dead now.
+// MembersChanged frees the slots of disconnected gateways that are dead.
 func (s *Server) MembersChanged(view *membership.View) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.forgetDead(view)
+	s.reconcileDead(view)
 }
 
-func (s *Server) forgetDead(view *membership.View) {
-	for gatewayID := range s.orphans {
+func (s *Server) reconcileDead(view *membership.View) {
+	for gatewayID := range s.detached {
 		if member, known := view.Member(gatewayID); known && member.Status != membership.Dead {
-			continue // one that left still finishes what it runs
+			continue // a member that left completes its running requests
 		}
-		delete(s.orphans, gatewayID)
+		delete(s.detached, gatewayID)
 		s.reconcile(gatewayID, nil)
 	}
 }
 
-// reconcile takes in all that a gateway runs, over all queues.
+// reconcile replaces a gateway's running requests in all queues.
 func (s *Server) reconcile(gatewayID string, running []*rpc.Running) {
 	byModel := map[string][]queue.Running{}
-	for _, one := range running {
-		s.queue(one.GetBaseModel())
-		byModel[one.GetBaseModel()] = append(byModel[one.GetBaseModel()], runningOf(one))
+	for _, entry := range running {
+		s.queue(entry.GetBaseModel())
+		byModel[entry.GetBaseModel()] = append(byModel[entry.GetBaseModel()], runningRequest(entry))
 	}
 	now := time.Now()
-	for model, held := range s.queues {
-		s.carryOut(model, held.Reconcile(now, gatewayID, byModel[model]))
+	for model, q := range s.queues {
+		s.deliverActions(model, q.Reconcile(now, gatewayID, byModel[model]))
 	}
 }
 
-func runningOf(message *rpc.Running) queue.Running {
+func runningRequest(message *rpc.Running) queue.Running {
 	return queue.Running{ID: message.GetRequestId(), Target: message.GetTarget(), ReplicaID: message.GetReplicaId()}
 }
 
-// Handle takes a gateway's message in.
+// Handle processes a message from the gateway.
 func (l *Session) Handle(message *rpc.GatewayMessage) {
 	s := l.server
 	now := time.Now()
@@ -177,41 +175,41 @@
 		s.reconcile(l.gatewayID, message.GetHello().GetRunning())
 	case message.GetRestore() != nil:
 		restored := message.GetRestore()
-		s.queue(restored.GetBaseModel()).Restore(now, l.gatewayID, runningOf(restored))
+		s.queue(restored.GetBaseModel()).Restore(now, l.gatewayID, runningRequest(restored))
 		s.dirty[restored.GetBaseModel()] = true
 	case message.GetSubmit() != nil:
 		submit := message.GetSubmit()
-		held := s.queue(submit.GetBaseModel())
-		waited := held.IsWaiting(submit.GetTarget())
-		s.carryOut(submit.GetBaseModel(), held.Submit(now, s.item(l.gatewayID, submit, now)))
-		if held.Waiting() > 0 {
-			signal(s.waits)
+		q := s.queue(submit.GetBaseModel())
+		hadWaiting := q.HasWaiting(submit.GetTarget())
+		s.deliverActions(submit.GetBaseModel(), q.Submit(now, s.item(l.gatewayID, submit, now)))
+		if q.Waiting() > 0 {
+			signal(s.itemWaiting)
 		}
-		if !waited && held.IsWaiting(submit.GetTarget()) {
-			signal(s.urgent) // the placer learns of the first that waits at once, of others soon
+		if !hadWaiting && q.HasWaiting(submit.GetTarget()) {
+			signal(s.urgent) // the first waiting item is reported at once, further ones within reportInterval
 		}
 	case message.GetCancel() != nil:
-		s.withQueueOf(message.GetCancel().GetBaseModel(), func(held *queue.Queue) []queue.Action {
-			held.Cancel(message.GetCancel().GetRequestId())
+		s.withQueue(message.GetCancel().GetBaseModel(), func(q *queue.Queue) []queue.Action {
+			q.Cancel(message.GetCancel().GetRequestId())
 			return nil
 		})
 	case message.GetRelease() != nil:
 		release := message.GetRelease()
-		s.withQueueOf(release.GetBaseModel(), func(held *queue.Queue) []queue.Action {
+		s.withQueue(release.GetBaseModel(), func(q *queue.Queue) []queue.Action {
 			service := time.Duration(release.GetServiceMs()) * time.Millisecond
-			return held.Release(now, release.GetRequestId(), release.GetEngineFailed(), service)
+			return q.Release(now, release.GetRequestId(), release.GetEngineFailed(), service)
 		})
 	}
 }
 
-func (s *Server) withQueueOf(model string, step func(*queue.Queue) []queue.Action) {
-	if held := s.queues[model]; held != nil {
-		s.carryOut(model, step(held))
+func (s *Server) withQueue(model string, step func(*queue.Queue) []queue.Action) {
+	if q := s.queues[model]; q != nil {
+		s.deliverActions(model, step(q))
 	}
 }
 
-// signal wakes a reader of a channel of size one; signals that come together are
-// one.
+// signal sends to a channel of capacity one without blocking, so that pending signals
+// are merged into one.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -219,14 +217,14 @@
 	}
 }
 
-// queue returns the queue of a base model, making it if new.
+// queue returns the queue of a base model and creates it if needed.
 func (s *Server) queue(model string) *queue.Queue {
-	held := s.queues[model]
-	if held == nil {
-		held = queue.New(model, s.concurrency(model))
-		s.queues[model] = held
+	q := s.queues[model]
+	if q == nil {
+		q = queue.New(model, s.concurrency(model))
+		s.queues[model] = q
 	}
-	return held
+	return q
 }
 
 func (s *Server) concurrency(model string) int {
@@ -238,7 +236,8 @@
 	return defaultConcurrency
 }
 
-// item fills in what the branch's settings say.
+// item converts a submit message to a queue item, with the share and limits from the
+// branch's settings.
 func (s *Server) item(gatewayID string, submit *rpc.Submit, now time.Time) queue.Item {
 	item := queue.Item{
 		ID: submit.GetRequestId(), Owner: gatewayID, Target: submit.GetTarget(), Branch: submit.GetBranch(), Share: 1,
@@ -256,18 +255,18 @@
 	return item
 }
 
-// carryOut sends a queue's actions to the gateways concerned.
-func (s *Server) carryOut(model string, actions []queue.Action) {
+// deliverActions sends a queue's grants and refusals to the gateways that own the items.
+func (s *Server) deliverActions(model string, actions []queue.Action) {
 	s.dirty[model] = true
 	for _, action := range actions {
-		switch done := action.(type) {
+		switch decided := action.(type) {
 		case queue.Grant:
-			s.send(done.Item.Owner, &rpc.HomeMessage{Kind: &rpc.HomeMessage_Grant{Grant: &rpc.Grant{
-				RequestId: done.Item.ID, ReplicaId: done.Replica.ID, EngineId: done.Replica.EngineID, Address: done.Replica.Address,
-				WaitedMs: time.Since(done.Item.Arrived).Milliseconds()}}})
+			s.send(decided.Item.Owner, &rpc.HomeMessage{Kind: &rpc.HomeMessage_Grant{Grant: &rpc.Grant{
+				RequestId: decided.Item.ID, ReplicaId: decided.Replica.ID, EngineId: decided.Replica.EngineID, Address: decided.Replica.Address,
+				WaitedMs: time.Since(decided.Item.Arrived).Milliseconds()}}})
 		case queue.Refusal:
-			s.send(done.Item.Owner, &rpc.HomeMessage{Kind: &rpc.HomeMessage_Refusal{Refusal: &rpc.Refusal{
-				RequestId: done.Item.ID, Kind: string(done.Kind), Message: done.Message, RetryAfterMs: done.RetryAfter.Milliseconds()}}})
+			s.send(decided.Item.Owner, &rpc.HomeMessage{Kind: &rpc.HomeMessage_Refusal{Refusal: &rpc.Refusal{
+				RequestId: decided.Item.ID, Kind: string(decided.Kind), Message: decided.Message, RetryAfterMs: decided.RetryAfter.Milliseconds()}}})
 		}
 	}
 }
@@ -278,27 +277,27 @@
 	}
 }
 
-// SetReplicas takes in what the placer says of a base model.
+// SetReplicas applies the placer's report of a base model's replicas.
 func (s *Server) SetReplicas(model string, replicas []queue.Replica, readyIn time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	held := s.queues[model]
-	if held == nil {
+	q := s.queues[model]
+	if q == nil {
 		return
 	}
-	s.carryOut(model, held.SetReplicas(time.Now(), replicas, readyIn))
+	s.deliverActions(model, q.SetReplicas(time.Now(), replicas, readyIn))
 }
 
 // SettingsChanged applies new settings to the queues.
 func (s *Server) SettingsChanged() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for model, held := range s.queues {
-		s.carryOut(model, held.SetConcurrency(time.Now(), s.concurrency(model)))
+	for model, q := range s.queues {
+		s.deliverActions(model, q.SetConcurrency(time.Now(), s.concurrency(model)))
 	}
 }
 
-// ModelStatus is the state of one queue, for status.
+// ModelStatus is the state of one model's queue, as the status endpoint reports it.
 type ModelStatus struct {
 	Model   string         `json:"model"`
 	Waiting int            `json:"waiting"`
@@ -306,28 +305,28 @@
 	Demand  []queue.Demand `json:"demand"`
 }
 
-// Status lists the queues of this daemon.
+// Status returns the state of all queues of this daemon.
 func (s *Server) Status() []ModelStatus {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var status []ModelStatus
-	for model, held := range s.queues {
-		status = append(status, ModelStatus{model, held.Waiting(), held.Running(), held.Demands()})
+	for model, q := range s.queues {
+		status = append(status, ModelStatus{model, q.Waiting(), q.Running(), q.Demands()})
 	}
 	return status
 }
 
-// Link implements the Home rpc.
+// Link implements the Home rpc: it serves the session of one gateway.
 func (s *Server) Link(stream rpc.DRPCHome_LinkStream) error {
 	first, err := stream.Recv()
 	if err != nil {
-		return errors.Wrap(err, "read hello")
+		return errors.Wrap(err, "receive hello")
 	}
 	if first.GetHello() == nil {
-		return errors.New("a link begins with hello")
+		return errors.New("the first message on a link must be hello")
 	}
 	outgoing := newMailbox[*rpc.HomeMessage]()
-	session := s.Attach(first.GetHello().GetGatewayId(), outgoing.put)
+	session := s.OpenSession(first.GetHello().GetGatewayId(), outgoing.put)
 	defer session.Close()
 	session.Handle(first)
 	sent := make(chan error, 1)
@@ -337,7 +336,7 @@
 		if err != nil {
 			outgoing.close()
 			<-sent
-			return errors.Wrap(err, "read gateway")
+			return errors.Wrap(err, "receive from gateway")
 		}
 		session.Handle(message)
 	}
--- a/placer/apply.go
+++ b/placer/apply.go
@@ -12,8 +12,8 @@
 	"github.com/finchspoke/finchspoke/placement"
 )
 
-// apply sends each engine the orders that bring it to the standing plan. Engines
-// are served side by side, the orders of one engine one after another.
+// apply sends each engine the orders that bring it to the current plan. Engines are
+// served concurrently, the orders of one engine in sequence.
 func (s *Service) apply(ctx context.Context, term *leadership, workers *sync.WaitGroup) {
 	term.cell.mutex.Lock()
 	defer term.cell.mutex.Unlock()
@@ -22,7 +22,7 @@
 			continue
 		}
 		if state.applying {
-			state.again = true
+			state.applyAgain = true
 			continue
 		}
 		state.applying = true
@@ -36,15 +36,15 @@
 
 func (s *Service) applyEngine(ctx context.Context, term *leadership, id string) {
 	for {
-		address, orders := term.cell.takeOrders(id, time.Now())
+		address, orders := term.cell.dueOrders(id, time.Now())
 		for _, order := range orders {
-			answer, err := s.Engines.Order(ctx, address, order)
+			response, err := s.Engines.Order(ctx, address, order)
 			fields := logrus.Fields{"engine": id, "operation": order.Operation, "model": order.Model,
 				"replica": order.ReplicaID, "epoch": order.Fence.Epoch}
 			if err != nil {
-				s.Log.WithError(err).WithFields(fields).Debug("order gave no answer; the inventory will tell")
-			} else if !answer.Accepted {
-				s.Log.WithFields(fields).WithField("reason", answer.Reason).Warn("engine refused an order")
+				s.Log.WithError(err).WithFields(fields).Debug("engine did not answer an order; its inventory will show the result")
+			} else if !response.Accepted {
+				s.Log.WithFields(fields).WithField("reason", response.Reason).Warn("engine refused order")
 			}
 		}
 		if !term.cell.finishApply(id) || ctx.Err() != nil {
@@ -53,8 +53,8 @@
 	}
 }
 
-// takeOrders returns the orders due for an engine and notes when they were sent.
-func (c *cell) takeOrders(id string, now time.Time) (address string, orders []engine.Order) {
+// dueOrders returns the orders due for an engine and records now as their send time.
+func (c *cell) dueOrders(id string, now time.Time) (address string, orders []engine.Order) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	orders = c.ordersFor(id, now)
@@ -63,12 +63,12 @@
 		return "", nil
 	}
 	for _, order := range orders {
-		state.ordered[orderKey(order)] = now
+		state.lastOrdered[orderKey(order)] = now
 	}
 	return state.machine.Address, orders
 }
 
-// finishApply ends a round and tells whether another was asked for meanwhile.
+// finishApply ends a round of orders and reports whether another was requested meanwhile.
 func (c *cell) finishApply(id string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -76,33 +76,35 @@
 	if state == nil {
 		return false
 	}
-	repeat := state.again
-	state.again = false
+	repeat := state.applyAgain
+	state.applyAgain = false
 	state.applying = repeat
 	return repeat
 }
 
+// orderKey identifies an order, whatever its fence.
 func orderKey(order engine.Order) string {
 	return string(order.Operation) + " " + order.ReplicaID + " " + order.Adapter
 }
 
-// ordersFor compares the plan with the inventory; the mutex is held. Unloads
-// come first, so that memory is freed before it is needed.
+// ordersFor returns the orders for the differences between the plan and an engine's
+// inventory. Unloads come first, so that memory is free for the loads. The caller holds
+// the mutex.
 func (c *cell) ordersFor(id string, now time.Time) []engine.Order {
 	state := c.engines[id]
 	if state == nil || state.inventory == nil {
 		return nil
 	}
-	held := map[string]engine.Replica{}
+	reported := map[string]engine.Replica{}
 	for _, replica := range state.inventory.Replicas {
-		held[replica.ID] = replica
+		reported[replica.ID] = replica
 	}
 	var unloads, loads []engine.Order
 	planned := map[string]bool{}
 	for _, assignment := range c.plan.Engines[id].Assignments {
 		planned[assignment.ReplicaID] = true
-		replica, present := held[assignment.ReplicaID]
-		if assignment.Wish == placement.Remove {
+		replica, present := reported[assignment.ReplicaID]
+		if assignment.DesiredState == placement.Remove {
 			unseen := state.inventory.Fence.Less(assignment.Fence)
 			if unseen || (present && replica.State != engine.Unloading) {
 				unloads = append(unloads, engine.Order{Operation: engine.Unload, ReplicaID: assignment.ReplicaID, Model: assignment.Model})
@@ -127,7 +129,7 @@
 		orders = append(orders, engine.Order{Operation: engine.Seal})
 	}
 	orders = slices.DeleteFunc(orders, func(order engine.Order) bool {
-		return now.Sub(state.ordered[orderKey(order)]) < reorderPause
+		return now.Sub(state.lastOrdered[orderKey(order)]) < reorderInterval
 	})
 	for index := range orders {
 		orders[index].Fence = c.plan.Fence
@@ -136,7 +138,7 @@
 	return orders
 }
 
-// adapterOrders brings a ready replica's adapters to the plan.
+// adapterOrders returns the orders that bring a ready replica's adapters to the plan.
 func adapterOrders(assignment placement.Assignment, replica engine.Replica) []engine.Order {
 	if replica.State != engine.Ready {
 		return nil
--- a/placer/service.go
+++ b/placer/service.go
@@ -1,10 +1,7 @@
-// Package placer runs the placement of a cell: it takes the cell over in the plan's
-// group, watches the engines, hears demand from homes, lets package placement
-// decide, commits each plan before any order goes out, and tells homes which
-// replicas are ready. None of it needs the key-value service.
-//
-// At most one daemon's orders count at a time: engines refuse the orders of an
-// earlier epoch, and the group its commits.
+// Package placer runs the placement of a cell, the engines of one region: it watches the
+// engines, receives demand from the home daemons, which queue requests, and sends orders
+// once a replicated group has stored the plan. Engines and group reject earlier epochs, so
+// that the orders of at most one daemon take effect.
 package placer
 
 import (
@@ -26,19 +23,19 @@
 )
 
 const (
-	// checkInterval is how often a daemon looks whether it should place.
+	// checkInterval is how often a daemon checks whether it should lead the cell.
 	checkInterval = 250 * time.Millisecond
-	// decideInterval is how often a decision is made without a signal.
+	// decideInterval is the longest time between two decisions.
 	decideInterval = 250 * time.Millisecond
-	// gatherPause lets signals that come together lead to one decision.
-	gatherPause     = 2 * time.Millisecond
-	machineInterval = time.Second
-	retryPause      = 300 * time.Millisecond
-	// reorderPause is the least time between two equal orders.
-	reorderPause = time.Second
+	// batchDelay lets changes that arrive together lead to one decision.
+	batchDelay          = 2 * time.Millisecond
+	machineListInterval = time.Second
+	retryDelay          = 300 * time.Millisecond
+	// reorderInterval is the shortest time before an order is repeated.
+	reorderInterval = time.Second
 )
 
-// Dependencies are what the placer works with.
+// Dependencies are the components that the placer uses.
 type Dependencies struct {
 	Region   string
 	SelfID   string
@@ -50,26 +47,26 @@
 	Log      logrus.FieldLogger
 }
 
-// Service is the placer of a daemon; it leads its region's cell while the daemon
-// is the one that should. It is a suture service and serves the Placer rpc.
+// Service is a daemon's placer. It leads its region's cell while the membership view
+// selects the daemon. It is a suture service and serves the Placer and Explain rpcs.
 type Service struct {
 	Dependencies
 	leading  atomic.Pointer[leadership]
 	takeOver atomic.Uint64
-	floor    uint64 // least epoch of the next term
+	minEpoch uint64 // lowest epoch for the next term
 }
 
 // leadership is one term of leading the cell.
 type leadership struct {
-	cell    *cell
-	record  *record
-	epoch   uint64
-	fresh   bool // the group held no plan
-	done    <-chan struct{}
-	changed *broadcast
+	cell         *cell
+	planRecord   *planRecord
+	epoch        uint64
+	noStoredPlan bool // the group held no plan when the term began
+	done         <-chan struct{}
+	changed      *broadcast
 }
 
-// New returns the placer of a daemon.
+// New returns a placer; Serve runs it.
 func New(dependencies Dependencies) *Service {
 	return &Service{Dependencies: dependencies}
 }
@@ -77,7 +74,7 @@
 // String names the service in the supervisor's events.
 func (s *Service) String() string { return "placer" }
 
-// Epoch returns the epoch this daemon leads in; zero while it does not.
+// Epoch returns the epoch in which this daemon leads the cell; zero if it does not.
 func (s *Service) Epoch() uint64 {
 	if term := s.leading.Load(); term != nil {
 		return term.epoch
@@ -85,8 +82,8 @@
 	return 0
 }
 
-// TakeOvers counts the terms begun by this daemon.
-func (s *Service) TakeOvers() uint64 { return s.takeOver.Load() }
+// Takeovers returns the number of terms that this daemon has begun.
+func (s *Service) Takeovers() uint64 { return s.takeOver.Load() }
 
 // Serve implements suture.Service.
 func (s *Service) Serve(ctx context.Context) error {
@@ -95,7 +92,7 @@
 			err := s.lead(ctx)
 			if err != nil && ctx.Err() == nil {
 				s.Log.WithError(err).WithField("region", s.Region).Warn("placer stopped leading")
-				sleep.For(ctx, retryPause)
+				sleep.For(ctx, retryDelay)
 			}
 		}
 		sleep.For(ctx, checkInterval)
@@ -104,22 +101,22 @@
 }
 
 func (s *Service) shouldLead() bool {
-	chosen, found := s.View().Placer(s.Region)
-	return found && chosen.ID == s.SelfID
+	member, found := s.View().Placer(s.Region)
+	return found && member.ID == s.SelfID
 }
 
-// lead takes the cell over and places until another daemon should.
+// lead takes over the cell and makes decisions until another daemon should lead.
 func (s *Service) lead(ctx context.Context) error {
-	record := &record{register: s.Register}
-	plan, fresh, err := record.takeOver(ctx, s.floor)
+	planRecord := &planRecord{register: s.Register}
+	plan, noStoredPlan, err := planRecord.takeOver(ctx, s.minEpoch)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	term := &leadership{cell: newCell(s.Region, plan), record: record, epoch: plan.Fence.Epoch, fresh: fresh, done: ctx.Done(), changed: newBroadcast()}
+	term := &leadership{cell: newCell(s.Region, plan), planRecord: planRecord, epoch: plan.Fence.Epoch, noStoredPlan: noStoredPlan, done: ctx.Done(), changed: newBroadcast()}
 	s.takeOver.Add(1)
-	s.Log.WithFields(logrus.Fields{"region": s.Region, "epoch": term.epoch}).Info("placer took the cell over")
+	s.Log.WithFields(logrus.Fields{"region": s.Region, "epoch": term.epoch}).Info("placer took over the cell")
 	var workers sync.WaitGroup
 	defer workers.Wait()
 	defer s.leading.Store(nil)
@@ -130,7 +127,7 @@
 		defer workers.Done()
 		s.watchMachines(ctx, term, listed)
 	}()
-	// Without a list, every engine would seem gone.
+	// Without a machine list, every engine would appear to be removed.
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
@@ -140,7 +137,7 @@
 	return s.place(ctx, term, &workers)
 }
 
-// place makes decisions until the daemon should not lead any more.
+// place makes decisions until the daemon should no longer lead.
 func (s *Service) place(ctx context.Context, term *leadership, workers *sync.WaitGroup) error {
 	ticker := time.NewTicker(decideInterval)
 	defer ticker.Stop()
@@ -150,19 +147,19 @@
 			return ctx.Err()
 		case <-ticker.C:
 		case <-term.cell.dirty:
-			sleep.For(ctx, gatherPause)
+			sleep.For(ctx, batchDelay)
 		}
 		if highest := term.cell.highestEpoch(); highest > term.epoch {
-			s.floor = highest + 1
-			return errDeposed
+			s.minEpoch = highest + 1
+			return errTermEnded
 		}
 		err := s.decide(ctx, term)
-		if errors.Is(err, errDeposed) {
+		if errors.Is(err, errTermEnded) {
 			return err
 		}
 		if err != nil && ctx.Err() == nil {
-			s.Log.WithError(err).WithField("epoch", term.epoch).Warn("plan not committed; the earlier one stands")
-			sleep.For(ctx, retryPause)
+			s.Log.WithError(err).WithField("epoch", term.epoch).Warn("plan not committed; the previous plan stays in effect")
+			sleep.For(ctx, retryDelay)
 			continue
 		}
 		s.apply(ctx, term, workers)
@@ -171,46 +168,47 @@
 	return nil
 }
 
-// decide makes and commits one decision.
+// decide makes and commits one decision, or completes a pending commit.
 func (s *Service) decide(ctx context.Context, term *leadership) error {
-	if pending := term.record.pending; pending != nil {
-		if err := term.record.settle(ctx); err != nil {
+	if pending := term.planRecord.pending; pending != nil {
+		if err := term.planRecord.proposePending(ctx); err != nil {
 			return err
 		}
-		term.cell.adopt(*pending)
+		term.cell.applyDecision(*pending)
 		return nil
 	}
 	snapshot := term.cell.snapshot(time.Now(), s.Settings.Current().Tree)
-	snapshot.AdoptUnknown = term.fresh
+	snapshot.AdoptUnknown = term.noStoredPlan
 	decision := placement.Decide(snapshot)
 	if len(decision.Changed) > 0 {
-		if err := term.record.commit(ctx, decision); err != nil {
+		if err := term.planRecord.commit(ctx, decision); err != nil {
 			return err
 		}
 		s.logChanges(term.epoch, snapshot.Plan, decision)
 	}
-	term.cell.adopt(decision)
+	term.cell.applyDecision(decision)
 	return nil
 }
 
 func (s *Service) logChanges(epoch uint64, before placement.Plan, decision placement.Decision) {
 	for _, id := range decision.Changed {
-		known := map[string]placement.Wish{}
+		previous := map[string]placement.DesiredState{}
 		for _, assignment := range before.Engines[id].Assignments {
-			known[assignment.ReplicaID] = assignment.Wish
+			previous[assignment.ReplicaID] = assignment.DesiredState
 		}
 		for _, assignment := range decision.Plan.Engines[id].Assignments {
-			if known[assignment.ReplicaID] != assignment.Wish {
+			if previous[assignment.ReplicaID] != assignment.DesiredState {
 				s.Log.WithFields(logrus.Fields{
 					"epoch": epoch, "plan_revision": decision.Plan.Fence.Revision, "model": assignment.Model,
-					"engine": id, "wish": assignment.Wish, "replica": assignment.ReplicaID,
+					"engine": id, "wish": assignment.DesiredState, "replica": assignment.ReplicaID,
 				}).Info("placement changed")
 			}
 		}
 	}
 }
 
-// watchMachines follows the machine list and keeps one watch on each engine.
+// watchMachines polls the machine list and runs one watch per engine. It closes listed
+// after the first list.
 func (s *Service) watchMachines(ctx context.Context, term *leadership, listed chan struct{}) {
 	var watches sync.WaitGroup
 	defer watches.Wait()
@@ -220,18 +218,18 @@
 	for ctx.Err() == nil {
 		machines, err := s.Machines.Machines(ctx, s.Region)
 		if err != nil {
-			s.Log.WithError(err).Debug("machine list not read; the earlier one stands")
-			sleep.For(ctx, machineInterval)
+			s.Log.WithError(err).Debug("machine list not read; the previous list stays in use")
+			sleep.For(ctx, machineListInterval)
 			continue
 		}
-		wanted := term.cell.setMachines(machines)
+		watched := term.cell.setMachines(machines)
 		for id, cancel := range watching {
-			if wanted[id] != addresses[id] {
+			if watched[id] != addresses[id] {
 				cancel()
 				delete(watching, id)
 			}
 		}
-		for id, address := range wanted {
+		for id, address := range watched {
 			if watching[id] != nil || address == "" {
 				continue
 			}
@@ -247,14 +245,14 @@
 			first = false
 			close(listed)
 		}
-		sleep.For(ctx, machineInterval)
+		sleep.For(ctx, machineListInterval)
 	}
 	for _, cancel := range watching {
 		cancel()
 	}
 }
 
-// watchEngine keeps an engine's inventory current by long polls.
+// watchEngine keeps an engine's inventory current by long polling.
 func (s *Service) watchEngine(ctx context.Context, term *leadership, id, address string) {
 	version := uint64(0)
 	for ctx.Err() == nil {
@@ -265,7 +263,7 @@
 		if err != nil {
 			version = 0
 			term.cell.setInventory(id, nil, time.Now())
-			sleep.For(ctx, retryPause)
+			sleep.For(ctx, retryDelay)
 			continue
 		}
 		version = inventory.Version
@@ -273,17 +271,17 @@
 	}
 }
 
-// Picture is the placement as this daemon leads it, for status.
-type Picture struct {
+// PlacementStatus is the state of the cell that this daemon leads.
+type PlacementStatus struct {
 	Epoch uint64
-	picture
+	cellView
 }
 
-// Picture returns the placement and whether this daemon leads.
-func (s *Service) Picture() (Picture, bool) {
+// PlacementStatus returns the state of the cell, and false if this daemon does not lead it.
+func (s *Service) PlacementStatus() (PlacementStatus, bool) {
 	term := s.leading.Load()
 	if term == nil {
-		return Picture{}, false
+		return PlacementStatus{}, false
 	}
-	return Picture{Epoch: term.epoch, picture: term.cell.picture()}, true
+	return PlacementStatus{Epoch: term.epoch, cellView: term.cell.cellView()}, true
 }
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -1,9 +1,7 @@
-// Package queue is the pure core of a home: the one queue of a base model and
-// its adapters in a region, and the slots of the model's replicas.
-//
-// A Queue reads no clock, starts nothing and sends nothing. Each method takes the
-// time and returns the actions to carry out, in order. It is not safe for
-// concurrent use.
+// Package queue implements the queue of a base model and its adapters in a region, and
+// the request slots of the model's replicas. A Queue performs no I/O and reads no clock:
+// its methods take the time and return the actions to perform, in sequence. It is not safe
+// for concurrent use.
 package queue
 
 import (
@@ -16,24 +14,25 @@
 	"github.com/finchspoke/finchspoke/request"
 )
 
-// New returns an empty queue of a base model.
+// New returns an empty queue of a base model whose replicas each run up to concurrency
+// requests.
 func New(model string, concurrency int) *Queue {
 	return &Queue{
 		model: model, concurrency: max(1, concurrency),
 		lanes: map[string]*lane{}, items: map[string]*waitingItem{}, branches: map[string]*branchState{},
-		replicas: map[string]*slots{}, running: map[string]runningItem{}, lastUsed: map[string]time.Time{},
+		replicas: map[string]*replicaSlots{}, running: map[string]runningItem{}, lastUsed: map[string]time.Time{},
 		affinity: newAffinity(),
 	}
 }
 
-// SetConcurrency changes how many requests run at once on a replica.
+// SetConcurrency changes how many requests may run on a replica concurrently.
 func (q *Queue) SetConcurrency(now time.Time, concurrency int) []Action {
 	q.concurrency = max(1, concurrency)
-	return q.fill(now)
+	return q.grantWaiting(now)
 }
 
-// Submit adds an item, or refuses it at once if its branch has too many waiting
-// or its deadline cannot be met. Submitting a known id again does nothing.
+// Submit adds an item, or refuses it at once if it exceeds a limit of its branch or cannot
+// meet its deadline. Submitting an id that waits or runs already has no effect.
 func (q *Queue) Submit(now time.Time, item Item) []Action {
 	if q.items[item.ID] != nil {
 		return nil
@@ -44,95 +43,94 @@
 	item.Share = max(1, item.Share)
 	q.lastUsed[item.Target] = now
 	state := q.branch(item.Branch)
-	wait, known := q.estimate(now, item)
+	wait, known := q.estimateWait(now, item)
 	switch {
 	case item.Limits.MaxWaiting > 0 && state.waiting >= item.Limits.MaxWaiting:
-		return []Action{Refusal{Item: item, Kind: failure.LimitExceeded, RetryAfter: max(wait, retryAfterLeast),
+		return []Action{Refusal{Item: item, Kind: failure.LimitExceeded, RetryAfter: max(wait, minRetryAfter),
 			Message: fmt.Sprintf("branch %s already has %d requests waiting for %s", item.Branch, state.waiting, q.model)}}
 	case !item.Deadline.After(now.Add(dispatchMargin)):
-		return []Action{expired(item, wait)}
-	case known && now.Add(wait).After(q.usefulUntil(item)):
-		return []Action{Refusal{Item: item, Kind: failure.DeadlineTooShort, RetryAfter: max(wait, retryAfterLeast),
-			Message: fmt.Sprintf("%s is expected to be free in %s, after the deadline", item.Target, wait.Round(time.Millisecond))}}
+		return []Action{expiredRefusal(item, wait)}
+	case known && now.Add(wait).After(q.latestDispatch(item)):
+		return []Action{Refusal{Item: item, Kind: failure.DeadlineTooShort, RetryAfter: max(wait, minRetryAfter),
+			Message: fmt.Sprintf("%s is expected to have a free slot in %s, too late for the deadline", item.Target, wait.Round(time.Millisecond))}}
 	}
-	if retryAfter, over := state.admit(now, item); over != "" {
+	if retryAfter, exceeded := state.admit(now, item); exceeded != "" {
 		return []Action{Refusal{Item: item, Kind: failure.LimitExceeded, RetryAfter: retryAfter,
-			Message: fmt.Sprintf("branch %s is over its limit of %s for %s", item.Branch, over, q.model)}}
+			Message: fmt.Sprintf("branch %s exceeds its limit of %s for %s", item.Branch, exceeded, q.model)}}
 	}
 	q.push(item)
-	return q.fill(now)
+	return q.grantWaiting(now)
 }
 
-func expired(item Item, wait time.Duration) Refusal {
-	return Refusal{Item: item, Kind: failure.DeadlineExceeded, RetryAfter: max(wait, retryAfterLeast),
+func expiredRefusal(item Item, wait time.Duration) Refusal {
+	return Refusal{Item: item, Kind: failure.DeadlineExceeded, RetryAfter: max(wait, minRetryAfter),
 		Message: fmt.Sprintf("the request waited for %s until its deadline could no longer be met", item.Target)}
 }
 
-// Cancel withdraws a waiting item of an owner.
+// Cancel removes a waiting item.
 func (q *Queue) Cancel(id string) {
 	if waiting := q.items[id]; waiting != nil {
 		q.remove(waiting)
 	}
 }
 
-// Release gives a slot back. service is how long the request ran; zero when it
-// did not. engineFailed suspends the replica for a while.
+// Release frees the slot of a request. service is how long the request ran, zero if it
+// did not run; engineFailed suspends the replica.
 func (q *Queue) Release(now time.Time, id string, engineFailed bool, service time.Duration) []Action {
-	held, found := q.running[id]
+	item, found := q.running[id]
 	if !found {
 		return nil
 	}
-	q.stopRunning(id, held)
-	q.lastUsed[held.target] = now
-	if replica := q.replicas[held.replicaID]; replica != nil {
+	q.stopRunning(id, item)
+	q.lastUsed[item.target] = now
+	if replica := q.replicas[item.replicaID]; replica != nil {
 		replica.running = max(0, replica.running-1)
 		if engineFailed {
 			q.suspend(replica, now)
 		} else {
 			replica.failures = 0
 		}
-		q.dropIfGone(replica)
+		q.dropIfUnused(replica)
 	}
 	if service > 0 && !engineFailed {
-		q.observe(service, held.tokens)
+		q.recordService(service, item.tokens)
 	}
-	return q.fill(now)
+	return q.grantWaiting(now)
 }
 
-// Running is a request that a gateway runs already.
+// Running is a request that holds a slot, as its gateway reports it.
 type Running struct {
 	ID        string
 	Target    string
 	ReplicaID string
 }
 
-// Restore counts a request that a gateway runs already, after this queue was made
-// or lost touch with the gateway.
+// Restore records a request that a gateway runs already, after the queue was created or
+// the gateway reconnected.
 func (q *Queue) Restore(now time.Time, owner string, running Running) {
 	if _, known := q.running[running.ID]; known {
 		return
 	}
 	q.Cancel(running.ID)
 	q.lastUsed[running.Target] = now
-	q.run(running.ID, runningItem{owner: owner, target: running.Target, replicaID: running.ReplicaID})
+	q.startRunning(running.ID, runningItem{owner: owner, target: running.Target, replicaID: running.ReplicaID})
 }
 
-func (q *Queue) run(id string, held runningItem) {
-	q.running[id] = held
-	if held.branch != "" {
-		q.branch(held.branch).running++
+func (q *Queue) startRunning(id string, item runningItem) {
+	q.running[id] = item
+	if item.branch != "" {
+		q.branch(item.branch).running++
 	}
-	replica := q.replicas[held.replicaID]
+	replica := q.replicas[item.replicaID]
 	if replica == nil {
-		replica = &slots{Replica: Replica{ID: held.replicaID}}
-		q.replicas[held.replicaID] = replica
+		replica = &replicaSlots{Replica: Replica{ID: item.replicaID}}
+		q.replicas[item.replicaID] = replica
 	}
 	replica.running++
 }
 
-// DropWaiting forgets what a gateway has waiting, after its link broke: it submits
-// that again when it is back. What it runs keeps its slots until it says otherwise
-// or is known dead.
+// DropWaiting removes the waiting items of a disconnected gateway, which submits them
+// again when it reconnects. Its running requests keep their slots until Reconcile.
 func (q *Queue) DropWaiting(owner string) {
 	for _, waiting := range q.items {
 		if waiting.item.Owner == owner {
@@ -141,39 +139,39 @@
 	}
 }
 
-// Reconcile takes in all that a gateway runs in this queue; whatever else of it
-// holds a slot has ended. With nothing running it forgets a dead gateway.
+// Reconcile replaces the running requests of a gateway: those not listed have ended, and
+// their slots are freed. For a dead gateway, running is empty.
 func (q *Queue) Reconcile(now time.Time, owner string, running []Running) []Action {
-	still := make(map[string]bool, len(running))
-	for _, one := range running {
-		still[one.ID] = true
-		q.Restore(now, owner, one)
-	}
-	for id, held := range q.running {
-		if held.owner == owner && !still[id] {
-			q.free(id, held)
+	listed := make(map[string]bool, len(running))
+	for _, request := range running {
+		listed[request.ID] = true
+		q.Restore(now, owner, request)
+	}
+	for id, item := range q.running {
+		if item.owner == owner && !listed[id] {
+			q.releaseSlot(id, item)
 		}
 	}
-	return q.fill(now)
+	return q.grantWaiting(now)
 }
 
-func (q *Queue) stopRunning(id string, held runningItem) {
+func (q *Queue) stopRunning(id string, item runningItem) {
 	delete(q.running, id)
-	if held.branch != "" {
-		q.branch(held.branch).running--
+	if item.branch != "" {
+		q.branch(item.branch).running--
 	}
 }
 
-func (q *Queue) free(id string, held runningItem) {
-	q.stopRunning(id, held)
-	if replica := q.replicas[held.replicaID]; replica != nil {
+func (q *Queue) releaseSlot(id string, item runningItem) {
+	q.stopRunning(id, item)
+	if replica := q.replicas[item.replicaID]; replica != nil {
 		replica.running = max(0, replica.running-1)
-		q.dropIfGone(replica)
+		q.dropIfUnused(replica)
 	}
 }
 
-// SetReplicas replaces the ready replicas. readyIn is when a first replica is
-// expected where there is none; negative when unknown.
+// SetReplicas replaces the ready replicas. readyIn is the time until a first replica is
+// expected if there is none; it is negative if unknown.
 func (q *Queue) SetReplicas(now time.Time, replicas []Replica, readyIn time.Duration) []Action {
 	for _, replica := range q.replicas {
 		replica.ready = false
@@ -181,75 +179,75 @@
 	for _, ready := range replicas {
 		replica := q.replicas[ready.ID]
 		if replica == nil {
-			replica = &slots{}
+			replica = &replicaSlots{}
 			q.replicas[ready.ID] = replica
 		}
 		replica.Replica = ready
 		replica.ready = true
 	}
 	for _, replica := range q.replicas {
-		q.dropIfGone(replica)
+		q.dropIfUnused(replica)
 	}
-	q.readyAt = time.Time{}
+	q.firstReadyAt = time.Time{}
 	if readyIn >= 0 {
-		q.readyAt = now.Add(readyIn)
+		q.firstReadyAt = now.Add(readyIn)
 	}
-	return append(q.fill(now), q.refuseHopeless(now)...)
+	return append(q.grantWaiting(now), q.refuseUnmeetable(now)...)
 }
 
-func (q *Queue) dropIfGone(replica *slots) {
+func (q *Queue) dropIfUnused(replica *replicaSlots) {
 	if !replica.ready && replica.running == 0 {
 		delete(q.replicas, replica.ID)
 	}
 }
 
-// refuseHopeless ends the items whose deadline is before the first replica can
-// be ready: the caller learns it now rather than at the deadline.
-func (q *Queue) refuseHopeless(now time.Time) []Action {
-	if len(q.replicas) > 0 || q.readyAt.IsZero() {
+// refuseUnmeetable refuses the items whose deadline cannot be met because the first replica
+// is ready too late, so that callers need not wait until the deadline.
+func (q *Queue) refuseUnmeetable(now time.Time) []Action {
+	if len(q.replicas) > 0 || q.firstReadyAt.IsZero() {
 		return nil
 	}
 	var actions []Action
-	wait := q.readyAt.Sub(now)
+	wait := q.firstReadyAt.Sub(now)
 	for _, waiting := range q.sortedItems() {
-		if q.readyAt.After(q.usefulUntil(waiting.item)) {
+		if q.firstReadyAt.After(q.latestDispatch(waiting.item)) {
 			q.remove(waiting)
-			actions = append(actions, Refusal{Item: waiting.item, Kind: failure.DeadlineTooShort, RetryAfter: max(wait, retryAfterLeast),
-				Message: fmt.Sprintf("%s is expected to be loaded in %s, after the deadline", waiting.item.Target, wait.Round(time.Millisecond))})
+			actions = append(actions, Refusal{Item: waiting.item, Kind: failure.DeadlineTooShort, RetryAfter: max(wait, minRetryAfter),
+				Message: fmt.Sprintf("%s is expected to be loaded in %s, too late for the deadline", waiting.item.Target, wait.Round(time.Millisecond))})
 		}
 	}
 	return actions
 }
 
-// Tick refuses what has passed its deadline and uses replicas whose suspension
-// has ended.
+// Tick refuses items that can no longer meet their deadline, and grants slots on replicas
+// whose suspension has ended.
 func (q *Queue) Tick(now time.Time) []Action {
 	var actions []Action
-	for _, waiting := range q.lanes {
-		for class := range waiting.classes {
-			for _, items := range waiting.classes[class] {
-				for items.Len() > 0 && !q.usefulUntil((*items)[0].item).After(now) {
+	for _, targetLane := range q.lanes {
+		for class := range targetLane.classes {
+			for _, items := range targetLane.classes[class] {
+				for items.Len() > 0 && !q.latestDispatch((*items)[0].item).After(now) {
 					late := (*items)[0]
-					wait, _ := q.estimate(now, late.item)
+					wait, _ := q.estimateWait(now, late.item)
 					q.remove(late)
-					actions = append(actions, expired(late.item, wait))
+					actions = append(actions, expiredRefusal(late.item, wait))
 				}
 			}
 		}
 	}
-	return append(actions, q.fill(now)...)
+	return append(actions, q.grantWaiting(now)...)
 }
 
-// Waiting is the number of items that wait.
+// Waiting returns the number of waiting items.
 func (q *Queue) Waiting() int { return len(q.items) }
 
-// IsWaiting tells whether any item waits for a target.
-func (q *Queue) IsWaiting(target string) bool { return q.lanes[target] != nil }
+// HasWaiting reports whether any item waits for a target.
+func (q *Queue) HasWaiting(target string) bool { return q.lanes[target] != nil }
 
-// Running is the number of items that hold a slot.
+// Running returns the number of items that hold a slot.
 func (q *Queue) Running() int { return len(q.running) }
 
-// Demands lists the demand of every target used, sorted by name.
+// Demands lists the demand for every target used so far, sorted by name.
 func (q *Queue) Demands() []Demand {
 	byTarget := map[string]*Demand{}
 	for target, used := range q.lastUsed {
@@ -262,8 +260,8 @@
 			demand.Urgent++
 		}
 	}
-	for _, held := range q.running {
-		byTarget[held.target].Running++
+	for _, granted := range q.running {
+		byTarget[granted.target].Running++
 	}
 	demands := make([]Demand, 0, len(byTarget))
 	for _, demand := range byTarget {
@@ -276,7 +274,7 @@
 func (q *Queue) branch(name string) *branchState {
 	state := q.branches[name]
 	if state == nil {
-		state = &branchState{virtual: q.virtualTime}
+		state = &branchState{virtualStart: q.virtualTime}
 		q.branches[name] = state
 	}
 	return state
@@ -298,11 +296,11 @@
 	}
 	state := q.branch(item.Branch)
 	if state.waiting == 0 {
-		// A branch that was idle has no claim on the time it did not use.
-		state.virtual = max(state.virtual, q.virtualTime)
+		// A branch gets no credit for the time in which it had no items waiting.
+		state.virtualStart = max(state.virtualStart, q.virtualTime)
 	}
 	state.waiting++
-	q.byClass[item.Class]++
+	q.waitingByClass[item.Class]++
 	q.sequence++
 	added := &waitingItem{item: item, heap: items, sequence: q.sequence}
 	heap.Push(items, added)
@@ -313,11 +311,11 @@
 	heap.Remove(waiting.heap, waiting.index)
 	delete(q.items, waiting.item.ID)
 	q.branches[waiting.item.Branch].waiting--
-	q.byClass[waiting.item.Class]--
+	q.waitingByClass[waiting.item.Class]--
 	if waiting.heap.Len() == 0 {
-		held := q.lanes[waiting.item.Target]
-		delete(held.classes[waiting.item.Class], waiting.item.Branch)
-		if held.empty() {
+		targetLane := q.lanes[waiting.item.Target]
+		delete(targetLane.classes[waiting.item.Class], waiting.item.Branch)
+		if targetLane.empty() {
 			delete(q.lanes, waiting.item.Target)
 		}
 	}
