--- a/node/node.go
+++ b/node/node.go
@@ -63,7 +63,7 @@
 	Retries     core.RetryPolicy
 	LoadLimits  loader.Limits
 	// Configurations bounds how old the configuration may be that requests are judged by.
-	Configurations access.Bound
+	Configurations access.AgeLimit
 	// Quotas bounds how closely tenants' limits are kept.
 	Quotas      quota.Bounds
 	RecordsRoot string // prefix of the records that are followed
@@ -212,7 +212,7 @@
 	n.core = requests
 	n.mirror = records.NewMirror(adapters.Store, n.config.RecordsRoot, n.log)
 	n.mirror.Clock(boottime.Now)
-	n.gate = &access.Gate{Table: n.routes, ProvenAt: n.mirror.ProvenAt, Bound: n.config.Configurations, Now: boottime.Now}
+	n.gate = &access.Gate{Table: n.routes, ProvenAt: n.mirror.ProvenAt, AgeLimit: n.config.Configurations, Now: boottime.Now}
 	requests.Gate = n.gate
 	if n.config.Configurations.Strict {
 		n.mirror.LimitProof(adapters.TableKey, time.Duration(proofShare*float64(n.config.Configurations.MaxAge)))
@@ -244,7 +244,7 @@
 		n.holder.Wake()
 	})
 	n.quarantine = &quarantine.Guard{
-		Prefix: n.config.EndsPrefix, Store: adapters.Store, Prober: replicas.Prober, Leaves: n.leaves, RestsUntil: n.fleet.RestsUntil, Leading: n.mirror.Leading,
+		Prefix: n.config.EndsPrefix, Store: adapters.Store, Prober: replicas.Prober, IsDraining: n.leaves, RestsUntil: n.fleet.RestsUntil, Leading: n.mirror.Leading,
 		Now: time.Now, Metrics: quarantine.NewMetrics(n.metrics), Log: n.log,
 	}
 	n.quarantine.Prepare()
@@ -261,7 +261,7 @@
 	subscriber := &records.Subscriber{Daemon: n.config.ID, Mirror: n.mirror, Source: n.recordSource, Deputy: n.deputySource, Seeds: n.replicas.recordPeers, Log: n.log}
 	n.registerGauges()
 	n.frontend = frontend.New(n.listeners.callers, adapters.Callers(n.routes, n.gate, requests), frontend.Options{
-		ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTime: n.idleTime, TurnAway: turnAway, Log: n.log,
+		ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: n.idleTime, ShutdownDelay: turnAway, Log: n.log,
 	})
 	server := transport.NewServer(n.listeners.peers)
 	n.peers = server
@@ -329,7 +329,7 @@
 
 // ready tells whether the node should get callers.
 func (n *Node) ready() bool {
-	return !n.frontend.Stopping() && n.gate.Open() && n.replicas.ready()
+	return !n.frontend.Stopping() && n.gate.Ready() && n.replicas.ready()
 }
 
 const (
--- a/quarantine/cost_test.go
+++ b/quarantine/cost_test.go
@@ -9,188 +9,189 @@
 	"github.com/stretchr/testify/require"
 )
 
-// model is a service under a request that ends replicas, in steps of time: requests run beside
-// each other on a few replicas, and those that were there when one ended are tried once more.
-type model struct {
-	allowed  int           // ends under a request before it is withheld
-	spreads  time.Duration // until all daemons know of an end
-	replicas int           // that hold the model
-	every    time.Duration // between attempts of the request that ends replicas
-	random   *rand.Rand
-
-	now     time.Duration
-	back    []time.Duration // when each replica runs again
-	life    []int           // incarnation of each replica
-	running []*attempt
-	coming  []*attempt // that their callers try again
-	words   []word
-	ledger  *ledger
-	result  cost
+// simulation models, in discrete time steps, a service that receives a request which crashes
+// replicas. Requests run concurrently on a few replicas; a crash interrupts those on its replica,
+// which are then retried.
+type simulation struct {
+	threshold   int           // crashes at which a request is quarantined
+	propagation time.Duration // delay until all daemons know of a crash
+	replicas    int           // that serve the model
+	interval    time.Duration // between attempts of the crashing request
+	random      *rand.Rand
+
+	now          time.Duration
+	readyAt      []time.Duration // by replica: when it runs again after a crash
+	incarnations []int           // by replica
+	running      []*simulatedRequest
+	retries      []*simulatedRequest // failed calls that their callers retry
+	notices      []crashNotice
+	ledger       *ledger
+	result       cost
 }
 
-type attempt struct {
-	request int // 0 ends replicas
-	replica int
-	until   time.Duration
-	runs    int // of the present try of its caller
-	tries   int // of its caller
+type simulatedRequest struct {
+	id         int // 0 is the crashing request
+	replica    int
+	endsAt     time.Duration
+	dispatches int // within the current call
+	calls      int // by its caller
 }
 
-// word is an end that daemons will know of.
-type word struct {
+// crashNotice is a crash that daemons learn of at a given time.
+type crashNotice struct {
 	at      time.Duration
 	replica string
 	request int
 }
 
-// cost is what one request costs that ends replicas.
-type cost struct{ requests, ended, lost, withheld int }
+// cost counts the effects of a crashing request on replicas and on other requests.
+type cost struct{ requests, crashes, lost, quarantined int }
 
 const (
-	step       = 10 * time.Millisecond
-	runTime    = 3 * time.Second
-	backTime   = 4 * time.Second
-	endsAfter  = 100 * time.Millisecond
-	perSecond  = 12.0
-	mostRuns   = 2 // of one try
-	mostTries  = 2 // of its caller
-	modelledIn = 2 * time.Minute
+	step              = 10 * time.Millisecond
+	requestDuration   = 3 * time.Second
+	restartDuration   = 4 * time.Second
+	crashDelay        = 100 * time.Millisecond
+	requestsPerSecond = 12.0
+	maxDispatches     = 2 // of one call
+	maxCalls          = 2 // of one request by its caller
+	simulatedDuration = 2 * time.Minute
 )
 
-func (m *model) play() cost {
-	m.back, m.life, m.ledger = make([]time.Duration, m.replicas), make([]int, m.replicas), newLedger()
-	next := m.every
-	for ; m.now < modelledIn; m.now += step {
-		m.hear()
-		m.finish()
-		again := m.coming
-		m.coming = nil
-		for _, one := range again {
-			m.start(one)
+func (m *simulation) run() cost {
+	m.readyAt, m.incarnations, m.ledger = make([]time.Duration, m.replicas), make([]int, m.replicas), newLedger()
+	nextCrashing := m.interval
+	for ; m.now < simulatedDuration; m.now += step {
+		m.deliverNotices()
+		m.finishDue()
+		due := m.retries
+		m.retries = nil
+		for _, retry := range due {
+			m.dispatch(retry)
 		}
-		if m.random.Float64() < perSecond*step.Seconds() {
+		if m.random.Float64() < requestsPerSecond*step.Seconds() {
 			m.result.requests++
-			m.start(&attempt{request: m.result.requests})
+			m.dispatch(&simulatedRequest{id: m.result.requests})
 		}
-		if m.now >= next {
-			next += m.every
-			m.start(&attempt{})
+		if m.now >= nextCrashing {
+			nextCrashing += m.interval
+			m.dispatch(&simulatedRequest{})
 		}
 	}
 	return m.result
 }
 
-// hear takes in what daemons know by now.
-func (m *model) hear() {
-	for len(m.words) > 0 && m.words[0].at <= m.now {
-		one := m.words[0]
-		m.words = m.words[1:]
-		m.ledger.put(fmt.Sprint(one), reportOf(map[string][]int{one.replica: {one.request}}), int64(m.now), start.Add(m.now))
+// deliverNotices records the crashes that daemons know of by now.
+func (m *simulation) deliverNotices() {
+	for len(m.notices) > 0 && m.notices[0].at <= m.now {
+		notice := m.notices[0]
+		m.notices = m.notices[1:]
+		m.ledger.put(fmt.Sprint(notice), reportOf(map[string][]int{notice.replica: {notice.request}}), int64(m.now), testStart.Add(m.now))
 	}
 }
 
-// start sends an attempt to a replica, unless its request is withheld.
-func (m *model) start(one *attempt) {
-	if m.ledgerSays(one.request) {
-		if one.request != 0 {
-			m.result.withheld++
+// dispatch sends a request to a running replica unless the request is quarantined.
+func (m *simulation) dispatch(request *simulatedRequest) {
+	if m.isQuarantined(request.id) {
+		if request.id != 0 {
+			m.result.quarantined++
 		}
 		return
 	}
-	one.replica = m.random.IntN(m.replicas)
-	for tries := 0; m.back[one.replica] > m.now && tries < m.replicas; tries++ {
-		one.replica = (one.replica + 1) % m.replicas
+	request.replica = m.random.IntN(m.replicas)
+	for tries := 0; m.readyAt[request.replica] > m.now && tries < m.replicas; tries++ {
+		request.replica = (request.replica + 1) % m.replicas
 	}
-	if m.back[one.replica] > m.now {
-		m.lose(one)
+	if m.readyAt[request.replica] > m.now {
+		m.fail(request)
 		return
 	}
-	one.runs++
-	one.until = m.now + runTime
-	if one.request == 0 {
-		one.until = m.now + endsAfter
+	request.dispatches++
+	request.endsAt = m.now + requestDuration
+	if request.id == 0 {
+		request.endsAt = m.now + crashDelay
 	}
-	m.running = append(m.running, one)
+	m.running = append(m.running, request)
 }
 
-func (m *model) ledgerSays(request int) bool {
-	return len(m.ledger.against(named(request)).Replicas) >= m.allowed
+func (m *simulation) isQuarantined(id int) bool {
+	return len(m.ledger.crashHistory(testFingerprint(id)).Replicas) >= m.threshold
 }
 
-// finish ends what is due.
-func (m *model) finish() {
+// finishDue ends the requests that are due; the crashing request crashes its replica.
+func (m *simulation) finishDue() {
 	for index := 0; index < len(m.running); index++ {
-		one := m.running[index]
-		if one.until > m.now {
+		request := m.running[index]
+		if request.endsAt > m.now {
 			continue
 		}
 		m.running = append(m.running[:index], m.running[index+1:]...)
 		index = -1
-		if one.request == 0 {
-			m.end(one)
+		if request.id == 0 {
+			m.crash(request)
 		}
 	}
 }
 
-// end ends a replica with all that it has.
-func (m *model) end(under *attempt) {
-	m.result.ended++
-	m.life[under.replica]++
-	m.back[under.replica] = m.now + backTime
-	there := []*attempt{under}
-	rest := m.running[:0]
-	for _, one := range m.running {
-		if one.replica == under.replica {
-			there = append(there, one)
+// crash ends a replica and interrupts all its requests.
+func (m *simulation) crash(cause *simulatedRequest) {
+	m.result.crashes++
+	m.incarnations[cause.replica]++
+	m.readyAt[cause.replica] = m.now + restartDuration
+	interrupted := []*simulatedRequest{cause}
+	remaining := m.running[:0]
+	for _, request := range m.running {
+		if request.replica == cause.replica {
+			interrupted = append(interrupted, request)
 		} else {
-			rest = append(rest, one)
+			remaining = append(remaining, request)
 		}
 	}
-	m.running = rest
-	for _, one := range there {
-		m.words = append(m.words, word{m.now + m.spreads, fmt.Sprintf("r%d.%d", under.replica, m.life[under.replica]), one.request})
+	m.running = remaining
+	for _, request := range interrupted {
+		m.notices = append(m.notices, crashNotice{m.now + m.propagation, fmt.Sprintf("r%d.%d", cause.replica, m.incarnations[cause.replica]), request.id})
 	}
-	for _, one := range there {
-		if one.runs < mostRuns {
-			m.start(one)
+	for _, request := range interrupted {
+		if request.dispatches < maxDispatches {
+			m.dispatch(request)
 		} else {
-			m.lose(one)
+			m.fail(request)
 		}
 	}
 }
 
-// lose ends a try without an answer; the caller may try once more.
-func (m *model) lose(one *attempt) {
-	if one.tries++; one.tries < mostTries && one.request != 0 {
-		one.runs = 0
-		m.coming = append(m.coming, one)
+// fail ends a call without a response; the caller may retry.
+func (m *simulation) fail(request *simulatedRequest) {
+	if request.calls++; request.calls < maxCalls && request.id != 0 {
+		request.dispatches = 0
+		m.retries = append(m.retries, request)
 		return
 	}
-	if one.request != 0 {
+	if request.id != 0 {
 		m.result.lost++
 	}
 }
 
-// TestTheCostOfARequestThatEndsReplicas holds the figures of docs/design/quarantine.md: what one
-// such request costs in two minutes, by how many ends are allowed and how soon all know of one.
-func TestTheCostOfARequestThatEndsReplicas(t *testing.T) {
+// TestCostOfCrashingRequest bounds the damage of one crashing request, and logs it for several
+// thresholds and propagation delays (docs/design/quarantine.md).
+func TestCostOfCrashingRequest(t *testing.T) {
 	const seeds = 20
-	for _, allowed := range []int{1, 2, EndsAllowed, 4, 1000} {
-		for _, spreads := range []time.Duration{0, 500 * time.Millisecond, 3 * time.Second} {
+	for _, threshold := range []int{1, 2, CrashThreshold, 4, 1000} {
+		for _, propagation := range []time.Duration{0, 500 * time.Millisecond, 3 * time.Second} {
 			var sum cost
 			for seed := range uint64(seeds) {
-				made := &model{allowed: allowed, spreads: spreads, replicas: 3, every: 1500 * time.Millisecond, random: rand.New(rand.NewPCG(seed, 1))}
-				got := made.play()
+				sim := &simulation{threshold: threshold, propagation: propagation, replicas: 3, interval: 1500 * time.Millisecond, random: rand.New(rand.NewPCG(seed, 1))}
+				got := sim.run()
 				sum.requests += got.requests
-				sum.ended += got.ended
+				sum.crashes += got.crashes
 				sum.lost += got.lost
-				sum.withheld += got.withheld
+				sum.quarantined += got.quarantined
 			}
-			t.Logf("ends allowed %4d, known after %4s: replicas ended %5.1f, of %d other requests lost %5.1f, withheld %5.2f",
-				allowed, spreads, float64(sum.ended)/seeds, sum.requests/seeds, float64(sum.lost)/seeds, float64(sum.withheld)/seeds)
-			if allowed == EndsAllowed && spreads <= 500*time.Millisecond {
-				require.LessOrEqual(t, sum.ended, seeds*(EndsAllowed+1))
-				require.LessOrEqual(t, sum.withheld, seeds, "of those that merely ran beside")
+			t.Logf("threshold %4d, propagation %4s: replica crashes %5.1f, of %d other requests lost %5.1f, quarantined %5.2f",
+				threshold, propagation, float64(sum.crashes)/seeds, sum.requests/seeds, float64(sum.lost)/seeds, float64(sum.quarantined)/seeds)
+			if threshold == CrashThreshold && propagation <= 500*time.Millisecond {
+				require.LessOrEqual(t, sum.crashes, seeds*(CrashThreshold+1))
+				require.LessOrEqual(t, sum.quarantined, seeds, "harmless requests quarantined")
 			}
 		}
 	}
--- a/quarantine/departures.go
+++ b/quarantine/departures.go
@@ -6,58 +6,59 @@
 )
 
 const (
-	// leftTime is for how long a replica's end is held against a request that was given up
-	// there. Replicas ended 0.20 to 0.35 s after it (measured from log lines, four ends, two of
-	// them seen by nobody whose connection was still open); the rest is margin.
-	leftTime = time.Second
-	// checkAfter is when a replica is asked whether it has ended since: the answer still comes
-	// within leftTime.
-	checkAfter = leftTime - probeTime
-	// mostLeft bounds the requests that are remembered so: 64 KB a daemon.
-	mostLeft = 2048
+	// abandonWindow is how long after a request was abandoned at a replica a crash of that
+	// replica still counts against the request.
+	abandonWindow = time.Second
+	// abandonCheckDelay is the time from abandoning a request to probing its replica. It leaves
+	// a probe enough time to finish within abandonWindow.
+	abandonCheckDelay = abandonWindow - probeTimeout
+	// maxAbandoned bounds the memory for abandoned requests, over all replicas.
+	maxAbandoned = 2048
 )
 
-// departures are requests that were given up at replicas within the last leftTime, by replica.
-type departures map[string][]departure
+// abandonedRequests holds, by replica incarnation, the requests whose dispatch was abandoned while
+// the replica had them. It keeps them until the replica has been probed.
+type abandonedRequests map[string][]abandonedRequest
 
-type departure struct {
+type abandonedRequest struct {
 	request Fingerprint
 	at      time.Time
 }
 
-// add notes a request; first tells whether it is the only one of its replica.
-func (d departures) add(replica string, request Fingerprint, now time.Time) (first bool) {
-	known := 0
-	for _, some := range d {
-		known += len(some)
+// add records an abandoned request. first reports whether it is the only one recorded for its
+// replica. Requests beyond maxAbandoned are dropped.
+func (a abandonedRequests) add(replica string, request Fingerprint, now time.Time) (first bool) {
+	count := 0
+	for _, entries := range a {
+		count += len(entries)
 	}
-	if known >= mostLeft {
+	if count >= maxAbandoned {
 		return false
 	}
-	d[replica] = append(d[replica], departure{request, now})
-	return len(d[replica]) == 1
+	a[replica] = append(a[replica], abandonedRequest{request, now})
+	return len(a[replica]) == 1
 }
 
-// take returns the requests that were given up at a replica shortly before a moment, and forgets
-// them.
-func (d departures) take(replica string, now time.Time) []Fingerprint {
+// take removes all requests of a replica and returns those abandoned within abandonWindow before now.
+func (a abandonedRequests) take(replica string, now time.Time) []Fingerprint {
 	var requests []Fingerprint
-	for _, one := range d[replica] {
-		if now.Sub(one.at) <= leftTime {
-			requests = append(requests, one.request)
+	for _, entry := range a[replica] {
+		if now.Sub(entry.at) <= abandonWindow {
+			requests = append(requests, entry.request)
 		}
 	}
-	delete(d, replica)
+	delete(a, replica)
 	return requests
 }
 
-// keep forgets what was checked at a moment, and tells whether anything is left of a replica.
-func (d departures) keep(replica string, checked time.Time) bool {
-	recent := slices.DeleteFunc(d[replica], func(one departure) bool { return checked.Sub(one.at) >= checkAfter })
+// prune removes the requests that a probe started at checkedAt covers, and reports whether the
+// replica has any left.
+func (a abandonedRequests) prune(replica string, checkedAt time.Time) bool {
+	recent := slices.DeleteFunc(a[replica], func(entry abandonedRequest) bool { return checkedAt.Sub(entry.at) >= abandonCheckDelay })
 	if len(recent) == 0 {
-		delete(d, replica)
+		delete(a, replica)
 		return false
 	}
-	d[replica] = recent
+	a[replica] = recent
 	return true
 }
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -1,6 +1,6 @@
-// Package quarantine keeps requests under which replica after replica ends away from
-// replicas. A replica that ends takes all requests in flight with it, and callers send them
-// again, at any daemon; one request can so end every replica that holds its model.
+// Package quarantine stops dispatching requests that repeatedly crash replicas. A crashing replica
+// fails all its requests in flight, which callers then retry at any daemon; without a quarantine,
+// one such request could crash every replica that serves its model.
 package quarantine
 
 import (
@@ -9,26 +9,26 @@
 	"encoding/hex"
 )
 
-// FingerprintBytes is the length of a Fingerprint. 128 bits of SHA-256: nobody can make a
-// request that has the fingerprint of another's.
+// FingerprintBytes is the length of a Fingerprint. 128 bits of SHA-256 make it infeasible to forge
+// a request with the fingerprint of another caller's request.
 const FingerprintBytes = 16
 
-// Fingerprint names a request over all its attempts, whichever daemon they come to. It shows
-// nothing of what it was made of.
+// Fingerprint identifies a request across all its attempts and daemons. It is a hash and reveals
+// nothing of the request's content.
 type Fingerprint [FingerprintBytes]byte
 
-// Identity is what the attempts of one request have in common. Ids do not belong to it:
-// each attempt has its own.
+// Identity holds the properties that all attempts of one request share. Request IDs are not among
+// them, since each attempt has its own.
 type Identity struct {
 	Method string
 	Host   string
 	Path   string
-	Query  string // told apart only where there is no body: what is asked for is then in it
-	Caller string // the tenant that sends it; empty where requests show no keys
+	Query  string // part of the fingerprint only if the body is empty
+	Caller string // name of the tenant; empty if requests carry no API key
 	Body   []byte
 }
 
-// Fingerprint returns the fingerprint of all attempts with this identity.
+// Fingerprint hashes the identity.
 func (i Identity) Fingerprint() Fingerprint {
 	content := i.Body
 	if len(content) == 0 {
@@ -37,14 +37,14 @@
 	sum := sha256.New()
 	var length [8]byte
 	for _, part := range [][]byte{[]byte(i.Method), []byte(i.Host), []byte(i.Path), []byte(i.Caller), content} {
-		// The length keeps two parts from reading like two others.
+		// The length prefix keeps different splits of the same bytes apart.
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 		_, _ = sum.Write(length[:]) // a hash never fails
 		_, _ = sum.Write(part)
 	}
-	var made Fingerprint
-	copy(made[:], sum.Sum(nil))
-	return made
+	var fingerprint Fingerprint
+	copy(fingerprint[:], sum.Sum(nil))
+	return fingerprint
 }
 
 // String returns the fingerprint as hexadecimal digits.
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -17,328 +17,331 @@
 	"github.com/finchspoke/finchspoke/logging"
 )
 
-// Liveness is what a probe says of a replica's process.
+// Liveness is the state of a replica's process as a probe found it.
 type Liveness uint8
 
-// The answers of a probe.
+// Results of a probe.
 const (
-	// Unknown: nothing answered in time. A cut link looks like this, so it accuses nobody.
+	// Unknown means that the probe timed out, as it does on a network partition. It is not
+	// counted as a crash.
 	Unknown Liveness = iota
+	// Running means that the probed incarnation answered.
 	Running
-	// Ended: nothing listens at the address any more, or another process does, be it of the same replica.
+	// Ended means that nothing listens at the address, or that another process does, which may be a
+	// later incarnation of the same replica.
 	Ended
 )
 
-// String returns the answer's name in logs.
+// String returns the value used in log fields and metric labels.
 func (l Liveness) String() string { return [...]string{"unknown", "running", "ended"}[l] }
 
-// Prober finds out whether a replica's process still runs.
+// Prober checks whether a replica's process is still running.
 type Prober interface {
 	Probe(ctx context.Context, replica fleet.Incarnation, address string) Liveness
 }
 
-// Turns shares out the messages that replicas with a limit take.
+// Turns reserves probes within the request limits of replicas.
 type Turns interface {
-	// Take takes a turn for a message if one is free now.
-	Take(ctx context.Context, replica fleet.Incarnation) bool
-	// Charge counts a message that goes to a replica whether it has a turn or not.
+	// TryReserve reserves one message to a replica, and reports whether its limit allows one now.
+	TryReserve(ctx context.Context, replica fleet.Incarnation) bool
+	// Charge counts a message against a replica's limit without a reservation.
 	Charge(replica fleet.Incarnation)
 }
 
 const (
-	// probeTime bounds a probe. A process that has ended is noticed within one round trip; the
-	// caller of a request that is retried elsewhere waits no longer than this for it.
-	probeTime = 300 * time.Millisecond
-	// mostInReport bounds the fingerprints of one report: 16 KB in a record, which each daemon
-	// gets once.
-	mostInReport = 512
+	// probeTimeout bounds a probe, and with it the delay before a request whose connection broke
+	// is retried at another replica.
+	probeTimeout = 300 * time.Millisecond
+	// maxReportFingerprints bounds the size of a report's record.
+	maxReportFingerprints = 512
 )
 
-// Guard is a daemon's part of the quarantine. It finds out which replicas ended while they
-// had a request, tells all daemons by reports in the platform's key-value service, and says
-// which requests are withheld. It is safe for concurrent use, and a suture service.
-//
-// Reports go through the key-value service and not from daemon to daemon: they outlive all
-// daemons, and reach those that are cut off from the one that saw the end.
+// Guard detects replica crashes, publishes the requests that the replicas had, and decides which
+// requests are quarantined. Daemons share reports as records of the platform's key-value service,
+// where they survive daemon restarts and partitions between daemons.
+// Guard is safe for concurrent use and implements suture.Service.
 type Guard struct {
-	// Prefix is that of the reports' records.
+	// Prefix is the key prefix of the reports' records.
 	Prefix string
 	Store  kv.Store
 	Prober Prober
-	// Leaves tells whether a replica was going to end anyway.
-	Leaves func(replica string) bool
-	// RestsUntil returns until when a replica wants nothing of this daemon; a moment that has passed,
-	// or zero, if it wants requests.
+	// IsDraining reports whether a replica is about to stop as planned, so that its end is no crash.
+	IsDraining func(replica string) bool
+	// RestsUntil returns the end of the back-off that a replica asked this daemon for. The time is
+	// zero or in the past if there is none.
 	RestsUntil func(replica string) time.Time
-	// Turns has the questions counted that go to replicas with a limit; nil: none has one.
+	// Turns accounts for probes of replicas with a request limit; nil if no replica has one.
 	Turns Turns
-	// Leading tells whether this daemon forgets old records for all.
+	// Leading reports whether this daemon is the leader, which deletes expired records and
+	// rewrites lost ones.
 	Leading func() bool
 	Now     func() time.Time
 	Metrics *Metrics
 	Log     logrus.FieldLogger
 
-	mutex   sync.Mutex
-	ledger  *ledger
-	key     string // of the report that is being filled
-	filling Report
-	filled  chan struct{} // holds an element while the report is not empty
-	probes  map[fleet.Incarnation]*probe
-	// lost are the reports whose records a restore of the service took away, with their order before.
-	lost      map[string]int64
-	foundLost chan struct{} // holds an element while they are to be looked at
-	// askedAtRest holds the end of the last rest in which each replica was asked.
-	askedAtRest map[string]time.Time
-	left        departures
+	mutex        sync.Mutex
+	ledger       *ledger
+	pendingKey   string        // record key of pending
+	pending      Report        // collects entries until it is published
+	pendingReady chan struct{} // holds an element while pending is not empty
+	probes       map[fleet.Incarnation]*probe
+	// lostReports maps the keys of records that a restore of the key-value service removed to
+	// their revisions before it.
+	lostReports map[string]int64
+	lostSignal  chan struct{} // holds an element while lostReports should be rewritten
+	// probedInBackoff holds, by replica, the end of the back-off during which it was last probed.
+	probedInBackoff map[string]time.Time
+	abandoned       abandonedRequests
 }
 
-// probe is one question about a replica, shared by all that wait for its answer.
+// probe is a probe in flight; all waiters share its result, which is set before done is closed.
 type probe struct {
 	done   chan struct{}
-	answer Liveness
+	result Liveness
 }
 
-// Prepare makes the guard ready for use.
+// Prepare initializes the guard. It must be called before any other method.
 func (g *Guard) Prepare() {
-	g.ledger, g.filled, g.probes = newLedger(), make(chan struct{}, 1), map[fleet.Incarnation]*probe{}
-	g.askedAtRest = map[string]time.Time{}
-	g.left = departures{}
-	g.lost, g.foundLost = map[string]int64{}, make(chan struct{}, 1)
-	g.key = g.newKey()
+	g.ledger, g.pendingReady, g.probes = newLedger(), make(chan struct{}, 1), map[fleet.Incarnation]*probe{}
+	g.probedInBackoff = map[string]time.Time{}
+	g.abandoned = abandonedRequests{}
+	g.lostReports, g.lostSignal = map[string]int64{}, make(chan struct{}, 1)
+	g.pendingKey = g.newKey()
 }
 
-// newKey returns the key of a record that no other daemon writes.
+// newKey returns a unique record key, so that no other daemon writes the same record.
 func (g *Guard) newKey() string { return g.Prefix + uuid.NewString() }
 
-// Withheld returns why a request must not go to a replica; nil if it may.
+// Withheld returns the error for a quarantined request, or nil if the request may be dispatched.
 func (g *Guard) Withheld(request Fingerprint) *failure.Error {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	found := g.ledger.against(request)
-	if !found.Withheld() {
+	history := g.ledger.crashHistory(request)
+	if !history.Withheld() {
 		return nil
 	}
 	g.Metrics.refused.Inc()
-	return failure.New(failure.Quarantined, "send another request; this one is tried again after the time given",
-		"%d replicas ended while they had this request: %s", len(found.Replicas), strings.Join(found.Replicas, ", ")).
-		WithRetryAfter(max(time.Second, found.Until.Sub(g.Now())))
+	return failure.New(failure.Quarantined, "retry this request only after the time given; other requests are not affected",
+		"%d replicas crashed while they had this request: %s", len(history.Replicas), strings.Join(history.Replicas, ", ")).
+		WithRetryAfter(max(time.Second, history.Until.Sub(g.Now())))
 }
 
-// Broke takes in that the connection to a replica broke while it had a request. It returns
-// once it is known whether the replica has ended, or the time for that is over: the request
-// may be withheld from then on, and must not go to another replica before.
+// ConnectionBroken probes a replica whose connection broke while it had a request, and records a
+// crash if the replica has ended. It returns once the probe has finished or timed out. The request
+// must not be dispatched again before that, since it may be quarantined by then.
 func (g *Guard) Broke(ctx context.Context, replica fleet.Incarnation, address string, request Fingerprint) {
-	if g.Leaves(replica.ID) {
+	if g.IsDraining(replica.ID) {
 		return
 	}
-	if g.probe(ctx, replica, address, g.charge) == Ended {
-		g.ended(replica, request)
+	if g.probe(ctx, replica, address, g.chargeProbe) == Ended {
+		g.recordCrash(replica, request)
 	}
 }
 
-// charge counts a question to a replica with a limit. Where a connection broke under a request it is
-// asked in any case: the request may be one under which replicas end, and would go to the next.
-func (g *Guard) charge(replica fleet.Incarnation) {
+// chargeProbe counts a probe against the replica's request limit without waiting for a reservation:
+// after a broken connection the probe is urgent, as the request may crash the next replica.
+func (g *Guard) chargeProbe(replica fleet.Incarnation) {
 	if g.Turns != nil {
 		g.Turns.Charge(replica)
 	}
 }
 
-// hasTurn tells whether a replica may be asked after what was merely given up there.
-func (g *Guard) hasTurn(ctx context.Context, replica fleet.Incarnation) bool {
-	return g.Turns == nil || g.Turns.Take(ctx, replica)
+// reserveProbe reports whether the replica's request limit allows a probe for abandoned requests.
+func (g *Guard) reserveProbe(ctx context.Context, replica fleet.Incarnation) bool {
+	return g.Turns == nil || g.Turns.TryReserve(ctx, replica)
 }
 
-// rests tells whether a replica wants nothing of this daemon now.
-func (g *Guard) rests(replica string) bool { return g.Now().Before(g.RestsUntil(replica)) }
+// isBackingOff reports whether the replica has asked this daemon to pause requests.
+func (g *Guard) isBackingOff(replica string) bool { return g.Now().Before(g.RestsUntil(replica)) }
 
-// Left takes in that a dispatch was given up while the replica had the request: its caller left,
-// or its time was over. A replica begins to run, or goes on with, some that were given up, and
-// nothing of its end is then heard on their connections.
+// Abandoned records that a dispatch was canceled while the replica had the request, because the
+// caller disconnected or the deadline passed. The replica may still execute the request and crash,
+// which no connection of this daemon would show; it is therefore probed later.
 func (g *Guard) Left(replica fleet.Incarnation, address string, request Fingerprint) {
-	if g.Leaves(replica.ID) {
+	if g.IsDraining(replica.ID) {
 		return
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.left.add(replica.String(), request, g.Now()) {
-		g.checkLater(replica, address)
+	if g.abandoned.add(replica.String(), request, g.Now()) {
+		g.scheduleAbandonCheck(replica, address)
 	}
 }
 
-func (g *Guard) checkLater(replica fleet.Incarnation, address string) {
-	time.AfterFunc(checkAfter, func() { g.checkLeft(replica, address) })
+func (g *Guard) scheduleAbandonCheck(replica fleet.Incarnation, address string) {
+	time.AfterFunc(abandonCheckDelay, func() { g.checkAbandoned(replica, address) })
 }
 
-// checkLeft finds out whether a replica has ended since requests there were given up.
-func (g *Guard) checkLeft(replica fleet.Incarnation, address string) {
-	began := g.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), probeTime)
+// checkAbandoned probes a replica at which requests were abandoned, and records a crash if it has
+// ended.
+func (g *Guard) checkAbandoned(replica fleet.Incarnation, address string) {
+	startedAt := g.Now()
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	// Of what was merely given up nothing shows that a replica at rest ended.
-	if !g.Leaves(replica.ID) && !g.rests(replica.ID) {
-		if !g.hasTurn(ctx, replica) {
-			g.checkLater(replica, address)
+	// An abandoned request alone is too weak a hint of a crash to probe a replica during back-off.
+	if !g.IsDraining(replica.ID) && !g.isBackingOff(replica.ID) {
+		if !g.reserveProbe(ctx, replica) {
+			g.scheduleAbandonCheck(replica, address)
 			return
 		}
-		isPaid := func(fleet.Incarnation) {}
-		if g.probe(ctx, replica, address, isPaid) == Ended {
-			g.ended(replica)
+		alreadyCharged := func(fleet.Incarnation) {}
+		if g.probe(ctx, replica, address, alreadyCharged) == Ended {
+			g.recordCrash(replica)
 		}
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.left.keep(replica.String(), began) {
-		g.checkLater(replica, address)
+	if g.abandoned.prune(replica.String(), startedAt) {
+		g.scheduleAbandonCheck(replica, address)
 	}
 }
 
-// ended accuses requests that a replica had when it ended, and those that were given up there
-// shortly before.
-func (g *Guard) ended(replica fleet.Incarnation, requests ...Fingerprint) {
+// recordCrash records the given requests, and those recently abandoned at the replica, as suspects
+// of its crash.
+func (g *Guard) recordCrash(replica fleet.Incarnation, requests ...Fingerprint) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for _, request := range append(requests, g.left.take(replica.String(), g.Now())...) {
-		g.accuse(replica.String(), request)
+	for _, request := range append(requests, g.abandoned.take(replica.String(), g.Now())...) {
+		g.recordSuspect(replica.String(), request)
 	}
 }
 
-// probe asks whether a replica still runs, once for all that ask at a time. pay counts the question where
-// the replica has a limit.
-func (g *Guard) probe(ctx context.Context, replica fleet.Incarnation, address string, pay func(fleet.Incarnation)) Liveness {
-	rest := g.RestsUntil(replica.ID)
+// probe returns the liveness of a replica. Concurrent calls for the same incarnation share one probe;
+// charge is called only when a new one starts.
+func (g *Guard) probe(ctx context.Context, replica fleet.Incarnation, address string, charge func(fleet.Incarnation)) Liveness {
+	backoffUntil := g.RestsUntil(replica.ID)
 	g.mutex.Lock()
-	known := g.probes[replica]
-	if known == nil && !g.mayAsk(replica.ID, rest) {
+	call := g.probes[replica]
+	if call == nil && !g.mayProbe(replica.ID, backoffUntil) {
 		g.mutex.Unlock()
 		return Unknown
 	}
-	if known == nil {
-		known = &probe{done: make(chan struct{})}
-		g.probes[replica] = known
-		pay(replica)
-		go g.ask(known, replica, address)
+	if call == nil {
+		call = &probe{done: make(chan struct{})}
+		g.probes[replica] = call
+		charge(replica)
+		go g.runProbe(call, replica, address)
 	}
 	g.mutex.Unlock()
 	select {
-	case <-known.done:
-		return known.answer
+	case <-call.done:
+		return call.result
 	case <-ctx.Done():
 		return Unknown
 	}
 }
 
-// mayAsk tells whether a replica that wants nothing of this daemon until a moment may be asked whether
-// it runs; the mutex is held. It is asked once in a rest: without that its end would go unseen.
-func (g *Guard) mayAsk(replica string, rest time.Time) bool {
+// mayProbe reports whether a replica may be probed now. During a back-off it allows a single probe,
+// without which a crash would go undetected. The caller holds the mutex.
+func (g *Guard) mayProbe(replica string, backoffUntil time.Time) bool {
 	now := g.Now()
-	if !now.Before(rest) {
+	if !now.Before(backoffUntil) {
 		return true
 	}
-	if g.askedAtRest[replica].Equal(rest) {
+	if g.probedInBackoff[replica].Equal(backoffUntil) {
 		return false
 	}
-	maps.DeleteFunc(g.askedAtRest, func(_ string, over time.Time) bool { return !now.Before(over) })
-	g.askedAtRest[replica] = rest
+	maps.DeleteFunc(g.probedInBackoff, func(_ string, until time.Time) bool { return !now.Before(until) })
+	g.probedInBackoff[replica] = backoffUntil
 	return true
 }
 
-func (g *Guard) ask(asked *probe, replica fleet.Incarnation, address string) {
-	ctx, cancel := context.WithTimeout(context.Background(), probeTime)
+func (g *Guard) runProbe(call *probe, replica fleet.Incarnation, address string) {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	asked.answer = g.Prober.Probe(ctx, replica, address)
-	g.Metrics.probes.WithLabelValues(asked.answer.String()).Inc()
-	g.Log.WithFields(logrus.Fields{logging.Replica: replica.ID, logging.Address: address, logging.Outcome: asked.answer.String()}).
+	call.result = g.Prober.Probe(ctx, replica, address)
+	g.Metrics.probes.WithLabelValues(call.result.String()).Inc()
+	g.Log.WithFields(logrus.Fields{logging.Replica: replica.ID, logging.Address: address, logging.Outcome: call.result.String()}).
 		Info(logging.MessageReplicaProbed)
 	g.mutex.Lock()
 	delete(g.probes, replica)
 	g.mutex.Unlock()
-	close(asked.done)
+	close(call.done)
 }
 
-// accuse notes that a replica ended while it had a request; replica names its incarnation. The mutex is
-// held.
-func (g *Guard) accuse(replica string, request Fingerprint) {
-	if !g.room() {
+// recordSuspect adds a request to the pending report as a suspect of a replica's crash. replica is
+// the incarnation as text. The caller holds the mutex.
+func (g *Guard) recordSuspect(replica string, request Fingerprint) {
+	if !g.hasRoom() {
 		return
 	}
-	g.filling.addEnd(replica, request)
-	g.fill()
-	found := g.ledger.against(request)
+	g.pending.addCrash(replica, request)
+	g.queuePending()
+	history := g.ledger.crashHistory(request)
 	g.Log.WithFields(logrus.Fields{
-		logging.Fingerprint: request.String(), logging.Replica: replica, logging.Ends: len(found.Replicas),
-		logging.Outcome: map[bool]string{true: "withheld", false: "may go on"}[found.Withheld()],
+		logging.Fingerprint: request.String(), logging.Replica: replica, logging.Ends: len(history.Replicas),
+		logging.Outcome: map[bool]string{true: "withheld", false: "may go on"}[history.Withheld()],
 	}).Warn(logging.MessageReplicaEndedUnder)
 }
 
-// Served takes in that a replica served a request whole. Daemons are told only where one more
-// end would have it withheld: each word of it is a call to the key-value service.
+// Served records that a replica served a request completely, which clears its earlier crashes. To
+// save writes to the key-value service, it is reported only if one more crash would quarantine the
+// request.
 func (g *Guard) Served(request Fingerprint) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if g.ledger.named[request] == nil {
+	if g.ledger.suspects[request] == nil {
 		return
 	}
-	if len(g.ledger.against(request).Replicas) < EndsAllowed-1 || !g.room() {
+	if len(g.ledger.crashHistory(request).Replicas) < CrashThreshold-1 || !g.hasRoom() {
 		return
 	}
-	g.filling.Served = append(g.filling.Served, request[:])
-	g.fill()
+	g.pending.Served = append(g.pending.Served, request[:])
+	g.queuePending()
 	g.Log.WithField(logging.Fingerprint, request.String()).Info(logging.MessageRequestCleared)
 }
 
-// room tells whether the report that is being filled takes another fingerprint; the mutex is
-// held. While the key-value service is away one report holds all that is seen.
-func (g *Guard) room() bool {
-	if g.filling.size() < mostInReport {
+// hasRoom reports whether the pending report can take another fingerprint, and counts a dropped one
+// if not. The report fills up while the key-value service is unavailable. The caller holds the mutex.
+func (g *Guard) hasRoom() bool {
+	if g.pending.fingerprintCount() < maxReportFingerprints {
 		return true
 	}
-	g.Metrics.leftOut.Inc()
+	g.Metrics.dropped.Inc()
 	return false
 }
 
-// fill takes the report that is being filled into account, and has it written; the mutex is
-// held.
-func (g *Guard) fill() {
-	g.ledger.put(g.key, g.filling.clone(), unpublished, g.Now())
+// queuePending applies the pending report to the local ledger and schedules its publication. The
+// caller holds the mutex.
+func (g *Guard) queuePending() {
+	g.ledger.put(g.pendingKey, g.pending.clone(), unpublished, g.Now())
 	select {
-	case g.filled <- struct{}{}:
+	case g.pendingReady <- struct{}{}:
 	default:
 	}
 }
 
-// Observe takes in a change of a report's record.
+// Observe applies a change of a report's record in the key-value service.
 func (g *Guard) Observe(event kv.Event) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	switch {
 	case event.Deleted && event.Restored:
-		g.lose(event.Pair.Key)
+		g.markLost(event.Pair.Key)
 		return
 	case event.Deleted:
 		g.ledger.remove(event.Pair.Key)
 		return
 	}
-	delete(g.lost, event.Pair.Key)
+	delete(g.lostReports, event.Pair.Key)
 	report, err := ParseReport(event.Pair.Value)
 	if err != nil {
-		g.Log.WithField(logging.Cause, err.Error()).WithFields(logging.AtRevision(event.Pair.ModRevision)).Warn("report of replicas that ended not used")
+		g.Log.WithField(logging.Cause, err.Error()).WithFields(logging.AtRevision(event.Pair.ModRevision)).Warn("replica crash report could not be decoded and is ignored")
 		return
 	}
 	g.ledger.put(event.Pair.Key, report, event.Pair.ModRevision, g.Now())
-	for _, end := range report.Ends {
-		for _, request := range g.left.take(end.Replica, g.Now()) {
-			g.accuse(end.Replica, request)
+	for _, crash := range report.Crashes {
+		for _, request := range g.abandoned.take(crash.Replica, g.Now()) {
+			g.recordSuspect(crash.Replica, request)
 		}
 	}
 }
 
-// Counts returns how many requests are named in reports, how many of them are withheld, and
-// how many reports there are.
-func (g *Guard) Counts() (named, withheld, reports int) {
+// Counts returns the number of suspect requests, of quarantined requests among them, and of reports.
+func (g *Guard) Counts() (suspects, quarantined, reports int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return len(g.ledger.named), g.ledger.withheld(), len(g.ledger.reports)
+	return len(g.ledger.suspects), g.ledger.quarantined(), len(g.ledger.reports)
 }
 
 // String names the service in the supervisor's events.
--- a/quarantine/guard_test.go
+++ b/quarantine/guard_test.go
@@ -21,59 +21,59 @@
 	"github.com/finchspoke/finchspoke/kv"
 )
 
-// answers is a prober that answers as a test says, each replica after some time.
-type answers struct {
-	mutex  sync.Mutex
-	is     map[string]Liveness
-	takes  time.Duration
-	probed int
+// fakeProber returns preset results, by replica ID, after a latency.
+type fakeProber struct {
+	mutex   sync.Mutex
+	results map[string]Liveness
+	latency time.Duration
+	probes  int
 }
 
-func (a *answers) Probe(ctx context.Context, replica fleet.Incarnation, _ string) Liveness {
+func (a *fakeProber) Probe(ctx context.Context, replica fleet.Incarnation, _ string) Liveness {
 	a.mutex.Lock()
-	a.probed++
-	answer, takes := a.is[replica.ID], a.takes
+	a.probes++
+	result, latency := a.results[replica.ID], a.latency
 	a.mutex.Unlock()
 	select {
 	case <-ctx.Done():
 		return Unknown
-	case <-time.After(takes):
-		return answer
+	case <-time.After(latency):
+		return result
 	}
 }
 
-// asked returns how often it was asked.
-func (a *answers) asked() int {
+// calls returns the number of probes.
+func (a *fakeProber) calls() int {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.probed
+	return a.probes
 }
 
-// set changes the answer for a replica, and how long answers take.
-func (a *answers) set(replica string, answer Liveness, takes time.Duration) {
+// setResult sets the result for a replica and the latency of all probes.
+func (a *fakeProber) setResult(replica string, result Liveness, latency time.Duration) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.is[replica], a.takes = answer, takes
+	a.results[replica], a.latency = result, latency
 }
 
-// service keeps records for guards, and fails as a test says.
-type service struct {
+// fakeStore is an in-memory key-value store that notifies guards of changes and returns preset errors.
+type fakeStore struct {
 	kv.Store
-	mutex    sync.Mutex
-	guards   []*Guard
-	records  map[string][]byte
-	revision int64
-	deletes  int // calls that delete
-	noLeader atomic.Bool
-	fail     []error // of the next writes; the writes take effect if the error is uncertain
+	mutex        sync.Mutex
+	guards       []*Guard
+	records      map[string][]byte
+	revision     int64
+	deletes      int // transactions that deleted records
+	noLeader     atomic.Bool
+	commitErrors []error // of the next commits, which still take effect if the error is uncertain
 }
 
-func (s *service) Commit(_ context.Context, txn kv.Txn) (kv.TxnResult, error) {
+func (s *fakeStore) Commit(_ context.Context, txn kv.Txn) (kv.TxnResult, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var failed error
-	if len(s.fail) > 0 {
-		failed, s.fail = s.fail[0], s.fail[1:]
+	if len(s.commitErrors) > 0 {
+		failed, s.commitErrors = s.commitErrors[0], s.commitErrors[1:]
 	}
 	if failed == kv.ErrUnavailable {
 		return kv.TxnResult{}, failed
@@ -86,203 +86,203 @@
 	s.revision++
 	for _, put := range txn.Puts {
 		s.records[put.Key] = put.Value
-		s.tell(kv.Event{Pair: kv.Pair{Key: put.Key, Value: put.Value, ModRevision: s.revision}})
+		s.notify(kv.Event{Pair: kv.Pair{Key: put.Key, Value: put.Value, ModRevision: s.revision}})
 	}
 	if len(txn.Deletes) > 0 {
 		s.deletes++
 	}
 	for _, key := range txn.Deletes {
 		delete(s.records, key)
-		s.tell(kv.Event{Pair: kv.Pair{Key: key, ModRevision: s.revision}, Deleted: true})
+		s.notify(kv.Event{Pair: kv.Pair{Key: key, ModRevision: s.revision}, Deleted: true})
 	}
 	return kv.TxnResult{Succeeded: true, Revision: s.revision}, failed
 }
 
-// kept returns the records, and how many calls deleted any.
-func (s *service) kept() (records map[string][]byte, deletes int) {
+// snapshot returns the records and the number of transactions that deleted any.
+func (s *fakeStore) snapshot() (records map[string][]byte, deletes int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return maps.Clone(s.records), s.deletes
 }
 
-// recordCount returns how many records there are.
-func (s *service) recordCount() int {
-	records, _ := s.kept()
+func (s *fakeStore) recordCount() int {
+	records, _ := s.snapshot()
 	return len(records)
 }
 
-// failNext has the next writes fail so.
-func (s *service) failNext(errs ...error) {
+// failNext makes the next commits return the given errors.
+func (s *fakeStore) failNext(errs ...error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.fail = append(s.fail, errs...)
+	s.commitErrors = append(s.commitErrors, errs...)
 }
 
-// leftCount returns how many requests a guard remembers that were given up.
-func leftCount(g *Guard) (count int) {
+// abandonedCount returns the number of abandoned requests that a guard tracks.
+func abandonedCount(g *Guard) (count int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for _, some := range g.left {
-		count += len(some)
+	for _, entries := range g.abandoned {
+		count += len(entries)
 	}
 	return count
 }
 
-// tell passes a change on to all daemons, as their mirrors do.
-func (s *service) tell(event kv.Event) {
+// notify passes a change to all guards, as the record mirrors of daemons do.
+func (s *fakeStore) notify(event kv.Event) {
 	for _, guard := range s.guards {
 		guard.Observe(event)
 	}
 }
 
-// fleetOf returns guards of some daemons over one service; each runs until the test ends.
-func fleetOf(t *testing.T, daemons int, prober Prober) (*service, []*Guard) {
+// startGuards runs the guards of several daemons on one store until the test ends.
+func startGuards(t *testing.T, daemons int, prober Prober) (*fakeStore, []*Guard) {
 	t.Helper()
-	shared := &service{records: map[string][]byte{}}
+	store := &fakeStore{records: map[string][]byte{}}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	for number := range daemons {
 		guard := &Guard{
-			Prefix: "ends/", Store: shared, Prober: prober, Leaves: func(replica string) bool { return strings.HasPrefix(replica, "leaving") },
+			Prefix: "ends/", Store: store, Prober: prober, IsDraining: func(replica string) bool { return strings.HasPrefix(replica, "leaving") },
 			RestsUntil: func(string) time.Time { return time.Time{} },
-			Leading:    func() bool { return number == 0 && !shared.noLeader.Load() }, Now: time.Now, Metrics: NewMetrics(prometheus.NewRegistry()), Log: log,
+			Leading:    func() bool { return number == 0 && !store.noLeader.Load() }, Now: time.Now, Metrics: NewMetrics(prometheus.NewRegistry()), Log: log,
 		}
 		guard.Prepare()
-		shared.guards = append(shared.guards, guard)
+		store.guards = append(store.guards, guard)
 		go func() { _ = guard.Serve(t.Context()) }()
 	}
-	return shared, shared.guards
+	return store, store.guards
 }
 
-func TestAllDaemonsWithholdWhatOthersSawReplicasEndUnder(t *testing.T) {
+func TestAllDaemonsQuarantineOnSharedReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		prober := &answers{is: map[string]Liveness{"r0": Ended, "r1": Ended, "r2": Ended}, takes: time.Millisecond}
-		_, guards := fleetOf(t, 3, prober)
+		prober := &fakeProber{results: map[string]Liveness{"r0": Ended, "r1": Ended, "r2": Ended}, latency: time.Millisecond}
+		_, guards := startGuards(t, 3, prober)
 		for number, guard := range guards {
-			require.Nil(t, guard.Withheld(named(1)))
-			guard.Broke(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", named(1))
+			require.Nil(t, guard.Withheld(testFingerprint(1)))
+			guard.Broke(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", testFingerprint(1))
 		}
-		time.Sleep(2 * gatherTime)
+		time.Sleep(2 * gatherDelay)
 		for _, guard := range guards {
-			failed := guard.Withheld(named(1))
+			failed := guard.Withheld(testFingerprint(1))
 			require.NotNil(t, failed)
 			require.Equal(t, failure.Quarantined, failed.Kind)
 			require.Equal(t, failure.NotRun, failed.Execution)
 			require.ErrorContains(t, failed, "r0, r1, r2")
-			require.Greater(t, failed.RetryAfter, withheldTime-time.Minute)
-			require.Nil(t, guard.Withheld(named(2)))
+			require.Greater(t, failed.RetryAfter, quarantineTTL-time.Minute)
+			require.Nil(t, guard.Withheld(testFingerprint(2)))
 		}
 	})
 }
 
-func TestADaemonWithholdsByItsOwnEyesAtOnce(t *testing.T) {
+func TestOwnCrashReportsApplyBeforePublication(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared, guards := fleetOf(t, 1, &answers{is: map[string]Liveness{"r0": Ended, "r1": Ended, "r2": Ended}})
-		shared.failNext(kv.ErrUnavailable, kv.ErrUnavailable, kv.ErrUncertain, kv.ErrUnavailable)
-		for number := range EndsAllowed {
-			guards[0].Broke(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", named(1))
+		store, guards := startGuards(t, 1, &fakeProber{results: map[string]Liveness{"r0": Ended, "r1": Ended, "r2": Ended}})
+		store.failNext(kv.ErrUnavailable, kv.ErrUnavailable, kv.ErrUncertain, kv.ErrUnavailable)
+		for number := range CrashThreshold {
+			guards[0].Broke(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", testFingerprint(1))
 		}
-		require.NotNil(t, guards[0].Withheld(named(1)), "before the service has it")
+		require.NotNil(t, guards[0].Withheld(testFingerprint(1)), "not quarantined before the report is published")
 		time.Sleep(10 * time.Second)
-		require.NotZero(t, shared.recordCount(), "written once the service answers")
-		_, withheld, _ := guards[0].Counts()
-		require.Equal(t, 1, withheld)
+		require.NotZero(t, store.recordCount(), "report not written after the store recovered")
+		_, quarantined, _ := guards[0].Counts()
+		require.Equal(t, 1, quarantined)
 	})
 }
 
-func TestABrokenConnectionAccusesNobodyWhereTheReplicaMayRun(t *testing.T) {
+func TestBrokenConnectionToRunningReplicaIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		prober := &answers{is: map[string]Liveness{"runs": Running, "cut": Unknown, "leaving": Ended}}
-		shared, guards := fleetOf(t, 1, prober)
-		for range 2 * EndsAllowed {
+		prober := &fakeProber{results: map[string]Liveness{"runs": Running, "cut": Unknown, "leaving": Ended}}
+		store, guards := startGuards(t, 1, prober)
+		for range 2 * CrashThreshold {
 			for _, replica := range []string{"runs", "cut", "leaving"} {
-				guards[0].Broke(t.Context(), fleet.Incarnation{ID: replica}, "address", named(1))
+				guards[0].Broke(t.Context(), fleet.Incarnation{ID: replica}, "address", testFingerprint(1))
 			}
 		}
-		prober.set("silent", Ended, time.Hour)
-		began := time.Now()
-		guards[0].Broke(t.Context(), fleet.Incarnation{ID: "silent"}, "address", named(1))
-		require.Equal(t, probeTime, time.Since(began), "who waits for an answer waits no longer")
+		prober.setResult("silent", Ended, time.Hour)
+		startedAt := time.Now()
+		guards[0].Broke(t.Context(), fleet.Incarnation{ID: "silent"}, "address", testFingerprint(1))
+		require.Equal(t, probeTimeout, time.Since(startedAt), "wait for a probe")
 		time.Sleep(time.Second)
-		require.Zero(t, shared.recordCount())
-		require.Nil(t, guards[0].Withheld(named(1)))
+		require.Zero(t, store.recordCount())
+		require.Nil(t, guards[0].Withheld(testFingerprint(1)))
 	})
 }
 
-func TestAllThatAReplicaHadAskForItTogether(t *testing.T) {
+func TestConcurrentFailuresShareOneProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		prober := &answers{is: map[string]Liveness{"r0": Ended}, takes: time.Millisecond}
-		shared, guards := fleetOf(t, 1, prober)
+		prober := &fakeProber{results: map[string]Liveness{"r0": Ended}, latency: time.Millisecond}
+		store, guards := startGuards(t, 1, prober)
 		const requests = 20
 		var broken sync.WaitGroup
 		for number := range requests {
 			broken.Add(1)
 			go func() {
 				defer broken.Done()
-				guards[0].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(number))
+				guards[0].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(number))
 			}()
 		}
 		broken.Wait()
-		time.Sleep(2 * gatherTime)
-		require.Equal(t, 1, prober.asked())
-		require.Equal(t, 1, shared.recordCount(), "one call to the service")
-		total, withheld, _ := guards[0].Counts()
+		time.Sleep(2 * gatherDelay)
+		require.Equal(t, 1, prober.calls())
+		require.Equal(t, 1, store.recordCount(), "records written")
+		total, quarantined, _ := guards[0].Counts()
 		require.Equal(t, requests, total)
-		require.Zero(t, withheld)
+		require.Zero(t, quarantined)
 	})
 }
 
-func TestARequestThatIsServedWholeBetweenEndsIsNotWithheld(t *testing.T) {
+func TestRequestServedBetweenCrashesIsNotQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		is := map[string]Liveness{}
+		results := map[string]Liveness{}
 		for number := range 20 {
-			is[fmt.Sprintf("r%d", number)] = Ended
+			results[fmt.Sprintf("r%d", number)] = Ended
 		}
-		shared, guards := fleetOf(t, 2, &answers{is: is})
-		guards[1].Served(named(1))
+		store, guards := startGuards(t, 2, &fakeProber{results: results})
+		guards[1].Served(testFingerprint(1))
 		for number := range 20 {
-			guards[number%2].Broke(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", named(1))
+			guards[number%2].Broke(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", testFingerprint(1))
 			time.Sleep(time.Second)
-			guards[(number+1)%2].Served(named(1))
+			guards[(number+1)%2].Served(testFingerprint(1))
 			time.Sleep(time.Second)
 		}
-		require.Nil(t, guards[0].Withheld(named(1)))
-		require.Nil(t, guards[1].Withheld(named(1)))
-		require.LessOrEqual(t, shared.recordCount(), 30, "a word of it only where the next end would withhold it")
+		require.Nil(t, guards[0].Withheld(testFingerprint(1)))
+		require.Nil(t, guards[1].Withheld(testFingerprint(1)))
+		require.LessOrEqual(t, store.recordCount(), 30, "served requests reported although the next crash would not quarantine them")
 	})
 }
 
-// While the service is away a daemon must neither grow nor call without end.
-func TestAnOutageOfTheServiceIsBounded(t *testing.T) {
+// While the key-value service is unavailable, neither memory nor the number of writes may grow without
+// bound.
+func TestMemoryAndCallsAreBoundedDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared, guards := fleetOf(t, 1, &answers{is: map[string]Liveness{"r0": Ended}})
+		store, guards := startGuards(t, 1, &fakeProber{results: map[string]Liveness{"r0": Ended}})
 		const calls = 10
 		for range calls {
-			shared.failNext(kv.ErrUnavailable)
+			store.failNext(kv.ErrUnavailable)
 		}
-		for number := range 3 * mostInReport {
-			guards[0].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(number))
+		for number := range 3 * maxReportFingerprints {
+			guards[0].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(number))
 			if number == 0 {
-				time.Sleep(2 * gatherTime) // the first report is on its way
+				time.Sleep(2 * gatherDelay) // the first report is being published
 			}
 		}
 		total, _, reports := guards[0].Counts()
-		require.LessOrEqual(t, total, mostInReport+1)
+		require.LessOrEqual(t, total, maxReportFingerprints+1)
 		require.Equal(t, 2, reports)
-		time.Sleep(calls * pauseLongest)
-		require.Equal(t, 2, shared.recordCount())
+		time.Sleep(calls * maxRetryDelay)
+		require.Equal(t, 2, store.recordCount())
 	})
 }
 
-func TestOldRecordsAreDeletedByTheLeaderAlone(t *testing.T) {
+func TestOnlyLeaderDeletesExpiredRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared, guards := fleetOf(t, 2, &answers{is: map[string]Liveness{"r0": Ended}})
-		guards[1].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(1))
-		time.Sleep(suspectTime - time.Minute)
-		require.Equal(t, 1, shared.recordCount())
-		time.Sleep(time.Minute + 2*sweepPause)
-		require.Zero(t, shared.recordCount())
-		_, deletes := shared.kept()
+		store, guards := startGuards(t, 2, &fakeProber{results: map[string]Liveness{"r0": Ended}})
+		guards[1].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(1))
+		time.Sleep(suspectTTL - time.Minute)
+		require.Equal(t, 1, store.recordCount())
+		time.Sleep(time.Minute + 2*sweepInterval)
+		require.Zero(t, store.recordCount())
+		_, deletes := store.snapshot()
 		require.Equal(t, 1, deletes)
 		for _, guard := range guards {
 			total, _, reports := guard.Counts()
@@ -291,90 +291,89 @@
 	})
 }
 
-func TestWithoutALeaderOldRecordsStayAndCountNoMore(t *testing.T) {
+func TestExpiredRecordsAreIgnoredWithoutLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared, guards := fleetOf(t, 1, &answers{is: map[string]Liveness{"r0": Ended}})
-		shared.noLeader.Store(true)
-		guards[0].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(1))
-		time.Sleep(suspectTime + 2*sweepPause)
-		require.Equal(t, 1, shared.recordCount())
+		store, guards := startGuards(t, 1, &fakeProber{results: map[string]Liveness{"r0": Ended}})
+		store.noLeader.Store(true)
+		guards[0].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(1))
+		time.Sleep(suspectTTL + 2*sweepInterval)
+		require.Equal(t, 1, store.recordCount())
 		total, _, _ := guards[0].Counts()
 		require.Zero(t, total)
 	})
 }
 
-func TestARecordThatCannotBeReadChangesNothing(t *testing.T) {
+func TestUnreadableRecordIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, guards := fleetOf(t, 1, &answers{})
+		_, guards := startGuards(t, 1, &fakeProber{})
 		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/x", Value: []byte("{"), ModRevision: 3}})
 		_, _, reports := guards[0].Counts()
 		require.Zero(t, reports)
 	})
 }
 
-// A replica may begin to run what its caller has given up, and end under it; nobody's connection
-// tells.
-func TestAnEndCountsAgainstWhatWasGivenUpShortlyBefore(t *testing.T) {
+// A replica may execute an abandoned request and crash without a broken connection that shows it.
+func TestCrashCountsAgainstRecentlyAbandonedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		// As long as a probe may take.
-		prober := &answers{is: map[string]Liveness{"r0": Ended, "r1": Ended, "r2": Ended, "runs": Running}, takes: probeTime - time.Millisecond}
-		_, guards := fleetOf(t, 2, prober)
-		for _, replica := range []string{"r0", "r1"} { // nobody else had a request there
-			guards[0].Left(fleet.Incarnation{ID: replica}, "address", named(1))
+		// The slowest probe that still succeeds.
+		prober := &fakeProber{results: map[string]Liveness{"r0": Ended, "r1": Ended, "r2": Ended, "runs": Running}, latency: probeTimeout - time.Millisecond}
+		_, guards := startGuards(t, 2, prober)
+		for _, replica := range []string{"r0", "r1"} { // no other request shows the crash
+			guards[0].Left(fleet.Incarnation{ID: replica}, "address", testFingerprint(1))
 		}
-		guards[0].Left(fleet.Incarnation{ID: "runs"}, "address", named(1))
-		time.Sleep(leftTime / 2)
-		guards[0].Left(fleet.Incarnation{ID: "runs"}, "address", named(2))
-		guards[0].Left(fleet.Incarnation{ID: "r2"}, "address", named(1))
-		guards[1].Broke(t.Context(), fleet.Incarnation{ID: "r2"}, "address", named(3)) // the other daemon saw it end
-		time.Sleep(2 * leftTime)
+		guards[0].Left(fleet.Incarnation{ID: "runs"}, "address", testFingerprint(1))
+		time.Sleep(abandonWindow / 2)
+		guards[0].Left(fleet.Incarnation{ID: "runs"}, "address", testFingerprint(2))
+		guards[0].Left(fleet.Incarnation{ID: "r2"}, "address", testFingerprint(1))
+		guards[1].Broke(t.Context(), fleet.Incarnation{ID: "r2"}, "address", testFingerprint(3)) // the other daemon detects the crash
+		time.Sleep(2 * abandonWindow)
 		for _, guard := range guards {
-			require.NotNil(t, guard.Withheld(named(1)))
-			require.Nil(t, guard.Withheld(named(2)))
-			require.Nil(t, guard.Withheld(named(3)))
+			require.NotNil(t, guard.Withheld(testFingerprint(1)))
+			require.Nil(t, guard.Withheld(testFingerprint(2)))
+			require.Nil(t, guard.Withheld(testFingerprint(3)))
 		}
-		require.Zero(t, leftCount(guards[0]))
+		require.Zero(t, abandonedCount(guards[0]))
 	})
 }
 
-func TestAnEndDoesNotCountAgainstWhatWasGivenUpLongBefore(t *testing.T) {
+func TestCrashIgnoresRequestsAbandonedBeforeWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		prober := &answers{is: map[string]Liveness{"r0": Running}}
-		shared, guards := fleetOf(t, 1, prober)
-		guards[0].Left(fleet.Incarnation{ID: "r0"}, "address", named(1))
-		time.Sleep(leftTime - time.Millisecond)
-		guards[0].Left(fleet.Incarnation{ID: "r0"}, "address", named(2)) // the first was checked, and is forgotten
+		prober := &fakeProber{results: map[string]Liveness{"r0": Running}}
+		store, guards := startGuards(t, 1, prober)
+		guards[0].Left(fleet.Incarnation{ID: "r0"}, "address", testFingerprint(1))
+		time.Sleep(abandonWindow - time.Millisecond)
+		guards[0].Left(fleet.Incarnation{ID: "r0"}, "address", testFingerprint(2)) // the probe covers only the first
 		time.Sleep(2 * time.Millisecond)
-		prober.set("r0", Ended, 0)
-		guards[0].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(3))
-		time.Sleep(2 * gatherTime)
-		require.Equal(t, 1, shared.recordCount())
+		prober.setResult("r0", Ended, 0)
+		guards[0].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(3))
+		time.Sleep(2 * gatherDelay)
+		require.Equal(t, 1, store.recordCount())
 		total, _, _ := guards[0].Counts()
-		require.Equal(t, 2, total, "the two that it had lately")
-		time.Sleep(3 * leftTime)
-		require.Zero(t, leftCount(guards[0]))
+		require.Equal(t, 2, total, "requests abandoned or interrupted recently")
+		time.Sleep(3 * abandonWindow)
+		require.Zero(t, abandonedCount(guards[0]))
 	})
 }
 
-func TestWhatIsRememberedOfRequestsGivenUpIsBounded(t *testing.T) {
+func TestAbandonedRequestsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, guards := fleetOf(t, 1, &answers{is: map[string]Liveness{"r0": Running}})
-		for number := range 2 * mostLeft {
-			guards[0].Left(fleet.Incarnation{ID: fmt.Sprintf("r%d", number%7)}, "address", named(number))
+		_, guards := startGuards(t, 1, &fakeProber{results: map[string]Liveness{"r0": Running}})
+		for number := range 2 * maxAbandoned {
+			guards[0].Left(fleet.Incarnation{ID: fmt.Sprintf("r%d", number%7)}, "address", testFingerprint(number))
 		}
-		require.Equal(t, mostLeft, leftCount(guards[0]))
+		require.Equal(t, maxAbandoned, abandonedCount(guards[0]))
 	})
 }
 
-// A daemon that cannot reach a replica hears of its end from others alone.
-func TestWhatOthersSawEndCountsAgainstWhatWasGivenUpHere(t *testing.T) {
+// A daemon that cannot reach a replica learns of its crash only from reports of other daemons.
+func TestRemoteCrashReportCountsAgainstAbandonedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, guards := fleetOf(t, 2, &answers{is: map[string]Liveness{"r0": Ended}})
-		guards[0].Prober = &answers{is: map[string]Liveness{"r0": Unknown}}
-		guards[0].Left(fleet.Incarnation{ID: "r0"}, "address", named(1))
-		time.Sleep(leftTime / 2)
-		guards[1].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", named(2))
-		time.Sleep(2 * leftTime)
+		_, guards := startGuards(t, 2, &fakeProber{results: map[string]Liveness{"r0": Ended}})
+		guards[0].Prober = &fakeProber{results: map[string]Liveness{"r0": Unknown}}
+		guards[0].Left(fleet.Incarnation{ID: "r0"}, "address", testFingerprint(1))
+		time.Sleep(abandonWindow / 2)
+		guards[1].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(2))
+		time.Sleep(2 * abandonWindow)
 		for _, guard := range guards {
 			total, _, _ := guard.Counts()
 			require.Equal(t, 2, total)
@@ -382,68 +381,68 @@
 	})
 }
 
-func TestOnlyWhatWasGivenUpLatelyIsTaken(t *testing.T) {
-	left := departures{}
-	require.True(t, left.add("r0", named(1), start))
-	require.False(t, left.add("r0", named(2), start.Add(leftTime)))
-	require.Equal(t, []Fingerprint{named(2)}, left.take("r0", start.Add(leftTime+time.Millisecond)))
-	require.Empty(t, left)
+func TestTakeReturnsOnlyRecentlyAbandonedRequests(t *testing.T) {
+	abandoned := abandonedRequests{}
+	require.True(t, abandoned.add("r0", testFingerprint(1), testStart))
+	require.False(t, abandoned.add("r0", testFingerprint(2), testStart.Add(abandonWindow)))
+	require.Equal(t, []Fingerprint{testFingerprint(2)}, abandoned.take("r0", testStart.Add(abandonWindow+time.Millisecond)))
+	require.Empty(t, abandoned)
 }
 
-// A replica that asked for rest is asked whether it runs only where a connection to it broke, and once.
-func TestAReplicaAtRestIsAskedOnceAndNotAboutWhatWasGivenUp(t *testing.T) {
+// During its back-off a replica is probed at most once, and only after a broken connection.
+func TestReplicaBackingOffIsProbedOnlyOnceAfterBrokenConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const rest = 10 * time.Second
-		prober := &answers{is: map[string]Liveness{"r0": Running}}
-		_, guards := fleetOf(t, 1, prober)
-		end := time.Now().Add(rest)
+		const backoff = 10 * time.Second
+		prober := &fakeProber{results: map[string]Liveness{"r0": Running}}
+		_, guards := startGuards(t, 1, prober)
+		end := time.Now().Add(backoff)
 		guards[0].RestsUntil = func(string) time.Time { return end }
-		resting := fleet.Incarnation{ID: "r0"}
-		guards[0].Left(resting, "address", named(1))
-		time.Sleep(2 * leftTime)
-		require.Zero(t, prober.asked())
+		replica := fleet.Incarnation{ID: "r0"}
+		guards[0].Left(replica, "address", testFingerprint(1))
+		time.Sleep(2 * abandonWindow)
+		require.Zero(t, prober.calls())
 		for range 3 {
-			guards[0].Broke(t.Context(), resting, "address", named(1))
+			guards[0].Broke(t.Context(), replica, "address", testFingerprint(1))
 		}
-		require.Equal(t, 1, prober.asked())
+		require.Equal(t, 1, prober.calls())
 		time.Sleep(time.Until(end))
-		guards[0].Broke(t.Context(), resting, "address", named(1))
-		require.Equal(t, 2, prober.asked())
+		guards[0].Broke(t.Context(), replica, "address", testFingerprint(1))
+		require.Equal(t, 2, prober.calls())
 	})
 }
 
-// turns grants some turns and counts the messages that went without one.
-type turns struct{ left, charged, asked atomic.Int64 }
+// fakeRateLimiter grants a number of reservations and counts charges without one.
+type fakeRateLimiter struct{ available, charged, calls atomic.Int64 }
 
-func (t *turns) Take(context.Context, fleet.Incarnation) bool {
-	t.asked.Add(1)
-	return t.left.Add(-1) >= 0
+func (t *fakeRateLimiter) TryReserve(context.Context, fleet.Incarnation) bool {
+	t.calls.Add(1)
+	return t.available.Add(-1) >= 0
 }
 
-func (t *turns) Charge(fleet.Incarnation) { t.charged.Add(1) }
+func (t *fakeRateLimiter) Charge(fleet.Incarnation) { t.charged.Add(1) }
 
-// A replica with a limit is asked at once where a connection to it broke, and that is counted; about what
-// was given up there it is asked when it has a turn.
-func TestQuestionsToAReplicaWithALimitAreCounted(t *testing.T) {
+// A broken connection causes an immediate probe that is charged to the replica's limit; a probe for
+// abandoned requests waits for a reservation.
+func TestProbesOfRateLimitedReplicaAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		prober := &answers{is: map[string]Liveness{"r0": Running}}
-		_, guards := fleetOf(t, 1, prober)
-		counted := &turns{}
-		guards[0].Turns = counted
-		limited := fleet.Incarnation{ID: "r0"}
-		guards[0].Broke(t.Context(), limited, "address", named(1))
-		require.EqualValues(t, 1, counted.charged.Load())
-		require.Equal(t, 1, prober.asked())
-
-		guards[0].Left(limited, "address", named(1))
-		time.Sleep(2*checkAfter + time.Millisecond)
-		require.EqualValues(t, 2, counted.asked.Load())
-		require.Equal(t, 1, prober.asked(), "no turn")
-		counted.left.Store(1)
-		time.Sleep(checkAfter)
-		require.Equal(t, 2, prober.asked())
-		require.EqualValues(t, 1, counted.charged.Load())
-		time.Sleep(2 * checkAfter)
-		require.EqualValues(t, 3, counted.asked.Load(), "it is not asked again")
+		prober := &fakeProber{results: map[string]Liveness{"r0": Running}}
+		_, guards := startGuards(t, 1, prober)
+		rateLimiter := &fakeRateLimiter{}
+		guards[0].Turns = rateLimiter
+		replica := fleet.Incarnation{ID: "r0"}
+		guards[0].Broke(t.Context(), replica, "address", testFingerprint(1))
+		require.EqualValues(t, 1, rateLimiter.charged.Load())
+		require.Equal(t, 1, prober.calls())
+
+		guards[0].Left(replica, "address", testFingerprint(1))
+		time.Sleep(2*abandonCheckDelay + time.Millisecond)
+		require.EqualValues(t, 2, rateLimiter.calls.Load())
+		require.Equal(t, 1, prober.calls(), "probed without a reservation")
+		rateLimiter.available.Store(1)
+		time.Sleep(abandonCheckDelay)
+		require.Equal(t, 2, prober.calls())
+		require.EqualValues(t, 1, rateLimiter.charged.Load())
+		time.Sleep(2 * abandonCheckDelay)
+		require.EqualValues(t, 3, rateLimiter.calls.Load(), "reserved again after the probe")
 	})
 }
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -8,63 +8,56 @@
 )
 
 const (
-	// EndsAllowed is how many replicas may end while they have a request before it is
-	// withheld. By the users' rules a request that crashed three may reach replicas three
-	// times more at most, by daemons that could know. Two would save one replica a request and
-	// withheld no other in any run; where replicas end one after the other for another cause,
-	// what ran beside meets two ends more easily (docs/design/quarantine.md).
-	EndsAllowed = 3
-	// withheldTime is how long the ends under a request that is withheld are remembered. It
-	// then costs at most three replicas an hour.
-	withheldTime = time.Hour
-	// suspectTime is how long other ends are remembered. The attempts of one request come
-	// within its caller's deadlines, some tens of seconds; what ends replicas more rarely
-	// than this is not told from what merely ran beside.
-	suspectTime = 10 * time.Minute
-	// mostReports bounds the reports that are kept: 300 daemons that lose replicas together
-	// make 300, and what is withheld goes last.
-	mostReports = 1024
+	// CrashThreshold is the number of replica crashes at which a request is quarantined. A lower
+	// value would quarantine harmless requests that ran beside crashing ones more often.
+	CrashThreshold = 3
+	// quarantineTTL is how long reports are kept that quarantine a request.
+	quarantineTTL = time.Hour
+	// suspectTTL is how long other reports are kept. It covers all retries of one request, which
+	// come within its caller's deadlines.
+	suspectTTL = 10 * time.Minute
+	// maxReports bounds the reports kept, with room for one from every daemon of a large cluster.
+	maxReports = 1024
 )
 
-// unpublished is the order of a report that the key-value service does not have yet: it is
-// newer than all it has.
+// unpublished is the revision of a report that the key-value service does not have yet. It orders
+// after all published ones.
 const unpublished = math.MaxInt64
 
-// ledger is the pure state of a quarantine: the reports of all daemons. It reads no clock.
+// ledger holds the reports of all daemons. It does no I/O and takes the time as an argument.
 type ledger struct {
-	reports map[string]*kept // by record key
-	// named lists the records that name a request.
-	named map[Fingerprint]map[string]bool
+	reports map[string]*ledgerEntry // by record key
+	// suspects maps each reported request to the keys of the records that name it.
+	suspects map[Fingerprint]map[string]bool
 }
 
-// kept is a report with where it stands.
-type kept struct {
+// ledgerEntry is a report with the metadata of its record.
+type ledgerEntry struct {
 	Report
-	order int64     // revision of its record
-	since time.Time // when it was first seen here
+	revision   int64     // modification revision, or unpublished
+	observedAt time.Time // when this daemon first observed the record
 }
 
 func newLedger() *ledger {
-	return &ledger{reports: map[string]*kept{}, named: map[Fingerprint]map[string]bool{}}
+	return &ledger{reports: map[string]*ledgerEntry{}, suspects: map[Fingerprint]map[string]bool{}}
 }
 
-// put takes in a report, or what it has become.
-func (l *ledger) put(key string, report Report, order int64, now time.Time) {
-	since := now
+// put adds a report or replaces the one under the same key, which keeps its observation time.
+func (l *ledger) put(key string, report Report, revision int64, now time.Time) {
+	observedAt := now
 	if known := l.reports[key]; known != nil {
-		since = known.since
+		observedAt = known.observedAt
 		l.remove(key)
 	}
-	l.reports[key] = &kept{Report: report, order: order, since: since}
+	l.reports[key] = &ledgerEntry{Report: report, revision: revision, observedAt: observedAt}
 	for _, request := range report.fingerprints() {
-		if l.named[request] == nil {
-			l.named[request] = map[string]bool{}
+		if l.suspects[request] == nil {
+			l.suspects[request] = map[string]bool{}
 		}
-		l.named[request][key] = true
+		l.suspects[request][key] = true
 	}
 }
 
-// remove forgets a report.
 func (l *ledger) remove(key string) {
 	known := l.reports[key]
 	if known == nil {
@@ -72,76 +65,75 @@
 	}
 	delete(l.reports, key)
 	for _, request := range known.fingerprints() {
-		delete(l.named[request], key)
-		if len(l.named[request]) == 0 {
-			delete(l.named, request)
+		delete(l.suspects[request], key)
+		if len(l.suspects[request]) == 0 {
+			delete(l.suspects, request)
 		}
 	}
 }
 
-// fingerprints lists the requests that a report names.
+// fingerprints returns all requests in the report, served and suspect.
 func (r Report) fingerprints() []Fingerprint {
-	listed := make([]Fingerprint, 0, r.size())
-	for _, one := range r.Served {
-		listed = append(listed, Fingerprint(one))
+	requests := make([]Fingerprint, 0, r.fingerprintCount())
+	for _, fingerprint := range r.Served {
+		requests = append(requests, Fingerprint(fingerprint))
 	}
-	for _, end := range r.Ends {
-		for _, one := range end.Requests {
-			listed = append(listed, Fingerprint(one))
+	for _, crash := range r.Crashes {
+		for _, fingerprint := range crash.Requests {
+			requests = append(requests, Fingerprint(fingerprint))
 		}
 	}
-	return listed
+	return requests
 }
 
-// names tells whether a list of fingerprints holds one.
-func names(list [][]byte, request Fingerprint) bool {
-	return slices.ContainsFunc(list, func(one []byte) bool { return Fingerprint(one) == request })
+func containsFingerprint(list [][]byte, request Fingerprint) bool {
+	return slices.ContainsFunc(list, func(fingerprint []byte) bool { return Fingerprint(fingerprint) == request })
 }
 
-// Case is what is known against a request.
-type Case struct {
-	Replicas []string // that ended while they had it, in order of their ids
-	// Until is when so many of these are forgotten that the request is no longer withheld;
-	// the zero time if it is not.
+// CrashHistory describes the crashes counted against a request.
+type CrashHistory struct {
+	// Replicas are the incarnations that crashed while they had the request, sorted.
+	Replicas []string
+	// Until is the end of the quarantine; zero if the request is not quarantined.
 	Until time.Time
 }
 
-// Withheld tells whether the request must not go to a replica.
-func (c Case) Withheld() bool { return len(c.Replicas) >= EndsAllowed }
+// Withheld reports whether the request is quarantined.
+func (c CrashHistory) Withheld() bool { return len(c.Replicas) >= CrashThreshold }
 
-// against returns what is known against a request.
-func (l *ledger) against(request Fingerprint) Case {
-	cleared := int64(math.MinInt64)
-	for key := range l.named[request] {
-		if report := l.reports[key]; names(report.Served, request) {
-			cleared = max(cleared, report.order)
+// crashHistory returns the crashes counted against a request since it was last served completely.
+func (l *ledger) crashHistory(request Fingerprint) CrashHistory {
+	clearedRevision := int64(math.MinInt64)
+	for key := range l.suspects[request] {
+		if report := l.reports[key]; containsFingerprint(report.Served, request) {
+			clearedRevision = max(clearedRevision, report.revision)
 		}
 	}
-	seen := map[string]time.Time{} // when each end was first heard of
-	for key := range l.named[request] {
+	observed := map[string]time.Time{} // by replica: the first observation of its crash
+	for key := range l.suspects[request] {
 		report := l.reports[key]
-		if report.order < cleared {
+		if report.revision < clearedRevision {
 			continue
 		}
-		for _, end := range report.Ends {
-			if at, known := seen[end.Replica]; names(end.Requests, request) && (!known || report.since.Before(at)) {
-				seen[end.Replica] = report.since
+		for _, crash := range report.Crashes {
+			if at, known := observed[crash.Replica]; containsFingerprint(crash.Requests, request) && (!known || report.observedAt.Before(at)) {
+				observed[crash.Replica] = report.observedAt
 			}
 		}
 	}
-	found := Case{Replicas: slices.Sorted(maps.Keys(seen))}
-	if found.Withheld() {
-		times := slices.SortedFunc(maps.Values(seen), time.Time.Compare)
-		found.Until = times[len(times)-EndsAllowed].Add(withheldTime)
+	history := CrashHistory{Replicas: slices.Sorted(maps.Keys(observed))}
+	if history.Withheld() {
+		times := slices.SortedFunc(maps.Values(observed), time.Time.Compare)
+		history.Until = times[len(times)-CrashThreshold].Add(quarantineTTL)
 	}
-	return found
+	return history
 }
 
-// matters tells whether a report names a request that is withheld.
-func (l *ledger) matters(report *kept) bool {
-	for _, end := range report.Ends {
-		for _, one := range end.Requests {
-			if l.against(Fingerprint(one)).Withheld() {
+// quarantines reports whether any suspect request of the report is quarantined.
+func (l *ledger) quarantines(report *ledgerEntry) bool {
+	for _, crash := range report.Crashes {
+		for _, fingerprint := range crash.Requests {
+			if l.crashHistory(Fingerprint(fingerprint)).Withheld() {
 				return true
 			}
 		}
@@ -149,48 +141,48 @@
 	return false
 }
 
-// outdated lists the records that need not be kept any longer: those whose time is over, and
-// beyond the most that are kept the oldest, first those that withhold nothing.
-func (l *ledger) outdated(now time.Time) []string {
+// expired returns the sorted keys of the records to delete: those past their TTL, and the oldest
+// beyond maxReports, where reports that quarantine a request go last.
+func (l *ledger) expired(now time.Time) []string {
 	type candidate struct {
-		key     string
-		matters bool
-		since   time.Time
-		order   int64
+		key         string
+		quarantines bool
+		observedAt  time.Time
+		revision    int64
 	}
-	var over []string
-	var rest []candidate
+	var keys []string
+	var remaining []candidate
 	for key, report := range l.reports {
-		age, matters := now.Sub(report.since), l.matters(report)
-		if age > withheldTime || age > suspectTime && !matters {
-			over = append(over, key)
+		age, quarantines := now.Sub(report.observedAt), l.quarantines(report)
+		if age > quarantineTTL || age > suspectTTL && !quarantines {
+			keys = append(keys, key)
 			continue
 		}
-		rest = append(rest, candidate{key, matters, report.since, report.order})
+		remaining = append(remaining, candidate{key, quarantines, report.observedAt, report.revision})
 	}
-	surplus := len(rest) - mostReports
+	surplus := len(remaining) - maxReports
 	if surplus > 0 {
-		slices.SortFunc(rest, func(a, b candidate) int {
+		slices.SortFunc(remaining, func(a, b candidate) int {
 			switch {
-			case a.matters != b.matters && b.matters:
+			case a.quarantines != b.quarantines && b.quarantines:
 				return -1
-			case a.matters != b.matters:
+			case a.quarantines != b.quarantines:
 				return 1
 			}
-			return a.since.Compare(b.since)
+			return a.observedAt.Compare(b.observedAt)
 		})
-		for _, one := range rest[:surplus] {
-			over = append(over, one.key)
+		for _, excess := range remaining[:surplus] {
+			keys = append(keys, excess.key)
 		}
 	}
-	slices.Sort(over)
-	return over
+	slices.Sort(keys)
+	return keys
 }
 
-// withheld counts the requests that are withheld.
-func (l *ledger) withheld() (count int) {
-	for request := range l.named {
-		if l.against(request).Withheld() {
+// quarantined counts the quarantined requests.
+func (l *ledger) quarantined() (count int) {
+	for request := range l.suspects {
+		if l.crashHistory(request).Withheld() {
 			count++
 		}
 	}
--- a/quarantine/metrics.go
+++ b/quarantine/metrics.go
@@ -2,30 +2,30 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Metrics are the counters of a quarantine.
+// Metrics holds the Prometheus counters of a Guard.
 type Metrics struct {
 	refused   prometheus.Counter
 	probes    *prometheus.CounterVec
 	published prometheus.Counter
-	leftOut   prometheus.Counter
+	dropped   prometheus.Counter
 }
 
-// NewMetrics registers a quarantine's metrics.
+// NewMetrics creates the metrics and registers them.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
-	created := &Metrics{
+	metrics := &Metrics{
 		refused: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "finchspoke_quarantine_refused_total", Help: "Requests refused, or not retried, since replicas had ended while they had them.",
+			Name: "finchspoke_quarantine_refused_total", Help: "Requests refused or not retried because they are quarantined.",
 		}),
 		probes: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "finchspoke_quarantine_probes_total", Help: "Questions whether a replica still runs whose connection broke, by answer.",
+			Name: "finchspoke_quarantine_probes_total", Help: "Liveness probes of replicas after broken connections or abandoned requests, by result.",
 		}, []string{"answer"}),
 		published: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "finchspoke_quarantine_reports_total", Help: "Reports of replicas that ended, written to the key-value service.",
+			Name: "finchspoke_quarantine_reports_total", Help: "Replica crash reports written to the key-value service.",
 		}),
-		leftOut: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "finchspoke_quarantine_left_out_total", Help: "Fingerprints that found no room in a report that could not be written.",
+		dropped: prometheus.NewCounter(prometheus.CounterOpts{
+			Name: "finchspoke_quarantine_left_out_total", Help: "Fingerprints dropped because the pending report was full.",
 		}),
 	}
-	registerer.MustRegister(created.refused, created.probes, created.published, created.leftOut)
-	return created
+	registerer.MustRegister(metrics.refused, metrics.probes, metrics.published, metrics.dropped)
+	return metrics
 }
--- a/quarantine/publish.go
+++ b/quarantine/publish.go
@@ -11,66 +11,64 @@
 	"github.com/finchspoke/finchspoke/sleep"
 )
 
-// dependencyService names the key-value service in log lines.
-const dependencyService = "key-value service"
+// dependencyKeyValue is the value of the dependency log field for the key-value service.
+const dependencyKeyValue = "key-value service"
 
 const (
-	// gatherTime lets one report hold all requests that a daemon had at a replica: their
-	// connections break within some ms.
-	gatherTime = 20 * time.Millisecond
-	// pauseFirst and pauseLongest are between attempts to write a report. All daemons are to
-	// know of an end within three seconds after the service answers again.
-	pauseFirst   = 200 * time.Millisecond
-	pauseLongest = time.Second
-	// sweepPause is between looks at what need not be kept any longer.
-	sweepPause = 10 * time.Second
-	// mostDeletes bounds the records that one call deletes.
-	mostDeletes = 64
+	// gatherDelay lets one report collect all requests that a daemon had at a crashed replica.
+	gatherDelay = 20 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the exponential back-off between attempts to write a
+	// report.
+	minRetryDelay    = 200 * time.Millisecond
+	maxRetryDelay    = time.Second
+	sweepInterval    = 10 * time.Second // between removals of expired reports
+	maxDeletesPerTxn = 64
 )
 
-// Serve implements suture.Service.
+// Serve publishes pending reports, rewrites lost ones and removes expired ones until ctx ends. It
+// implements suture.Service.
 func (g *Guard) Serve(ctx context.Context) error {
-	sweep := time.NewTicker(sweepPause)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-sweep.C:
-			g.forget(ctx)
-		case <-g.foundLost:
+			g.expireReports(ctx)
+		case <-g.lostSignal:
 			g.rewriteLost(ctx)
-		case <-g.filled:
-			sleep.For(ctx, gatherTime)
-			key, report := g.take()
+		case <-g.pendingReady:
+			sleep.For(ctx, gatherDelay)
+			key, report := g.takePending()
 			g.publish(ctx, key, report)
 		}
 	}
 }
 
-// take returns the report that was being filled, and begins another.
-func (g *Guard) take() (key string, report Report) {
+// takePending returns the pending report with its key, and starts a new one.
+func (g *Guard) takePending() (pendingKey string, report Report) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	key, report = g.key, g.filling
-	g.key, g.filling = g.newKey(), Report{}
+	pendingKey, report = g.pendingKey, g.pending
+	g.pendingKey, g.pending = g.newKey(), Report{}
 	select {
-	case <-g.filled: // added meanwhile, and taken with the rest
+	case <-g.pendingReady: // entries added during gatherDelay are part of the report
 	default:
 	}
-	return key, report
+	return pendingKey, report
 }
 
-// publish writes a report until the key-value service has it. Its key is this daemon's alone,
-// so that it does no harm to write it twice.
+// publish writes a report, with retries until the key-value service confirms it. Retries are safe
+// because the record's key is unique.
 func (g *Guard) publish(ctx context.Context, key string, report Report) {
-	write, err := writeOf(key, report)
+	txn, err := reportTxn(key, report)
 	if err != nil {
-		g.Log.WithField(logging.Cause, err.Error()).Error("report of replicas that ended not written")
+		g.Log.WithField(logging.Cause, err.Error()).Error("replica crash report could not be encoded")
 		return
 	}
-	for pause := pauseFirst; ; pause = min(2*pause, pauseLongest) {
-		_, err := g.Store.Commit(ctx, write)
+	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
+		_, err := g.Store.Commit(ctx, txn)
 		if err == nil {
 			g.Metrics.published.Inc()
 			return
@@ -78,37 +76,36 @@
 		if ctx.Err() != nil {
 			return
 		}
-		g.Log.WithFields(logrus.Fields{logging.Dependency: dependencyService, logging.Cause: err.Error()}).Info("report of replicas that ended waits to be written")
-		if !sleep.For(ctx, pause) {
+		g.Log.WithFields(logrus.Fields{logging.Dependency: dependencyKeyValue, logging.Cause: err.Error()}).Info("replica crash report not written yet; will retry")
+		if !sleep.For(ctx, delay) {
 			return
 		}
 	}
 }
 
-// writeOf returns the transaction that writes a report. One that fails says that the record is there, by an
-// attempt without answer.
-func writeOf(key string, report Report) (kv.Txn, error) {
+// reportTxn returns a transaction that creates a report's record unless it exists. An unmet condition
+// means that an earlier attempt with an unknown outcome has written the record.
+func reportTxn(key string, report Report) (kv.Txn, error) {
 	value, err := report.Encode()
 	return kv.Txn{Conditions: []kv.Condition{{Key: key}}, Puts: []kv.Put{{Key: key, Value: value}}}, err
 }
 
-// forget drops what need not be kept any longer: here, and for all daemons where this one
-// leads.
-func (g *Guard) forget(ctx context.Context) {
+// expireReports removes expired reports from the ledger and, on the leader, deletes their records.
+func (g *Guard) expireReports(ctx context.Context) {
 	g.mutex.Lock()
-	over := g.ledger.outdated(g.Now())
-	for _, key := range over {
+	keys := g.ledger.expired(g.Now())
+	for _, key := range keys {
 		g.ledger.remove(key)
 	}
 	g.mutex.Unlock()
 	if !g.Leading() {
 		return
 	}
-	for len(over) > 0 {
-		some := over[:min(mostDeletes, len(over))]
-		over = over[len(some):]
-		if _, err := g.Store.Commit(ctx, kv.Txn{Deletes: some}); err != nil {
-			g.Log.WithField(logging.Cause, err.Error()).Info("old reports of replicas that ended not deleted; they count no more here")
+	for len(keys) > 0 {
+		batch := keys[:min(maxDeletesPerTxn, len(keys))]
+		keys = keys[len(batch):]
+		if _, err := g.Store.Commit(ctx, kv.Txn{Deletes: batch}); err != nil {
+			g.Log.WithField(logging.Cause, err.Error()).Info("expired replica crash reports could not be deleted; this daemon ignores them")
 			return
 		}
 	}
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -7,72 +7,71 @@
 	"github.com/pkg/errors"
 )
 
-// End is the end of a replica's process with the requests that one daemon had there.
-type End struct {
-	Replica  string   `json:"replica"`  // names the incarnation
-	Requests [][]byte `json:"requests"` // fingerprints
+// Crash is the unplanned end of a replica's process with the requests that one daemon had there.
+type Crash struct {
+	Replica  string   `json:"replica"`  // the incarnation
+	Requests [][]byte `json:"requests"` // their fingerprints
 }
 
-// Report is what one daemon saw within a short time. It is kept as a record of the platform's
-// key-value service.
+// Report holds the observations of one daemon within a short time. It is stored as a record of the
+// platform's key-value service.
 type Report struct {
-	Ends []End `json:"ends,omitempty"`
-	// Served are fingerprints of requests that a replica served whole although others had
-	// ended with them: those ends had another cause.
+	Crashes []Crash `json:"ends,omitempty"`
+	// Served holds the fingerprints of requests that a replica served completely, which clears them
+	// of the crashes reported before.
 	Served [][]byte `json:"served,omitempty"`
 }
 
-// ParseReport reads a report as Encode writes it.
+// ParseReport decodes a report that Encode wrote.
 func ParseReport(data []byte) (Report, error) {
 	var report Report
 	if err := json.Unmarshal(data, &report); err != nil {
-		return Report{}, errors.Wrap(err, "decode a report of replicas that ended")
+		return Report{}, errors.Wrap(err, "decode replica crash report")
 	}
 	fingerprints := slices.Clone(report.Served)
-	for _, end := range report.Ends {
-		fingerprints = append(fingerprints, end.Requests...)
+	for _, crash := range report.Crashes {
+		fingerprints = append(fingerprints, crash.Requests...)
 	}
-	for _, one := range fingerprints {
-		if len(one) != FingerprintBytes {
-			return Report{}, errors.Errorf("a fingerprint has %d bytes in place of %d", len(one), FingerprintBytes)
+	for _, fingerprint := range fingerprints {
+		if len(fingerprint) != FingerprintBytes {
+			return Report{}, errors.Errorf("fingerprint has %d bytes, want %d", len(fingerprint), FingerprintBytes)
 		}
 	}
 	return report, nil
 }
 
-// Encode writes a report as a record's value.
+// Encode returns the report as the JSON value of its record.
 func (r Report) Encode() ([]byte, error) {
 	data, err := json.Marshal(r)
-	return data, errors.Wrap(err, "encode a report of replicas that ended")
+	return data, errors.Wrap(err, "encode replica crash report")
 }
 
-// size returns how many fingerprints the report names.
-func (r Report) size() int {
-	size := len(r.Served)
-	for _, end := range r.Ends {
-		size += len(end.Requests)
+func (r Report) fingerprintCount() int {
+	fingerprintCount := len(r.Served)
+	for _, crash := range r.Crashes {
+		fingerprintCount += len(crash.Requests)
 	}
-	return size
+	return fingerprintCount
 }
 
-// addEnd notes that a replica ended while it had a request.
-func (r *Report) addEnd(replica string, request Fingerprint) {
-	index := slices.IndexFunc(r.Ends, func(end End) bool { return end.Replica == replica })
+// addCrash adds a request to the crash of a replica, once.
+func (r *Report) addCrash(replica string, request Fingerprint) {
+	index := slices.IndexFunc(r.Crashes, func(crash Crash) bool { return crash.Replica == replica })
 	if index < 0 {
-		index = len(r.Ends)
-		r.Ends = append(r.Ends, End{Replica: replica})
+		index = len(r.Crashes)
+		r.Crashes = append(r.Crashes, Crash{Replica: replica})
 	}
-	if names(r.Ends[index].Requests, request) {
+	if containsFingerprint(r.Crashes[index].Requests, request) {
 		return
 	}
-	r.Ends[index].Requests = append(r.Ends[index].Requests, request[:])
+	r.Crashes[index].Requests = append(r.Crashes[index].Requests, request[:])
 }
 
-// clone returns a copy that later additions do not change.
+// clone returns a copy that later calls of addCrash do not change.
 func (r Report) clone() Report {
 	copied := Report{Served: slices.Clone(r.Served)}
-	for _, end := range r.Ends {
-		copied.Ends = append(copied.Ends, End{Replica: end.Replica, Requests: slices.Clone(end.Requests)})
+	for _, crash := range r.Crashes {
+		copied.Crashes = append(copied.Crashes, Crash{Replica: crash.Replica, Requests: slices.Clone(crash.Requests)})
 	}
 	return copied
 }
--- a/quarantine/restore.go
+++ b/quarantine/restore.go
@@ -12,53 +12,54 @@
 	"github.com/finchspoke/finchspoke/logging"
 )
 
-// lose notes that a restore of the key-value service took a report's record away; the mutex is held. The
-// report goes on counting, and the daemon that leads writes it again for those that start later.
-func (g *Guard) lose(key string) {
+// markLost records that a restore of the key-value service removed a report's record. The report
+// remains in the ledger, and the leader writes it again for daemons that start later. The caller holds
+// the mutex.
+func (g *Guard) markLost(key string) {
 	report := g.ledger.reports[key]
 	if report == nil {
 		return
 	}
-	g.lost[key] = report.order
-	report.order = unpublished
+	g.lostReports[key] = report.revision
+	report.revision = unpublished
 	g.signalLost()
 }
 
-// signalLost has lost reports looked at.
+// signalLost makes Serve call rewriteLost.
 func (g *Guard) signalLost() {
 	select {
-	case g.foundLost <- struct{}{}:
+	case g.lostSignal <- struct{}{}:
 	default:
 	}
 }
 
-// rewriteLost writes the reports again that a restore took away, where this daemon leads, in the order in
-// which they were written: what clears a request clears it of the ends before. What is left is looked at again
-// after a pause, since another daemon may lead by then.
+// rewriteLost rewrites lost reports if this daemon is the leader. It keeps their original order, since
+// a report that clears a request only applies to crashes reported before it. It schedules another run
+// for reports that remain lost.
 func (g *Guard) rewriteLost(ctx context.Context) {
 	g.mutex.Lock()
-	lost := maps.Clone(g.lost)
+	lostReports := maps.Clone(g.lostReports)
 	g.mutex.Unlock()
-	if len(lost) == 0 {
+	if len(lostReports) == 0 {
 		return
 	}
-	defer time.AfterFunc(pauseLongest, g.signalLost)
+	defer time.AfterFunc(maxRetryDelay, g.signalLost)
 	if !g.Leading() {
 		return
 	}
-	inOrder := slices.SortedFunc(maps.Keys(lost), func(a, b string) int { return cmp.Compare(lost[a], lost[b]) })
-	for written, key := range inOrder {
-		if err := g.rewrite(ctx, key); err != nil {
-			g.Log.WithFields(logrus.Fields{logging.Dependency: dependencyService, logging.Cause: err.Error(), logging.Listed: written}).
-				Info("reports of replicas that ended wait to be written again")
+	keys := slices.SortedFunc(maps.Keys(lostReports), func(a, b string) int { return cmp.Compare(lostReports[a], lostReports[b]) })
+	for rewritten, key := range keys {
+		if err := g.rewriteReport(ctx, key); err != nil {
+			g.Log.WithFields(logrus.Fields{logging.Dependency: dependencyKeyValue, logging.Cause: err.Error(), logging.Listed: rewritten}).
+				Info("replica crash reports lost in a restore not rewritten yet; will retry")
 			return
 		}
 	}
-	g.Log.WithField(logging.Listed, len(inOrder)).Info(logging.MessageReportsRewritten)
+	g.Log.WithField(logging.Listed, len(keys)).Info(logging.MessageReportsRewritten)
 }
 
-// rewrite writes one lost report again, unless it need not be kept any longer.
-func (g *Guard) rewrite(ctx context.Context, key string) error {
+// rewriteReport writes a lost report again unless it has expired, and removes it from lostReports.
+func (g *Guard) rewriteReport(ctx context.Context, key string) error {
 	g.mutex.Lock()
 	report := g.ledger.reports[key]
 	var content Report
@@ -67,16 +68,16 @@
 	}
 	g.mutex.Unlock()
 	if report != nil {
-		write, err := writeOf(key, content)
+		txn, err := reportTxn(key, content)
 		if err != nil {
 			return err
 		}
-		if _, err := g.Store.Commit(ctx, write); err != nil {
+		if _, err := g.Store.Commit(ctx, txn); err != nil {
 			return err
 		}
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	delete(g.lost, key)
+	delete(g.lostReports, key)
 	return nil
 }
--- a/quarantine/restore_test.go
+++ b/quarantine/restore_test.go
@@ -12,32 +12,33 @@
 	"github.com/finchspoke/finchspoke/kv"
 )
 
-// restoreEmpty makes the service go on from a copy without records, as daemons hear of it.
-func (s *service) restoreEmpty() {
+// restoreEmpty restores the store from an empty backup and notifies the guards.
+func (s *fakeStore) restoreEmpty() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.revision = kv.RevisionIn(kv.EraOf(s.revision)+1, 0)
 	for key := range s.records {
 		delete(s.records, key)
-		s.tell(kv.Event{Pair: kv.Pair{Key: key, ModRevision: s.revision}, Deleted: true, Restored: true})
+		s.notify(kv.Event{Pair: kv.Pair{Key: key, ModRevision: s.revision}, Deleted: true, Restored: true})
 	}
 }
 
-// A report that a restore took away is newer than all that the copy holds, also than one that clears its request.
-func TestALostReportIsNewerThanWhatTheCopyHolds(t *testing.T) {
+// A report lost in a restore orders after all records of the backup, also after one that clears its
+// request.
+func TestLostReportIsNewerThanBackup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, guards := fleetOf(t, 1, &answers{})
-		request := named(1)
+		_, guards := startGuards(t, 1, &fakeProber{})
+		request := testFingerprint(1)
 		clearing, err := Report{Served: [][]byte{request[:]}}.Encode()
 		require.NoError(t, err)
-		var ended Report
-		for number := range EndsAllowed {
-			ended.addEnd(fmt.Sprintf("r%d", number), request)
+		var report Report
+		for number := range CrashThreshold {
+			report.addCrash(fmt.Sprintf("r%d", number), request)
 		}
-		ends, err := ended.Encode()
+		crashes, err := report.Encode()
 		require.NoError(t, err)
 		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/1", Value: clearing, ModRevision: 5}})
-		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/2", Value: ends, ModRevision: 6}})
+		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/2", Value: crashes, ModRevision: 6}})
 		require.NotNil(t, guards[0].Withheld(request))
 		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/1", Value: clearing, ModRevision: kv.RevisionIn(1, 5)}, Restored: true})
 		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/2", ModRevision: kv.RevisionIn(1, 5)}, Deleted: true, Restored: true})
@@ -45,29 +46,29 @@
 	})
 }
 
-func TestReportsOutliveARestoreOfTheService(t *testing.T) {
-	for name, leaderless := range map[string]time.Duration{"its holder goes on": 0, "nobody leads for a while": 3 * time.Second} {
+func TestReportsSurviveStoreRestore(t *testing.T) {
+	for name, leaderless := range map[string]time.Duration{"leader stays": 0, "no leader for a while": 3 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				shared, guards := fleetOf(t, 2, &answers{is: map[string]Liveness{"r0": Ended, "r1": Ended, "r2": Ended}})
-				for number := range EndsAllowed {
-					guards[1].Broke(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", named(1))
-					time.Sleep(2 * gatherTime)
+				store, guards := startGuards(t, 2, &fakeProber{results: map[string]Liveness{"r0": Ended, "r1": Ended, "r2": Ended}})
+				for number := range CrashThreshold {
+					guards[1].Broke(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", testFingerprint(1))
+					time.Sleep(2 * gatherDelay)
 				}
-				written := shared.recordCount()
-				require.Equal(t, EndsAllowed, written)
-				shared.noLeader.Store(leaderless > 0)
-				shared.restoreEmpty()
+				written := store.recordCount()
+				require.Equal(t, CrashThreshold, written)
+				store.noLeader.Store(leaderless > 0)
+				store.restoreEmpty()
 				for _, guard := range guards {
-					require.NotNil(t, guard.Withheld(named(1)), "what was known still counts")
+					require.NotNil(t, guard.Withheld(testFingerprint(1)), "the quarantine ended with the restore")
 				}
 				time.Sleep(leaderless)
-				shared.noLeader.Store(false)
-				time.Sleep(2 * pauseLongest)
-				require.Equal(t, written, shared.recordCount(), "a daemon that starts now hears of it")
+				store.noLeader.Store(false)
+				time.Sleep(2 * maxRetryDelay)
+				require.Equal(t, written, store.recordCount(), "records rewritten for daemons that start later")
 				for _, guard := range guards {
-					require.NotNil(t, guard.Withheld(named(1)))
-					require.Empty(t, guard.lost)
+					require.NotNil(t, guard.Withheld(testFingerprint(1)))
+					require.Empty(t, guard.lostReports)
 				}
 			})
 		})
