--- a/access/access.go
+++ b/access/access.go
@@ -1,11 +1,7 @@
-// Package access decides whether a request that shows an API key may go out now: whose key
-// it is, and whether the configuration that says so is recent enough.
-//
-// A key that the operator has taken away must not be used any more at any daemon, also at
-// one that hears of nothing. So a daemon must know, at each dispatch, how long ago its
-// configuration was surely the newest, and refuse once that is too long ago. A refusal is
-// then always temporary: that a key or a route does not exist is only said under a recent
-// configuration.
+// Package access authorizes requests by their API keys. A revoked key must stop working even at a
+// partitioned daemon, so each check requires a configuration that was recently verified to be current.
+// Errors under a stale configuration are temporary: a key or route is reported as unknown only under a
+// recent one.
 package access
 
 import (
@@ -16,93 +12,91 @@
 	"github.com/finchspoke/finchspoke/routing"
 )
 
-// Bound is how old a configuration may be.
+// AgeLimit limits the age of the configuration under which requests are authorized.
 type AgeLimit struct {
-	// MaxAge is the time since the configuration was surely the newest up to which it counts
-	// as recent.
+	// MaxAge is the longest time since the configuration was verified to be current during which
+	// it is recent.
 	MaxAge time.Duration
-	// Strict refuses requests with keys under a configuration that is not recent. Otherwise
-	// its age matters only for saying that something does not exist.
+	// Strict rejects all requests with keys under a configuration that is not recent. Otherwise
+	// known keys are still accepted.
 	Strict bool
 }
 
-// comeBack is the advice to callers of a daemon whose configuration is not recent: others
-// may have a recent one.
-const comeBack = 300 * time.Millisecond
+// retryDelay is the Retry-After for callers of a daemon whose configuration is not recent. It is
+// short because other daemons may have a recent one.
+const retryDelay = 300 * time.Millisecond
 
-// Gate tells whose keys are. It is safe for concurrent use.
+// Gate resolves API keys to tenants. It is safe for concurrent use.
 type Gate struct {
 	Table *routing.Store
-	// ProvenAt returns a moment, on the monotonic clock, at which the configuration in force
-	// was surely the newest; the zero time if there was none.
+	// VerifiedAt returns the last time, on the monotonic clock that Now reads, at which the
+	// configuration in effect was known to be current; zero if it never was.
 	ProvenAt func() time.Time
 	AgeLimit AgeLimit
 	Now      func() time.Time
 }
 
-// Age returns for how long the configuration in force may have been out of date; known is
-// false if it was never proven.
+// Age returns the time since the configuration in effect was last verified to be current; known is
+// false if it never was.
 func (g *Gate) Age() (age time.Duration, known bool) {
-	proven := g.ProvenAt()
-	if proven.IsZero() {
+	verifiedAt := g.ProvenAt()
+	if verifiedAt.IsZero() {
 		return 0, false
 	}
-	return g.Now().Sub(proven), true
+	return g.Now().Sub(verifiedAt), true
 }
 
-// recent tells whether the configuration is recent.
-func (g *Gate) recent() bool {
+func (g *Gate) isRecent() bool {
 	age, known := g.Age()
 	return known && age <= g.AgeLimit.MaxAge
 }
 
-// Owner returns the tenant that holds a key at this moment, or why the request must not go
-// out.
+// ResolveTenant returns the tenant that owns a key, or the error with which to reject the request.
 func (g *Gate) Owner(key callers.KeyHash) (*routing.Tenant, *failure.Error) {
-	// The age is taken before the table: what is read afterwards can only be newer.
-	recent := g.recent()
+	// The age is read before the table, so that the table can only be newer than the age says.
+	isRecent := g.isRecent()
 	table := g.Table.Current()
-	if table == nil || g.AgeLimit.Strict && !recent {
-		return nil, g.outdated()
+	if table == nil || g.AgeLimit.Strict && !isRecent {
+		return nil, g.outdatedError()
 	}
 	if tenant := table.TenantOf(key); tenant != nil {
 		return tenant, nil
 	}
-	if !recent {
-		return nil, g.outdated()
+	if !isRecent {
+		return nil, g.outdatedError()
 	}
 	return nil, failure.New(failure.Unauthenticated, "check the key, or ask your operator for one", "the API key is not known")
 }
 
-// Missing is the failure of a request without a key on a route that needs one.
+// MissingKey returns the error for a request that needs a key and carries none, or several.
 func (g *Gate) MissingKey() *failure.Error {
-	if !g.recent() {
-		return g.outdated()
+	if !g.isRecent() {
+		return g.outdatedError()
 	}
-	return failure.New(failure.Unauthenticated, "send an API key", "the request carries no API key, or several")
+	return failure.New(failure.Unauthenticated, "send exactly one API key", "the request carries no API key, or more than one")
 }
 
-// NoRoute is the failure of a request that no route leads from.
+// NoRoute returns the error for a request that matches no route.
 func (g *Gate) NoRoute(host, path string) *failure.Error {
-	if !g.recent() {
-		return g.outdated()
+	if !g.isRecent() {
+		return g.outdatedError()
 	}
-	return failure.New(failure.ModelNotAllowed, "check host and path, or ask the operator for a route", "no route leads from %s%s", host, path)
+	return failure.New(failure.ModelNotAllowed, "check host and path, or ask your operator for a route", "no route matches %s%s", host, path)
 }
 
-// Open tells whether requests with keys can be served at all.
+// Ready reports whether requests with keys can be served.
 func (g *Gate) Ready() bool {
 	table := g.Table.Current()
-	return table != nil && (!g.AgeLimit.Strict || !table.NeedsKeys() || g.recent())
+	return table != nil && (!g.AgeLimit.Strict || !table.NeedsKeys() || g.isRecent())
 }
 
-// outdated is the failure of a request that cannot be judged under the configuration in
-// force.
-func (g *Gate) outdated() *failure.Error {
+// outdatedError returns the temporary error for a request that cannot be authorized because the
+// configuration is missing or not recent.
+func (g *Gate) outdatedError() *failure.Error {
 	age, known := g.Age()
 	if !known {
-		return failure.New(failure.Unavailable, "come back after the time given", "this daemon knows no configuration yet").WithRetryAfter(comeBack)
+		return failure.New(failure.Unavailable, "retry after the time given", "this daemon has not loaded a configuration yet").WithRetryAfter(retryDelay)
 	}
-	return failure.New(failure.ConfigOutdated, "come back after the time given; if it lasts, see whether this daemon reaches the key-value service",
-		"the configuration was last proven %d ms ago, which is too long to judge the request by", age.Milliseconds()).WithRetryAfter(comeBack)
+	return failure.New(failure.ConfigOutdated, "retry after the time given; if the error persists, check whether this daemon reaches the key-value service",
+		"the configuration was last verified to be current %d ms ago, too long to authorize the request", age.Milliseconds()).WithRetryAfter(retryDelay)
 }
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -13,87 +13,87 @@
 
 const maxAge = 3 * time.Second
 
-// situation is a gate with a clock and a proof that tests set.
-type situation struct {
+// gateFixture is a gate with a clock and a verification time that tests set.
+type gateFixture struct {
 	*Gate
-	now, proven time.Time
+	now, verifiedAt time.Time
 }
 
-func newSituation(t *testing.T, strict bool) *situation {
-	s := &situation{now: time.Unix(1_000, 0)}
-	s.Gate = &Gate{
-		Table: &routing.Store{}, ProvenAt: func() time.Time { return s.proven }, Now: func() time.Time { return s.now },
+func newGateFixture(t *testing.T, strict bool) *gateFixture {
+	f := &gateFixture{now: time.Unix(1_000, 0)}
+	f.Gate = &Gate{
+		Table: &routing.Store{}, ProvenAt: func() time.Time { return f.verifiedAt }, Now: func() time.Time { return f.now },
 		AgeLimit: AgeLimit{MaxAge: maxAge, Strict: strict},
 	}
-	s.proven = s.now
-	s.put(t, 1, "first", "second")
-	return s
+	f.verifiedAt = f.now
+	f.putTable(t, 1, "first", "second")
+	return f
 }
 
-func (s *situation) put(t *testing.T, version int64, keys ...string) {
+func (f *gateFixture) putTable(t *testing.T, version int64, keys ...string) {
 	tenant := &routing.Tenant{Name: "brewery"}
 	for _, key := range keys {
 		tenant.Keys = append(tenant.Keys, callers.Hash(key))
 	}
 	table, err := routing.NewTable(routing.Revision{Version: version, Tenants: []*routing.Tenant{tenant}})
 	require.NoError(t, err)
-	require.True(t, s.Table.Put(table))
+	require.True(t, f.Table.Put(table))
 }
 
-func TestAKeyIsGoodOnlyUnderARecentConfiguration(t *testing.T) {
-	s := newSituation(t, true)
-	tenant, failed := s.Owner(callers.Hash("first"))
+func TestKeyIsAcceptedOnlyUnderRecentConfiguration(t *testing.T) {
+	gate := newGateFixture(t, true)
+	tenant, failed := gate.Owner(callers.Hash("first"))
 	require.Nil(t, failed)
 	require.Equal(t, "brewery", tenant.Name)
 
-	s.now = s.proven.Add(maxAge + time.Millisecond) // nothing was heard, or the process stood still
-	_, failed = s.Owner(callers.Hash("first"))
+	gate.now = gate.verifiedAt.Add(maxAge + time.Millisecond) // partitioned, or the process was suspended
+	_, failed = gate.Owner(callers.Hash("first"))
 	require.Equal(t, failure.ConfigOutdated, failed.Kind)
 	require.Equal(t, failure.NotRun, failed.Execution)
 	require.Positive(t, failed.RetryAfter)
-	require.False(t, s.Ready())
+	require.False(t, gate.Ready())
 
-	s.proven = s.now
-	_, failed = s.Owner(callers.Hash("first"))
+	gate.verifiedAt = gate.now
+	_, failed = gate.Owner(callers.Hash("first"))
 	require.Nil(t, failed)
-	require.True(t, s.Ready())
+	require.True(t, gate.Ready())
 }
 
-func TestAKeyThatWasTakenAwayIsRefusedAtOnce(t *testing.T) {
-	s := newSituation(t, true)
-	s.put(t, 2, "second")
-	_, failed := s.Owner(callers.Hash("first"))
+func TestRevokedKeyIsRejected(t *testing.T) {
+	gate := newGateFixture(t, true)
+	gate.putTable(t, 2, "second")
+	_, failed := gate.Owner(callers.Hash("first"))
 	require.Equal(t, failure.Unauthenticated, failed.Kind)
-	require.NotContains(t, failed.Error(), "first", "keys are never shown")
+	require.NotContains(t, failed.Error(), "first", "the error contains the key")
 }
 
-// What does not exist here may exist in a newer configuration.
-func TestNothingIsSaidNotToExistUnderAnOldConfiguration(t *testing.T) {
+// A key or route that is unknown here may exist in a newer configuration.
+func TestStaleConfigurationYieldsTemporaryErrors(t *testing.T) {
 	for _, strict := range []bool{true, false} {
-		s := newSituation(t, strict)
-		_, unknown := s.Owner(callers.Hash("third"))
+		gate := newGateFixture(t, strict)
+		_, unknown := gate.Owner(callers.Hash("third"))
 		require.Equal(t, failure.Unauthenticated, unknown.Kind)
-		require.Equal(t, failure.Unauthenticated, s.MissingKey().Kind)
-		require.Equal(t, failure.ModelNotAllowed, s.NoRoute("host", "/path").Kind)
+		require.Equal(t, failure.Unauthenticated, gate.MissingKey().Kind)
+		require.Equal(t, failure.ModelNotAllowed, gate.NoRoute("host", "/path").Kind)
 
-		s.now = s.proven.Add(maxAge + time.Millisecond)
-		_, unknown = s.Owner(callers.Hash("third"))
-		for _, failed := range []*failure.Error{unknown, s.MissingKey(), s.NoRoute("host", "/path")} {
+		gate.now = gate.verifiedAt.Add(maxAge + time.Millisecond)
+		_, unknown = gate.Owner(callers.Hash("third"))
+		for _, failed := range []*failure.Error{unknown, gate.MissingKey(), gate.NoRoute("host", "/path")} {
 			require.Equal(t, failure.ConfigOutdated, failed.Kind)
 			require.Positive(t, failed.RetryAfter)
 		}
 	}
 }
 
-func TestWithoutAStrictBoundAKnownKeyStaysGood(t *testing.T) {
-	s := newSituation(t, false)
-	s.now = s.proven.Add(time.Hour)
-	_, failed := s.Owner(callers.Hash("first"))
+func TestKnownKeyIsAcceptedWithoutStrictLimit(t *testing.T) {
+	gate := newGateFixture(t, false)
+	gate.now = gate.verifiedAt.Add(time.Hour)
+	_, failed := gate.Owner(callers.Hash("first"))
 	require.Nil(t, failed)
-	require.True(t, s.Ready())
+	require.True(t, gate.Ready())
 }
 
-func TestADaemonWithoutAConfigurationJudgesNothing(t *testing.T) {
+func TestGateWithoutConfigurationIsUnavailable(t *testing.T) {
 	gate := &Gate{Table: &routing.Store{}, ProvenAt: func() time.Time { return time.Time{} }, Now: time.Now, AgeLimit: AgeLimit{MaxAge: maxAge, Strict: true}}
 	_, failed := gate.Owner(callers.Hash("first"))
 	require.Equal(t, failure.Unavailable, failed.Kind)
