--- a/callers/callers.go
+++ b/callers/callers.go
@@ -1,5 +1,5 @@
-// Package callers tells whose an API key is. Keys are held as hashes, so that no log line,
-// metric or memory dump of the index shows one.
+// Package callers maps API keys to their owners. It stores keys as hashes, so that no log line, metric
+// or memory dump of the index reveals one.
 package callers
 
 import (
@@ -10,28 +10,28 @@
 // KeyHash is the SHA-256 hash of an API key.
 type KeyHash [sha256.Size]byte
 
-// Hash returns the hash of an API key.
+// Hash returns the SHA-256 hash of an API key.
 func Hash(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
 // String returns the hash as hexadecimal digits.
 func (h KeyHash) String() string { return hex.EncodeToString(h[:]) }
 
-// ParseHash reads a hash from hexadecimal digits; false if they are none.
+// ParseHash decodes a hash from hexadecimal digits. valid is false if they are not exactly one hash.
 func ParseHash(digits string) (hash KeyHash, valid bool) {
-	read, err := hex.DecodeString(digits)
-	if err != nil || len(read) != len(hash) {
+	decoded, err := hex.DecodeString(digits)
+	if err != nil || len(decoded) != len(hash) {
 		return KeyHash{}, false
 	}
-	copy(hash[:], read)
+	copy(hash[:], decoded)
 	return hash, true
 }
 
-// Keys is an index from API keys to their owners. The zero value holds none.
+// Keys maps hashed API keys to their owners. The zero value is empty and ready to use.
 type Keys[Owner any] struct {
 	owners map[KeyHash]Owner
 }
 
-// Add gives a key to an owner; a key that had another is taken from it.
+// Add assigns a key to an owner and replaces any previous one.
 func (k *Keys[Owner]) Add(key KeyHash, owner Owner) {
 	if k.owners == nil {
 		k.owners = map[KeyHash]Owner{}
@@ -39,11 +39,11 @@
 	k.owners[key] = owner
 }
 
-// Owner returns the owner of a key, and whether there is one.
-func (k *Keys[Owner]) Owner(key KeyHash) (owner Owner, known bool) {
-	owner, known = k.owners[key]
-	return owner, known
+// Owner returns the owner of a key and whether the key is known.
+func (k *Keys[Owner]) Owner(key KeyHash) (owner Owner, found bool) {
+	owner, found = k.owners[key]
+	return owner, found
 }
 
-// Len returns how many keys have an owner.
+// Len returns the number of keys.
 func (k *Keys[Owner]) Len() int { return len(k.owners) }
--- a/callers/callers_test.go
+++ b/callers/callers_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestAKeyIsFoundByItsHashAndMovesToItsNewestOwner(t *testing.T) {
+func TestKeysLookUpByHashAndLatestOwner(t *testing.T) {
 	var keys Keys[string]
 	_, known := keys.Owner(Hash("secret"))
 	require.False(t, known)
@@ -22,26 +22,26 @@
 	require.False(t, known)
 }
 
-func TestAHashIsReadFromItsDigitsOnly(t *testing.T) {
+func TestParseHashRejectsInvalidInput(t *testing.T) {
 	hash := Hash("secret")
-	read, valid := ParseHash(hash.String())
+	parsed, valid := ParseHash(hash.String())
 	require.True(t, valid)
-	require.Equal(t, hash, read)
+	require.Equal(t, hash, parsed)
 	for _, wrong := range []string{"", "secret", hash.String()[1:], hash.String() + "00"} {
 		_, valid := ParseHash(wrong)
 		require.False(t, valid, wrong)
 	}
 }
 
-func FuzzHashesAreReadOrRefused(f *testing.F) {
+func FuzzParseHash(f *testing.F) {
 	f.Add("", "00")
 	f.Add("secret", Hash("secret").String())
 	f.Fuzz(func(t *testing.T, key, digits string) {
 		if _, valid := ParseHash(digits); valid {
 			require.Len(t, digits, 2*len(KeyHash{}))
 		}
-		read, valid := ParseHash(Hash(key).String())
+		parsed, valid := ParseHash(Hash(key).String())
 		require.True(t, valid)
-		require.Equal(t, Hash(key), read)
+		require.Equal(t, Hash(key), parsed)
 	})
 }
