--- a/loader/follower.go
+++ b/loader/follower.go
@@ -31,7 +31,7 @@
 	Daemon string
 	Demand *demand.Tracker
 	Fleet  *fleet.Directory
-	Holder *Holder // of this daemon, told of orders that others gave
+	Leader *Leader // of this daemon, told of orders that others gave
 	// Daemons is told how many daemons are attached to the holder.
 	Daemons func(int)
 	// KnowsReplicas tells whether this daemon knows all replicas, and is told what is loaded on each;
@@ -39,14 +39,14 @@
 	KnowsReplicas func() bool
 	// Directories is told whether this daemon is to know all replicas for others, and which daemons
 	// do; nil: nobody is.
-	Directories func(serve bool, addresses []string)
+	SetDirectories func(serve bool, addresses []string)
 	// Address is where daemons reach this one, and Zone where it is.
 	Address, Zone string
 	// TermDelay is how long this daemon waits before it campaigns for the term.
 	TermDelay time.Duration
 	Log       logrus.FieldLogger
 	mutex     sync.Mutex
-	current   election.Holder
+	current   election.Leader
 	changed   chan struct{}
 	news      chan struct{} // holds an element while there is something to be told at once
 	attached  atomic.Bool
@@ -58,8 +58,8 @@
 // Prepare makes the follower ready for use.
 func (f *Follower) Prepare() { f.changed, f.news = make(chan struct{}), make(chan struct{}, 1) }
 
-// HolderChanged takes in who holds the orders now.
-func (f *Follower) HolderChanged(holder election.Holder) {
+// LeaderChanged takes in who holds the orders now.
+func (f *Follower) LeaderChanged(holder election.Leader) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	// A record that went away leaves the last holder in place: while the service
@@ -72,7 +72,7 @@
 	f.changed = make(chan struct{})
 }
 
-func (f *Follower) holder() (election.Holder, <-chan struct{}) {
+func (f *Follower) holder() (election.Leader, <-chan struct{}) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.current, f.changed
@@ -94,7 +94,7 @@
 		}
 		err := f.attach(ctx, holder, changed)
 		if ctx.Err() == nil {
-			f.Log.WithFields(logrus.Fields{logging.Dependency: "order holder", logging.Holder: holder.Daemon, logging.Fence: holder.Fence,
+			f.Log.WithFields(logrus.Fields{logging.Dependency: "order holder", logging.Leader: holder.Daemon, logging.Fence: holder.Fence,
 				logging.Cause: err.Error()}).Info(logging.MessageDependencyLost)
 			sleep.For(ctx, attachPause)
 		}
@@ -105,7 +105,7 @@
 var errHolderChanged = errors.New("the holder changed")
 
 // attach keeps a stream to a holder until it breaks or another holder is known.
-func (f *Follower) attach(ctx context.Context, holder election.Holder, changed <-chan struct{}) error {
+func (f *Follower) attach(ctx context.Context, holder election.Leader, changed <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	conn, err := transport.Dial(ctx, holder.Address)
@@ -124,7 +124,7 @@
 		return err
 	}
 	sent.learns(first.GetKnowsReplicas())
-	f.Log.WithFields(logrus.Fields{logging.Dependency: "order holder", logging.Holder: holder.Daemon, logging.Fence: holder.Fence}).Info(logging.MessageDependencyRegained)
+	f.Log.WithFields(logrus.Fields{logging.Dependency: "order holder", logging.Leader: holder.Daemon, logging.Fence: holder.Fence}).Info(logging.MessageDependencyRegained)
 	f.attached.Store(true)
 	defer f.attached.Store(false)
 	failed := make(chan error, 2)
@@ -228,14 +228,14 @@
 		now := time.Now()
 		// A daemon that is not told what is loaded does not know when the last order was given.
 		if view.GetFence() > 0 && (len(view.GetReplicas()) > 0 || !f.knowsReplicas()) {
-			f.Holder.OrderSeen(now)
+			f.Leader.ObserveOrder(now)
 		}
 		f.Daemons(int(view.GetDaemons()))
-		if directories := view.GetDirectories(); directories != nil && f.Directories != nil {
-			f.Directories(directories.GetServe(), directories.GetAddresses())
+		if directories := view.GetDirectories(); directories != nil && f.SetDirectories != nil {
+			f.SetDirectories(directories.GetServe(), directories.GetAddresses())
 		}
 		for _, leaving := range incarnationsOf(view.GetLeaving()) {
-			f.Fleet.TellLeaving(leaving, now)
+			f.Fleet.ApplyRelayedDraining(leaving, now)
 		}
 		f.takeLimits(view.GetLimits(), sent, now)
 		for _, told := range view.GetReplicas() {
@@ -243,7 +243,7 @@
 		}
 		for _, told := range view.GetRunning() {
 			own := sent.runningOn(told.GetReplicaId())
-			f.Fleet.Others(told.GetReplicaId(), int(told.GetRequests())-int(own), now)
+			f.Fleet.SetRemoteInflight(told.GetReplicaId(), int(told.GetRequests())-int(own), now)
 		}
 	}
 }
@@ -259,7 +259,7 @@
 	for _, load := range told.GetLoading() {
 		loads[fleet.Target{Model: load.GetModel(), Adapter: load.GetAdapter()}] = now.Add(time.Duration(load.GetReadyInMs()) * time.Millisecond)
 	}
-	f.Fleet.Confirm(told.GetReplicaId(), fleet.Confirmation{
+	f.Fleet.ApplyLeaderRecord(told.GetReplicaId(), fleet.LeaderRecord{
 		Born: told.GetBornUnixMs(), Fence: fence, Sequence: told.GetSequence(), Holdings: holdings, Loading: loads,
 		InMemory: told.GetInMemory(), OnDisk: told.GetOnDisk(),
 	}, now)
--- a/loader/handover.go
+++ b/loader/handover.go
@@ -61,7 +61,7 @@
 
 // Handover returns what the next holder must know of this daemon's orders. It is asked once
 // this daemon's term is given up, so that no order follows.
-func (h *Holder) Handover() election.Handover {
+func (h *Leader) Handover() election.Handover {
 	now := time.Now()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
--- a/loader/handover_test.go
+++ b/loader/handover_test.go
@@ -34,7 +34,7 @@
 
 // A holder that was itself waiting for its distance hands over what is left of the wait.
 func TestAHolderThatMayNotOrderYetHandsItsWaitOver(t *testing.T) {
-	holder := &Holder{Fleet: emptyFleet(), Limits: Limits{TermGap: 3 * time.Second}}
+	holder := &Leader{Fleet: emptyFleet(), Limits: Limits{TermGap: 3 * time.Second}}
 	holder.Prepare()
 	holder.reset(5, time.Now().Add(2*time.Second))
 	holder.beginTerm(0, time.Now()) // its term is given up
@@ -64,11 +64,11 @@
 		const gap = 3 * time.Second
 		store := revisingStore{revision: &atomic.Int64{}}
 		made := election.New(election.Config{Key: "term", Daemon: "d1", TTL: gap}, store, discarding())
-		holder := &Holder{Fleet: emptyFleet(), Table: &routing.Store{}, Limits: Limits{TermGap: gap}, Election: made, Log: discarding()}
+		holder := &Leader{Fleet: emptyFleet(), Table: &routing.Store{}, Limits: Limits{TermGap: gap}, Election: made, Log: discarding()}
 		holder.Prepare()
 		other := time.Now()
-		holder.OrderSeen(other)
-		made.Vacate(0)
+		holder.ObserveOrder(other)
+		made.ObserveAbsent(0)
 		go func() { _ = made.Serve(t.Context()) }()
 		time.Sleep(gap / 3)
 		holder.turn(t.Context(), time.Now())
@@ -76,8 +76,8 @@
 		require.Equal(t, other.Add(gap), holder.begins)
 		holder.ordered.inherited = map[string]time.Time{"r1": other}
 
-		store.revision.Store(kv.RevisionIn(1, 1))
-		made.Observe(kv.Event{Pair: kv.Pair{Key: "term", ModRevision: kv.RevisionIn(1, 1)}, Deleted: true, Restored: true})
+		store.revision.Store(kv.MakeRevision(1, 1))
+		made.Observe(kv.Event{Pair: kv.Pair{Key: "term", ModRevision: kv.MakeRevision(1, 1)}, Deleted: true, AfterRestore: true})
 		holder.turn(t.Context(), time.Now())
 		synctest.Wait()
 		holder.turn(t.Context(), time.Now())
@@ -87,8 +87,8 @@
 		require.NotEmpty(t, holder.ordered.inherited)
 
 		time.Sleep(gap)
-		store.revision.Store(kv.RevisionIn(2, 1))
-		made.Observe(kv.Event{Pair: kv.Pair{Key: "term", ModRevision: kv.RevisionIn(2, 1)}, Deleted: true, Restored: true})
+		store.revision.Store(kv.MakeRevision(2, 1))
+		made.Observe(kv.Event{Pair: kv.Pair{Key: "term", ModRevision: kv.MakeRevision(2, 1)}, Deleted: true, AfterRestore: true})
 		synctest.Wait()
 		holder.turn(t.Context(), time.Now())
 		require.False(t, holder.begins.After(time.Now()), "no distance is left to keep")
@@ -109,7 +109,7 @@
 		"at the allowed age":    {true, gap / 2, true},
 		"before the age passes": {true, gap/2 - time.Millisecond, false},
 	} {
-		holder := &Holder{Fleet: emptyFleet(), Limits: Limits{TermGap: gap, FencesChecked: example.checked}, Election: election.New(election.Config{}, nil, nil)}
+		holder := &Leader{Fleet: emptyFleet(), Limits: Limits{TermGap: gap, FencesChecked: example.checked}, Election: election.New(election.Config{}, nil, nil)}
 		holder.Prepare()
 		now := holder.started.Add(example.age)
 		holder.beginTerm(7, now)
--- a/loader/holder.go
+++ b/loader/holder.go
@@ -22,12 +22,12 @@
 )
 
 // Answer is what a replica says to an order.
-type Answer uint8
+type OrderResponse uint8
 
 // The answers.
 const (
 	// Accepted means that the order is being carried out.
-	Accepted Answer = iota
+	Accepted OrderResponse = iota
 	// Done means that nothing more is needed.
 	Done
 	// Refused means that another order is under way, or that the replica has taken
@@ -42,13 +42,13 @@
 var answerNames = [...]string{"accepted", "done", "refused", "fenced", "gone"}
 
 // String returns the answer's name in logs.
-func (a Answer) String() string { return answerNames[a] }
+func (a OrderResponse) String() string { return answerNames[a] }
 
 // Replicas is the protocol by which replicas take orders.
 type Replicas interface {
 	// Order sends an order. An error means that the replica may or may not have
 	// taken it.
-	Order(ctx context.Context, replica fleet.Entry, order loading.Order, holder string, fence int64) (Answer, error)
+	Order(ctx context.Context, replica fleet.Entry, order loading.Order, holder string, fence int64) (OrderResponse, error)
 	// Report asks a replica for its state.
 	Report(ctx context.Context, replica fleet.Entry) (loading.Report, error)
 }
@@ -97,7 +97,7 @@
 
 // Holder is the state of a term. It exists in every daemon and works in the one
 // that holds the term.
-type Holder struct {
+type Leader struct {
 	Daemon   string
 	Fleet    *fleet.Directory
 	Table    *routing.Store
@@ -112,10 +112,10 @@
 	Address string
 	// TooLarge tells whether there are too many replicas for every daemon to know them all, and
 	// KnowsReplicas whether this one does; nil: never, and always.
-	TooLarge      func() bool
-	KnowsReplicas func() bool
+	TooManyReplicas func() bool
+	KnowsReplicas   func() bool
 	// Expected returns how many daemons were attached to the last holder; nil: not known.
-	Expected func() int
+	ExpectedDaemons func() int
 	// TermDelay is how long this daemon waits before it campaigns for the term: the stronger
 	// its machine, the shorter.
 	TermDelay time.Duration
@@ -160,7 +160,7 @@
 }
 
 // Prepare makes the holder ready for use.
-func (h *Holder) Prepare() {
+func (h *Leader) Prepare() {
 	h.started = time.Now()
 	h.wake = make(chan struct{}, 1)
 	h.changed = make(chan struct{})
@@ -172,7 +172,7 @@
 
 // reset forgets what an earlier term knew of the replicas; the mutex is held, or
 // nobody else has the holder yet.
-func (h *Holder) reset(fence int64, begins time.Time) {
+func (h *Leader) reset(fence int64, begins time.Time) {
 	h.fence, h.begins = fence, begins
 	h.states, h.ids = map[string]*loading.Replica{}, nil
 	h.registry.all()
@@ -190,7 +190,7 @@
 }
 
 // notify wakes the streams that tell daemons what is loaded; the mutex is held.
-func (h *Holder) notify() {
+func (h *Leader) notify() {
 	h.version++
 	h.views = map[uint64]*rpc.LoadsView{}
 	close(h.changed)
@@ -198,7 +198,7 @@
 }
 
 // Wake makes the holder decide soon.
-func (h *Holder) Wake() {
+func (h *Leader) Wake() {
 	select {
 	case h.wake <- struct{}{}:
 	default:
@@ -206,10 +206,10 @@
 }
 
 // String names the service in the supervisor's events.
-func (h *Holder) String() string { return "load-order-holder" }
+func (h *Leader) String() string { return "load-order-holder" }
 
 // Serve implements suture.Service.
-func (h *Holder) Serve(ctx context.Context) error {
+func (h *Leader) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		began := time.Now()
 		h.turn(ctx, began)
@@ -226,7 +226,7 @@
 }
 
 // untilNext returns how long the holder may rest when nothing wakes it.
-func (h *Holder) untilNext(now time.Time) time.Duration {
+func (h *Leader) untilNext(now time.Time) time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.next.IsZero() {
@@ -236,7 +236,7 @@
 }
 
 // turn is one round of decisions.
-func (h *Holder) turn(ctx context.Context, now time.Time) {
+func (h *Leader) turn(ctx context.Context, now time.Time) {
 	fence, standing := h.Election.Term()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -248,7 +248,7 @@
 	if fence == 0 || h.Table.Current() == nil {
 		return
 	}
-	if standing == election.Sure {
+	if standing == election.TermValid {
 		h.refreshDirectories(now)
 	}
 	if h.KnowsReplicas != nil && !h.KnowsReplicas() {
@@ -259,7 +259,7 @@
 	if !h.mayOrder(standing, now) {
 		return
 	}
-	if h.yields.due(now) && standing == election.Sure && h.strongerAttached(now) && h.Election.Yielding() {
+	if h.yields.due(now) && standing == election.TermValid && h.strongerAttached(now) && h.Election.BeginHandover() {
 		h.yield(ctx, now)
 		return
 	}
@@ -273,7 +273,7 @@
 }
 
 // beginTerm starts a term, or ends one; the mutex is held.
-func (h *Holder) beginTerm(fence int64, now time.Time) {
+func (h *Leader) beginTerm(fence int64, now time.Time) {
 	if fence == 0 {
 		h.reset(fence, h.begins) // what is handed over stays known
 		return
@@ -289,7 +289,7 @@
 		begins = h.begins // the distance that this daemon's term before was to keep
 	case reclaimed:
 	case inherited != nil:
-		begins = inherited.Begins
+		begins = inherited.NotBefore
 		h.ordered.inherited = inherited.LastOrders
 	case !h.lastOrder.IsZero():
 		begins = h.lastOrder.Add(h.Limits.TermGap)
@@ -297,11 +297,11 @@
 		begins = now.Add(h.Limits.TermGap)
 	}
 	h.reset(fence, begins)
-	if h.Expected != nil {
-		h.reach.expect(h.Expected(), now)
+	if h.ExpectedDaemons != nil {
+		h.reach.expect(h.ExpectedDaemons(), now)
 	}
 	if h.Turns != nil {
-		h.Turns.Begin()
+		h.Turns.BeginTerm()
 	}
 }
 
@@ -309,27 +309,27 @@
 // holders it knows nothing of: it gave no order that theirs could have come between, and the
 // replicas refuse what an earlier holder may still send. After a loss of all daemons the first
 // orders went out three seconds later than they could.
-func (h *Holder) justStarted(now time.Time) bool {
+func (h *Leader) justStarted(now time.Time) bool {
 	return h.Limits.FencesChecked && now.Sub(h.started) < time.Duration(freshShare*float64(h.Limits.TermGap))
 }
 
-// OrderSeen notes that a holder of orders was at work just now, which a later
+// ObserveOrder notes that a holder of orders was at work just now, which a later
 // holder has to keep a distance from.
-func (h *Holder) OrderSeen(now time.Time) {
+func (h *Leader) ObserveOrder(now time.Time) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.lastOrder = now
 }
 
-// FirstOfAll tells that no holder can have been at work before this daemon's term: the whole
+// FirstTerm tells that no holder can have been at work before this daemon's term: the whole
 // system has just started, and none was heard of.
-func (h *Holder) FirstOfAll() bool { return h.FirstStart && !h.others.Load() }
+func (h *Leader) FirstTerm() bool { return h.FirstStart && !h.others.Load() }
 
-// OtherHeld notes that another daemon held the term.
-func (h *Holder) OtherHeld() { h.others.Store(true) }
+// ObserveOtherLeader notes that another daemon held the term.
+func (h *Leader) ObserveOtherLeader() { h.others.Store(true) }
 
 // Informed tells whether this daemon has heard from a holder of orders.
-func (h *Holder) Informed() bool {
+func (h *Leader) HasLeaderHistory() bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.FirstStart || !h.lastOrder.IsZero()
@@ -338,18 +338,18 @@
 // mayOrder tells whether orders may be given: under a lease that holds, or while
 // the service is silent and most daemons are still attached, so that no other
 // holder can be at work; the mutex is held.
-func (h *Holder) mayOrder(standing election.Standing, now time.Time) bool {
+func (h *Leader) mayOrder(standing election.TermStatus, now time.Time) bool {
 	switch standing {
-	case election.Sure:
+	case election.TermValid:
 		return true
-	case election.Blind:
+	case election.TermStoreUnreachable:
 		return 2*h.attached >= h.attachedMax
 	}
 	return false
 }
 
 // refreshStates takes in what the registry says of replicas that changed there; the mutex is held.
-func (h *Holder) refreshStates(now time.Time) {
+func (h *Leader) refreshStates(now time.Time) {
 	table := h.Table.Current()
 	changed, all := h.registry.take(table)
 	if all {
@@ -367,7 +367,7 @@
 }
 
 // refreshState takes in what the registry says of a replica; the mutex is held.
-func (h *Holder) refreshState(id string, table *routing.Table, now time.Time) {
+func (h *Leader) refreshState(id string, table *routing.Table, now time.Time) {
 	entry, listed := h.Fleet.Entry(id)
 	service := table.Service(entry.Service)
 	if !listed || service == nil || service.Engine == nil {
@@ -383,11 +383,11 @@
 	if state == nil {
 		// From the first report on the replica's own word tells what it holds and keeps.
 		state = &loading.Replica{ID: entry.ID, Born: entry.Born, Service: entry.Service, Zone: entry.Zone, Slots: entry.Slots, Holdings: entry.Holdings, InMemory: entry.InMemory, OnDisk: entry.OnDisk,
-			HeldUntil: h.ordered.heldUntil(entry.ID, h.Limits.TermGap)}
+			TermGapUntil: h.ordered.heldUntil(entry.ID, h.Limits.TermGap)}
 		h.states[id] = state
 		h.ids = nil
 		h.grewAt = now
-		state.Assumed = h.TooLarge != nil && h.TooLarge()
+		state.Assumed = h.TooManyReplicas != nil && h.TooManyReplicas()
 	}
 	if state.Assumed {
 		state.Holdings, state.InMemory, state.OnDisk = entry.Holdings, entry.InMemory, entry.OnDisk
@@ -397,7 +397,7 @@
 			h.fetches.Forget(id)
 			h.touch(id)
 		}
-		state.Restarted(entry.Born)
+		state.MarkRestarted(entry.Born)
 	}
 	state.Draining = entry.Draining
 	state.RestsUntil = h.Fleet.RestsUntil(id)
@@ -405,20 +405,20 @@
 }
 
 // snapshot joins what is known into the input of a decision; the mutex is held.
-func (h *Holder) snapshot(now time.Time) loading.Snapshot {
+func (h *Leader) snapshot(now time.Time) loading.Snapshot {
 	snapshot := loading.Snapshot{Now: now, Services: map[string]*routing.Engine{}, Demand: h.demandOf(now)}
 	perSecond, longest := 0.0, time.Duration(0)
 	h.Table.Current().Services(func(service *routing.Service) {
 		if service.Engine != nil {
 			snapshot.Services[service.Name] = service.Engine
 			perSecond = max(perSecond, service.Engine.LoadsPerSecond)
-			longest = max(longest, service.Engine.LongestLoad)
+			longest = max(longest, service.Engine.MaxStoreLoadTime)
 		}
 	})
-	h.window.Most = int(storeShare * (perSecond*h.Limits.Window.Seconds()*h.Limits.Slack + float64(h.Limits.Extra)))
-	snapshot.StoreLoads = h.window.Allowed(now)
-	h.fetches.Pace.Expect(longest)
-	snapshot.StoreAtOnce = h.fetches.Pace.AtOnce()
+	h.window.Max = int(storeShare * (perSecond*h.Limits.Window.Seconds()*h.Limits.Slack + float64(h.Limits.Extra)))
+	snapshot.StoreLoadsAllowed = h.window.Allowed(now)
+	h.fetches.Concurrency.SetLoadTime(longest)
+	snapshot.StoreConcurrency = h.fetches.Concurrency.Limit()
 	snapshot.Settled = now.Sub(h.grewAt) > settleTime
 	if h.ids == nil {
 		h.ids = sortedIDs(h.states)
@@ -427,7 +427,7 @@
 		state := h.states[id]
 		state.Running = int(h.running.total[id])
 		if order, calling := h.calling[id]; calling {
-			state = state.WithCall(order, now, now.Add(tick))
+			state = state.WithPendingCall(order, now, now.Add(tick))
 		}
 		snapshot.Replicas = append(snapshot.Replicas, state)
 	}
--- a/loader/holder_test.go
+++ b/loader/holder_test.go
@@ -30,12 +30,12 @@
 	return kv.TxnResult{Succeeded: true, Revision: 7}, nil
 }
 
-func (grantingStore) KeepLease(context.Context, kv.LeaseID) error { return nil }
+func (grantingStore) RenewLease(context.Context, kv.LeaseID) error { return nil }
 
 // silentReplicas answer nothing.
 type silentReplicas struct{}
 
-func (silentReplicas) Order(context.Context, fleet.Entry, loading.Order, string, int64) (Answer, error) {
+func (silentReplicas) Order(context.Context, fleet.Entry, loading.Order, string, int64) (OrderResponse, error) {
 	return 0, errors.New("no answer")
 }
 
@@ -58,12 +58,12 @@
 	t.Helper()
 	made := election.New(election.Config{Key: "term", Daemon: "d1", Address: "a:1", TTL: 3 * time.Second}, grantingStore{}, log)
 	began := make(chan struct{})
-	made.Listen(func(holder election.Holder) {
+	made.AddListener(func(holder election.Leader) {
 		if holder.Nonce != "" {
 			close(began)
 		}
 	})
-	made.Vacate(0)
+	made.ObserveAbsent(0)
 	go func() { _ = made.Serve(t.Context()) }()
 	<-began
 	return made
@@ -74,7 +74,7 @@
 func TestATermThatBeginsBeforeATableIsKnownWaitsForIt(t *testing.T) {
 	log := discarding()
 	made := elected(t, log)
-	holder := &Holder{
+	holder := &Leader{
 		Daemon: "d1", Fleet: emptyFleet(), Table: &routing.Store{}, Replicas: silentReplicas{},
 		Election: made, Metrics: NewMetrics(prometheus.NewRegistry()), Log: log, FirstStart: true,
 	}
@@ -88,7 +88,7 @@
 	orders chan loading.Order
 }
 
-func (r recordingReplicas) Order(_ context.Context, _ fleet.Entry, order loading.Order, _ string, _ int64) (Answer, error) {
+func (r recordingReplicas) Order(_ context.Context, _ fleet.Entry, order loading.Order, _ string, _ int64) (OrderResponse, error) {
 	r.orders <- order
 	return Done, nil
 }
@@ -99,7 +99,7 @@
 	log := discarding()
 	made := elected(t, log)
 	table, err := routing.NewTable(routing.Revision{Version: 1, Services: []*routing.Service{{Name: "press", Engine: &routing.Engine{
-		MemoryMB: 200, Models: map[string]*routing.Model{"m1": {Name: "m1", MemoryMB: 90, StoreLoad: 4 * time.Second, DiskLoad: time.Second}},
+		MemoryMB: 200, Models: map[string]*routing.Model{"m1": {Name: "m1", MemoryMB: 90, StoreLoadTime: 4 * time.Second, DiskLoadTime: time.Second}},
 	}}}})
 	require.NoError(t, err)
 	routes := &routing.Store{}
@@ -107,15 +107,15 @@
 	directory := emptyFleet()
 	directory.Put(fleet.Entry{ID: "r1", Service: "press", Address: "b:1"}, time.Now())
 	replicas := recordingReplicas{orders: make(chan loading.Order, 10)}
-	holder := &Holder{
+	holder := &Leader{
 		Daemon: "d1", Fleet: directory, Table: routes, Replicas: replicas,
 		Election: made, Metrics: NewMetrics(prometheus.NewRegistry()), Log: log, FirstStart: true,
 	}
 	holder.Prepare()
 	fence, _ := made.Term()
 	underWay := func() *loading.Replica {
-		state := &loading.Replica{ID: "r1", Service: "press", Known: true, LoadedAt: map[string]time.Time{}}
-		state.Took(loading.Order{ReplicaID: "r1", Verb: loading.Load, Target: fleet.Target{Model: "m1"}, Origin: loading.FromDisk, Takes: time.Second}, time.Now().Add(-time.Second))
+		state := &loading.Replica{ID: "r1", Service: "press", Verified: true, LoadedAt: map[string]time.Time{}}
+		state.MarkAccepted(loading.Order{ReplicaID: "r1", Verb: loading.Load, Target: fleet.Target{Model: "m1"}, Origin: loading.FromDisk, ExpectedDuration: time.Second}, time.Now().Add(-time.Second))
 		return state
 	}
 	holder.fence = fence
@@ -129,23 +129,23 @@
 	}, time.Second, time.Millisecond, "done tells that it is loaded")
 
 	holder.states["r1"] = underWay()
-	made.Deposed("a test")
+	made.StepDown("a test")
 	holder.turn(t.Context(), time.Now())
 	require.Empty(t, replicas.orders)
 }
 
 // orderingHolder returns a holder that is to load a model, with the replicas that hear its orders.
-func orderingHolder(t *testing.T) (*Holder, reportingReplicas) {
+func orderingHolder(t *testing.T) (*Leader, reportingReplicas) {
 	t.Helper()
 	log := discarding()
 	table, err := routing.NewTable(routing.Revision{Version: 1, Services: []*routing.Service{{Name: "press", Engine: &routing.Engine{
-		MemoryMB: 200, LoadsPerSecond: 4, Models: map[string]*routing.Model{"m1": {Name: "m1", MemoryMB: 90, StoreLoad: 4 * time.Second}},
+		MemoryMB: 200, LoadsPerSecond: 4, Models: map[string]*routing.Model{"m1": {Name: "m1", MemoryMB: 90, StoreLoadTime: 4 * time.Second}},
 	}}}})
 	require.NoError(t, err)
 	routes := &routing.Store{}
 	routes.Put(table)
 	replicas := reportingReplicas{recordingReplicas{orders: make(chan loading.Order, 10)}, make(chan string, 10)}
-	holder := &Holder{
+	holder := &Leader{
 		Daemon: "d1", Fleet: emptyFleet(), Table: routes, Replicas: replicas, Election: elected(t, log),
 		Metrics: NewMetrics(prometheus.NewRegistry()), Log: log, FirstStart: true, Limits: Limits{Window: 5 * time.Second, Slack: 1, Extra: 3},
 	}
@@ -161,7 +161,7 @@
 	holder.Fleet.Put(fleet.Entry{ID: "r1", Service: "press", Address: "r1:1"}, now)
 	holder.report(&rpc.LoadsDemand{DaemonId: "d2", Keys: []*rpc.TargetLoadDemand{{Service: "press", Model: "m1", Arrivals: 1, Waiting: 1}}})
 
-	holder.Fleet.Hear(fleet.Notice{Replica: "r1", Rest: rest}, now)
+	holder.Fleet.ApplyHint(fleet.Hint{Replica: "r1", Backoff: rest}, now)
 	holder.turn(t.Context(), now)
 	require.Empty(t, holder.calling, "not asked for its state")
 	holder.turn(t.Context(), now.Add(rest))
@@ -169,10 +169,10 @@
 	require.Eventually(t, func() bool {
 		holder.mutex.Lock()
 		defer holder.mutex.Unlock()
-		return holder.states["r1"].Known
+		return holder.states["r1"].Verified
 	}, time.Second, time.Millisecond)
 
-	holder.Fleet.Hear(fleet.Notice{Replica: "r1", Rest: rest}, now.Add(rest))
+	holder.Fleet.ApplyHint(fleet.Hint{Replica: "r1", Backoff: rest}, now.Add(rest))
 	holder.RegistryChanged("r1")
 	holder.turn(t.Context(), now.Add(rest))
 	require.Empty(t, holder.calling, "no order")
--- a/loader/leaving.go
+++ b/loader/leaving.go
@@ -15,11 +15,11 @@
 // The holder has to know, or it counts the copies on a leaving replica while the registry is silent: a
 // model with one copy was served elsewhere after 2.5 s, and after 0.25 s since it is told. The other
 // daemons have to know, or they go on to send requests there.
-func (h *Holder) takeLeaving(message *rpc.LoadsDemand, now time.Time) {
+func (h *Leader) takeLeaving(message *rpc.LoadsDemand, now time.Time) {
 	var news []string
 	for _, one := range incarnationsOf(message.GetLeaving()) {
 		// This daemon's own requests may have told its directory before.
-		if isNews := h.Fleet.TellLeaving(one, now); isNews || !h.leaving.has(one.ID) {
+		if isNews := h.Fleet.ApplyRelayedDraining(one, now); isNews || !h.leaving.has(one.ID) {
 			news = append(news, one.ID)
 		}
 	}
@@ -36,17 +36,17 @@
 }
 
 // retellLeaving begins a term with the replicas that are known to leave; the mutex is held.
-func (h *Holder) retellLeaving() {
+func (h *Leader) retellLeaving() {
 	h.leaving = newTouches()
-	for _, one := range h.Fleet.Leaving() {
+	for _, one := range h.Fleet.ReportedDraining() {
 		h.leaving.mark(one.ID, h.version)
 	}
 }
 
 // leavingView lists the replicas of which it came after a version that they leave; the mutex is held.
-func (h *Holder) leavingView(after uint64) (view []*rpc.ReplicaIncarnation) {
+func (h *Leader) leavingView(after uint64) (view []*rpc.ReplicaIncarnation) {
 	for _, id := range h.leaving.after(after) {
-		if one, leaves := h.Fleet.Leaves(id); leaves {
+		if one, leaves := h.Fleet.DrainingIncarnation(id); leaves {
 			view = append(view, rpc.IncarnationMessage(one))
 		}
 	}
@@ -56,7 +56,7 @@
 // leavingNews returns the replicas that said to this daemon that they leave and of which the holder has
 // not been told on this stream.
 func (f *Follower) leavingNews(sent *reported) (news []*rpc.ReplicaIncarnation) {
-	for _, one := range f.Fleet.LeavingHere() {
+	for _, one := range f.Fleet.LocallyReportedDraining() {
 		if !sent.leaving[one] {
 			sent.leaving[one] = true
 			news = append(news, rpc.IncarnationMessage(one))
--- a/loader/leaving_test.go
+++ b/loader/leaving_test.go
@@ -10,8 +10,8 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-func leavingHolder(now time.Time) *Holder {
-	holder := &Holder{Fleet: emptyFleet(), Log: discarding()}
+func leavingHolder(now time.Time) *Leader {
+	holder := &Leader{Fleet: emptyFleet(), Log: discarding()}
 	for _, id := range []string{"r1", "r2"} {
 		holder.Fleet.Put(fleet.Entry{ID: id, Service: "press", Address: id + ":1"}, now)
 	}
@@ -53,7 +53,7 @@
 func TestWhatTheHolderHeardItselfIsToldToAllOthers(t *testing.T) {
 	now := time.Now()
 	holder := leavingHolder(now)
-	holder.Fleet.Hear(fleet.Notice{Replica: "r1", Leaving: true}, now)
+	holder.Fleet.ApplyHint(fleet.Hint{Replica: "r1", Leaving: true}, now)
 	follower := &Follower{Fleet: holder.Fleet}
 	sent := &reported{leaving: map[fleet.Incarnation]bool{}}
 	holder.report(&rpc.LoadsDemand{DaemonId: "self", Leaving: follower.leavingNews(sent)})
--- a/loader/limits.go
+++ b/loader/limits.go
@@ -15,12 +15,12 @@
 // The other daemons have to know, or each would send what it had sent before until it met an answer that
 // names the limit. What this daemon's own requests heard comes by its own stream, as from any other; its
 // directory then knows it before, so what counts as news is what the others were told last.
-func (h *Holder) takeLimits(message *rpc.LoadsDemand, now time.Time) {
+func (h *Leader) takeLimits(message *rpc.LoadsDemand, now time.Time) {
 	var news []fleet.ReplicaLimit
 	for _, message := range message.GetLimits() {
 		told := message.Word(now)
-		h.Fleet.TellLimit(told, now)
-		if word, said := h.Fleet.WordOfLimit(told.ID); said && !h.limits.isTold(word) {
+		h.Fleet.ApplyRelayedLimit(told, now)
+		if word, said := h.Fleet.LimitRecord(told.ID); said && !h.limits.isTold(word) {
 			news = append(news, word)
 		}
 	}
@@ -60,18 +60,18 @@
 }
 
 // retellLimits begins a term with the limits that are known; the mutex is held.
-func (h *Holder) retellLimits() {
+func (h *Leader) retellLimits() {
 	h.limits = newLimitsTold()
-	for _, one := range h.Fleet.WordsOfLimits(false) {
+	for _, one := range h.Fleet.LimitRecords(false) {
 		h.limits.tell(one, h.version)
 	}
 }
 
 // limitsView lists the replicas of whose limits it came after a version that they changed; the mutex is
 // held.
-func (h *Holder) limitsView(after uint64, now time.Time) (view []*rpc.ReplicaLimit) {
+func (h *Leader) limitsView(after uint64, now time.Time) (view []*rpc.ReplicaLimit) {
 	for _, id := range h.limits.after(after) {
-		if word, said := h.Fleet.WordOfLimit(id); said {
+		if word, said := h.Fleet.LimitRecord(id); said {
 			view = append(view, rpc.LimitMessage(word, now))
 		}
 	}
@@ -80,7 +80,7 @@
 
 // LimitHeard makes the follower tell at once what a replica said to this daemon of its limit: until all
 // daemons know it, they go on as before.
-func (f *Follower) LimitHeard() {
+func (f *Follower) LimitReported() {
 	select {
 	case f.news <- struct{}{}:
 	default:
@@ -90,7 +90,7 @@
 // limitNews returns what replicas said to this daemon of their limits and the holder has not been told
 // on this stream, or has told otherwise since.
 func (f *Follower) limitNews(sent *reported, now time.Time) (news []*rpc.ReplicaLimit) {
-	words := f.Fleet.WordsOfLimits(true)
+	words := f.Fleet.LimitRecords(true)
 	sent.mutex.Lock()
 	defer sent.mutex.Unlock()
 	for _, one := range words {
@@ -109,8 +109,8 @@
 		sent.mutex.Lock()
 		sent.limits[told.Incarnation] = told.PerSecond
 		sent.mutex.Unlock()
-		if change, isNews := f.Fleet.TellLimit(told, now); isNews {
-			f.Log.WithFields(logrus.Fields{logging.Replica: told.ID, logging.Limit: change.PerSecond, logging.LimitBefore: change.Before}).Info(logging.MessageLimitTold)
+		if change, isNews := f.Fleet.ApplyRelayedLimit(told, now); isNews {
+			f.Log.WithFields(logrus.Fields{logging.Replica: told.ID, logging.Limit: change.PerSecond, logging.LimitBefore: change.Previous}).Info(logging.MessageLimitTold)
 		}
 	}
 }
--- a/loader/limits_test.go
+++ b/loader/limits_test.go
@@ -25,15 +25,15 @@
 	return follower, &reported{limits: map[fleet.Incarnation]float64{}}
 }
 
-func naming(id string, perSecond float64) fleet.Notice {
-	return fleet.Notice{Replica: id, Limit: fleet.LimitNamed, PerSecond: perSecond}
+func naming(id string, perSecond float64) fleet.Hint {
+	return fleet.Hint{Replica: id, Limit: fleet.LimitGiven, PerSecond: perSecond}
 }
 
 func TestADaemonsWordOfALimitReachesAllOthersOnce(t *testing.T) {
 	now := time.Now()
 	holder := leavingHolder(now)
 	before := holder.version
-	word := rpc.LimitMessage(fleet.ReplicaLimit{Incarnation: fleet.Incarnation{ID: "r1"}, PerSecond: 2, HeardAt: now}, now)
+	word := rpc.LimitMessage(fleet.ReplicaLimit{Incarnation: fleet.Incarnation{ID: "r1"}, PerSecond: 2, ObservedAt: now}, now)
 	holder.report(&rpc.LoadsDemand{DaemonId: "d1", Limits: []*rpc.ReplicaLimit{word}})
 	require.Equal(t, 2.0, holder.Fleet.LimitOf("r1"))
 	require.Equal(t, map[string]float64{"r1": 2}, limitsSaid(holder.view(before, now).GetLimits()))
@@ -56,7 +56,7 @@
 func TestALimitThatTheHolderHeardItselfIsToldToAllOthers(t *testing.T) {
 	now := time.Now()
 	holder := leavingHolder(now)
-	holder.Fleet.HearLimit(naming("r1", 2), now)
+	holder.Fleet.ApplyLimitHint(naming("r1", 2), now)
 	follower, sent := limitFollower(holder.Fleet)
 	holder.report(&rpc.LoadsDemand{DaemonId: "self", Limits: follower.limitNews(sent, now)})
 	require.Equal(t, map[string]float64{"r1": 2}, limitsSaid(holder.view(0, now).GetLimits()))
@@ -64,7 +64,7 @@
 
 	for _, perSecond := range []float64{5, 1} {
 		told := holder.version
-		holder.Fleet.HearLimit(naming("r1", perSecond), now)
+		holder.Fleet.ApplyLimitHint(naming("r1", perSecond), now)
 		holder.report(&rpc.LoadsDemand{DaemonId: "self", Limits: follower.limitNews(sent, now)})
 		require.Equal(t, map[string]float64{"r1": perSecond}, limitsSaid(holder.view(told, now).GetLimits()), "each change")
 	}
@@ -74,9 +74,9 @@
 func TestAWordThatTheHolderToldOtherwiseIsSaidAgain(t *testing.T) {
 	now := time.Now()
 	follower, sent := limitFollower(leavingHolder(now).Fleet)
-	follower.Fleet.HearLimit(naming("r1", 2), now)
+	follower.Fleet.ApplyLimitHint(naming("r1", 2), now)
 	require.Len(t, follower.limitNews(sent, now), 1)
-	lifted := rpc.LimitMessage(fleet.ReplicaLimit{Incarnation: fleet.Incarnation{ID: "r1"}, HeardAt: now.Add(-time.Second)}, now)
+	lifted := rpc.LimitMessage(fleet.ReplicaLimit{Incarnation: fleet.Incarnation{ID: "r1"}, ObservedAt: now.Add(-time.Second)}, now)
 	follower.takeLimits([]*rpc.ReplicaLimit{lifted}, sent, now)
 	require.Equal(t, 2.0, follower.Fleet.LimitOf("r1"), "it was said before")
 	require.Equal(t, map[string]float64{"r1": 2}, limitsSaid(follower.limitNews(sent, now)))
@@ -84,7 +84,7 @@
 
 func TestALimitIsToldAtOnce(t *testing.T) {
 	follower, _ := limitFollower(emptyFleet())
-	follower.LimitHeard()
-	follower.LimitHeard()
+	follower.LimitReported()
+	follower.LimitReported()
 	require.Len(t, follower.news, 1)
 }
--- a/loader/orders.go
+++ b/loader/orders.go
@@ -14,8 +14,8 @@
 )
 
 // give sends an order; the mutex is held. The answer is taken in later.
-func (h *Holder) give(ctx context.Context, order loading.Order, now time.Time) {
-	if state := h.states[order.ReplicaID]; state != nil && !state.Known {
+func (h *Leader) give(ctx context.Context, order loading.Order, now time.Time) {
+	if state := h.states[order.ReplicaID]; state != nil && !state.Verified {
 		h.check(ctx, order.ReplicaID, now) // its own word first; the next round decides by it
 		return
 	}
@@ -27,16 +27,16 @@
 	h.lastOrder = now
 	h.ordered.note(order.ReplicaID, now)
 	if order.LoadsFromStore() {
-		h.window.Began(now)
+		h.window.RecordStart(now)
 	}
 	h.send(ctx, entry, order, h.fence, h.apply)
 }
 
 // applyAnswer takes in what a replica said to an order.
-type applyAnswer func(state *loading.Replica, order loading.Order, answer Answer, err error, now time.Time)
+type applyAnswer func(state *loading.Replica, order loading.Order, answer OrderResponse, err error, now time.Time)
 
 // send sends an order; apply gets the answer, under the mutex.
-func (h *Holder) send(ctx context.Context, entry fleet.Entry, order loading.Order, fence int64, apply applyAnswer) {
+func (h *Leader) send(ctx context.Context, entry fleet.Entry, order loading.Order, fence int64, apply applyAnswer) {
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 		defer cancel()
@@ -46,7 +46,7 @@
 }
 
 // answered takes in what a replica said to an order.
-func (h *Holder) answered(order loading.Order, fence int64, answer Answer, err error, apply applyAnswer) {
+func (h *Leader) answered(order loading.Order, fence int64, answer OrderResponse, err error, apply applyAnswer) {
 	now := time.Now()
 	h.mutex.Lock()
 	h.ordered.note(order.ReplicaID, now) // it may have reached the replica as late as this
@@ -60,41 +60,41 @@
 	h.mutex.Unlock()
 	h.logOrder(order, fence, answer, err)
 	if err == nil && answer == Fenced {
-		h.Election.Deposed("a replica has seen a higher fence")
+		h.Election.StepDown("a replica has seen a higher fence")
 	}
 	h.Wake()
 }
 
-func (h *Holder) apply(state *loading.Replica, order loading.Order, answer Answer, err error, now time.Time) {
+func (h *Leader) apply(state *loading.Replica, order loading.Order, answer OrderResponse, err error, now time.Time) {
 	switch {
-	case answer == Refused && err == nil && state.Awaits(now):
-		state.NotYet(now)
+	case answer == Refused && err == nil && state.HasOverdueOrder(now):
+		state.MarkUnfinished(now)
 	case err != nil, answer == Refused, answer == Fenced:
-		state.Doubt(now)
+		state.MarkUnverified(now)
 	case answer == Gone:
-		state.Lost(now)
+		state.MarkUnreachable(now)
 	case answer == Accepted:
 		h.Metrics.begun(order)
-		state.Took(order, now)
-		h.fetches.Began(order, now)
+		state.MarkAccepted(order, now)
+		h.fetches.Start(order, now)
 	case answer == Done:
-		state.Did(order, now)
-		h.fetches.Heard(state, now)
+		state.MarkDone(order, now)
+		h.fetches.Update(state, now)
 	}
 }
 
 // touch marks a replica's state as changed; the mutex is held.
-func (h *Holder) touch(id string) {
+func (h *Leader) touch(id string) {
 	h.notify()
 	h.loads.mark(id, h.version)
 }
 
-func (h *Holder) logOrder(order loading.Order, fence int64, answer Answer, err error) {
+func (h *Leader) logOrder(order loading.Order, fence int64, answer OrderResponse, err error) {
 	outcome := answer.String()
 	entry := h.Log.WithFields(logrus.Fields{
 		logging.Replica: order.ReplicaID, logging.Order: order.Verb.String(), logging.Model: order.Target.Model, logging.Adapter: order.Target.Adapter,
 		logging.Sequence: order.Sequence, logging.Fence: fence, logging.Reason: order.Reason, logging.Source: order.Origin.String(),
-		logging.ReadyInMs: order.Takes.Milliseconds(),
+		logging.ReadyInMs: order.ExpectedDuration.Milliseconds(),
 	})
 	if err != nil {
 		outcome = "unanswered"
@@ -106,10 +106,10 @@
 
 // checkReplicas asks for the reports of replicas of which more must be known; the
 // mutex is held.
-func (h *Holder) checkReplicas(ctx context.Context, now time.Time) {
+func (h *Leader) checkReplicas(ctx context.Context, now time.Time) {
 	for id, state := range h.states {
 		at := state.NextCheck(now)
-		if _, calling := h.calling[id]; calling || state.Draining && state.Known || (state.Known || state.Assumed) && at.IsZero() {
+		if _, calling := h.calling[id]; calling || state.Draining && state.Verified || (state.Verified || state.Assumed) && at.IsZero() {
 			continue
 		}
 		for _, earliest := range []time.Time{h.polled[id].Add(pollPause), state.RestsUntil} {
@@ -121,7 +121,7 @@
 			h.due(at)
 			continue
 		}
-		if question, possible := state.Question(now); possible {
+		if question, possible := state.ProbeOrder(now); possible {
 			h.ask(ctx, question, now)
 			continue
 		}
@@ -131,7 +131,7 @@
 
 // ask gives an order again that should have been carried out, to learn whether it was; the
 // mutex is held.
-func (h *Holder) ask(ctx context.Context, order loading.Order, now time.Time) {
+func (h *Leader) ask(ctx context.Context, order loading.Order, now time.Time) {
 	entry, found := h.Fleet.Entry(order.ReplicaID)
 	if !found || !h.mayMessage(h.states[order.ReplicaID], now) {
 		return
@@ -143,23 +143,23 @@
 }
 
 // applyAsked takes in the answer to an order that was given before; the mutex is held.
-func (h *Holder) applyAsked(state *loading.Replica, order loading.Order, answer Answer, err error, now time.Time) {
+func (h *Leader) applyAsked(state *loading.Replica, order loading.Order, answer OrderResponse, err error, now time.Time) {
 	if err == nil && (answer == Accepted || answer == Refused) {
-		state.NotYet(now) // accepted says that it is being carried out
+		state.MarkUnfinished(now) // accepted says that it is being carried out
 		return
 	}
 	h.apply(state, order, answer, err, now)
 }
 
 // due notes a moment at which the holder has to look again; the mutex is held.
-func (h *Holder) due(at time.Time) {
+func (h *Leader) due(at time.Time) {
 	if h.next.IsZero() || at.Before(h.next) {
 		h.next = at
 	}
 }
 
 // check asks a replica for its report; the mutex is held.
-func (h *Holder) check(ctx context.Context, id string, now time.Time) {
+func (h *Leader) check(ctx context.Context, id string, now time.Time) {
 	entry, found := h.Fleet.Entry(id)
 	if !found || !h.mayMessage(h.states[id], now) {
 		return
@@ -176,7 +176,7 @@
 }
 
 // heard takes in a replica's report.
-func (h *Holder) heard(id string, fence int64, report loading.Report, err error) {
+func (h *Leader) heard(id string, fence int64, report loading.Report, err error) {
 	now := time.Now()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -189,15 +189,15 @@
 		return
 	}
 	if err != nil {
-		if state.Known {
+		if state.Verified {
 			h.polled[id] = now.Add(pollPause) // ask less often where nothing answers
 		} else {
-			state.Lost(now)
+			state.MarkUnreachable(now)
 		}
 		return
 	}
-	changed := state.Hear(report, now)
-	h.fetches.Heard(state, now)
+	changed := state.ApplyReport(report, now)
+	h.fetches.Update(state, now)
 	if changed {
 		h.touch(id)
 		h.Log.WithFields(logrus.Fields{logging.Replica: id, logging.Sequence: report.Sequence, logging.Model: slices.Sorted(maps.Keys(report.Holdings)),
--- a/loader/reach.go
+++ b/loader/reach.go
@@ -51,4 +51,4 @@
 
 // Reached returns which share of the daemons is attached to this one, the holder of load orders, as of
 // its last round of decisions.
-func (h *Holder) Reached() float64 { return math.Float64frombits(h.reach.share.Load()) }
+func (h *Leader) Reached() float64 { return math.Float64frombits(h.reach.share.Load()) }
--- a/loader/registry.go
+++ b/loader/registry.go
@@ -43,7 +43,7 @@
 }
 
 // RegistryChanged takes in that a replica changed in the registry; empty: that all may have.
-func (h *Holder) RegistryChanged(replica string) {
+func (h *Leader) RegistryChanged(replica string) {
 	if replica == "" {
 		h.registry.all()
 	} else {
--- a/loader/running.go
+++ b/loader/running.go
@@ -84,7 +84,7 @@
 }
 
 // refreshRunning sums the requests on replicas when it is time to; the mutex is held.
-func (h *Holder) refreshRunning(now time.Time) {
+func (h *Leader) refreshRunning(now time.Time) {
 	if !h.running.due(now, h.listeners()) {
 		return
 	}
@@ -104,6 +104,6 @@
 }
 
 // runningView lists what changed after a version; the mutex is held.
-func (h *Holder) runningView(after uint64) []*rpc.ReplicaRunning {
+func (h *Leader) runningView(after uint64) []*rpc.ReplicaRunning {
 	return runningMessages(h.running.changed.after(after), h.running.told)
 }
--- a/loader/silence_test.go
+++ b/loader/silence_test.go
@@ -20,7 +20,7 @@
 // Open connections may fall silent for good, without a reset, while new ones work.
 func TestAStreamToTheHolderThatFallsSilentIsReplaced(t *testing.T) {
 	t.Parallel()
-	holder := &Holder{Fleet: emptyFleet()}
+	holder := &Leader{Fleet: emptyFleet()}
 	holder.Prepare()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -34,10 +34,10 @@
 	t.Cleanup(proxy.Close)
 
 	log, lines := test.NewNullLogger()
-	follower := &Follower{Daemon: "a", Demand: demand.NewTracker(), Fleet: fleet.NewDirectory("z", func() float64 { return 0 }), Holder: holder,
+	follower := &Follower{Daemon: "a", Demand: demand.NewTracker(), Fleet: fleet.NewDirectory("z", func() float64 { return 0 }), Leader: holder,
 		Daemons: func(int) {}, Log: log}
 	follower.Prepare()
-	follower.HolderChanged(election.Holder{Daemon: "b", Address: proxy.Address(), Nonce: "n", Fence: 1})
+	follower.LeaderChanged(election.Leader{Daemon: "b", Address: proxy.Address(), Nonce: "n", Fence: 1})
 	go func() { _ = follower.Serve(ctx) }()
 	require.Eventually(t, follower.Attached, time.Second, time.Millisecond)
 	// The follower is attached once it has sent its first message. The proxy silences the connections that it
@@ -55,7 +55,7 @@
 }
 
 // attachedTo returns how many daemons a holder has a stream of.
-func attachedTo(holder *Holder) int {
+func attachedTo(holder *Leader) int {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	return holder.attached
--- a/loader/turns_test.go
+++ b/loader/turns_test.go
@@ -14,15 +14,15 @@
 
 // turnsOf is a book of the holder's own.
 type turnsOf struct {
-	book  *permit.Book
+	book  *permit.Pacer
 	now   time.Time
 	begun int
 }
 
-func (t *turnsOf) Begin() { t.begun++ }
+func (t *turnsOf) BeginTerm() { t.begun++ }
 
-func (t *turnsOf) TakeTurn(ask permit.Ask) (bool, time.Duration) {
-	answer := t.book.Ask(ask, 1, t.now)
+func (t *turnsOf) TryReserve(ask permit.Request) (bool, time.Duration) {
+	answer := t.book.Request(ask, 1, t.now)
 	return answer.Granted, answer.RetryIn
 }
 
@@ -32,10 +32,10 @@
 	const pause = 5 * time.Second
 	holder, replicas := orderingHolder(t)
 	now := time.Now()
-	turns := &turnsOf{book: permit.NewBook(true, now), now: now}
+	turns := &turnsOf{book: permit.NewPacer(true, now), now: now}
 	holder.Turns = turns
 	holder.Fleet.Put(fleet.Entry{ID: "r1", Service: "press", Address: "r1:1"}, now)
-	holder.Fleet.HearLimit(naming("r1", 1/pause.Seconds()), now)
+	holder.Fleet.ApplyLimitHint(naming("r1", 1/pause.Seconds()), now)
 	holder.report(&rpc.LoadsDemand{DaemonId: "d2", Keys: []*rpc.TargetLoadDemand{{Service: "press", Model: "m1", Arrivals: 1, Waiting: 1}}})
 
 	holder.turn(t.Context(), now)
@@ -44,7 +44,7 @@
 	require.Eventually(t, func() bool {
 		holder.mutex.Lock()
 		defer holder.mutex.Unlock()
-		return holder.states["r1"].Known
+		return holder.states["r1"].Verified
 	}, time.Second, time.Millisecond)
 	holder.turn(t.Context(), now)
 	require.Empty(t, holder.calling, "the next is not free")
@@ -55,7 +55,7 @@
 
 func TestTheShareOfTheDaemonsThatReachTheHolder(t *testing.T) {
 	now := time.Now()
-	holder := &Holder{}
+	holder := &Leader{}
 	require.Zero(t, holder.Reached())
 	note := func(attached int, after time.Duration) float64 {
 		holder.reach.streams = nil
--- a/loader/yield.go
+++ b/loader/yield.go
@@ -44,7 +44,7 @@
 func (y *yieldPlan) due(now time.Time) bool { return now.Sub(y.began) >= y.after }
 
 // noteDaemon takes in what the first message of a stream says of its daemon.
-func (h *Holder) noteDaemon(first *rpc.LoadsDemand) {
+func (h *Leader) noteDaemon(first *rpc.LoadsDemand) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if known := h.daemons[first.GetDaemonId()]; known != nil {
@@ -60,7 +60,7 @@
 // late for all: on a drawn day of Nitra large (fresh-3090) one with 0.192 of a core held it
 // for 30 s, and 1,432 streams were refused for want of their model; 648 in a play of the same
 // day in which a strong machine held it.
-func (h *Holder) strongerAttached(now time.Time) bool {
+func (h *Leader) strongerAttached(now time.Time) bool {
 	for id, known := range h.daemons {
 		isStronger := known.delay > 0 && float64(h.TermDelay) >= strongerBy*float64(known.delay)
 		if isStronger && id != h.Daemon && known.detached.IsZero() && now.Sub(known.attached) >= yieldAfter {
@@ -71,13 +71,13 @@
 }
 
 // yield hands the term over; the mutex is held.
-func (h *Holder) yield(ctx context.Context, now time.Time) {
+func (h *Leader) yield(ctx context.Context, now time.Time) {
 	h.yields.last = now
 	h.Log.WithField(logging.Fence, h.fence).Info("the term is handed over: a daemon on a stronger machine is attached")
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, yieldTime)
 		defer cancel()
-		h.Election.Yield(ctx, h.Handover)
+		h.Election.CompleteHandover(ctx, h.Handover)
 		h.Wake()
 	}()
 }
--- a/loader/yield_test.go
+++ b/loader/yield_test.go
@@ -24,7 +24,7 @@
 		"just attached":   {daemonDemand{delay: own / 4, attached: now}, false},
 		"detached":        {daemonDemand{delay: own / 4, attached: longAgo, detached: now}, false},
 	} {
-		holder := &Holder{Daemon: "own", TermDelay: own, daemons: map[string]*daemonDemand{"other": &example.other}}
+		holder := &Leader{Daemon: "own", TermDelay: own, daemons: map[string]*daemonDemand{"other": &example.other}}
 		require.Equal(t, example.stronger, holder.strongerAttached(now), name)
 	}
 }
--- a/loading/adapters.go
+++ b/loading/adapters.go
@@ -45,7 +45,7 @@
 				continue
 			}
 			if best := p.adapterSpot(target); best != nil && p.hasAdapterRoom(best, target) {
-				p.give(best, Order{Verb: Load, Target: target, Takes: adapterTime, Reason: "ahead of demand"})
+				p.give(best, Order{Verb: Load, Target: target, ExpectedDuration: adapterTime, Reason: "ahead of demand"})
 			}
 		}
 	}
@@ -75,11 +75,11 @@
 		return
 	}
 	if p.hasAdapterRoom(best, target) {
-		p.give(best, Order{Verb: Load, Target: target, Takes: adapterTime, Reason: "requests wait"})
+		p.give(best, Order{Verb: Load, Target: target, ExpectedDuration: adapterTime, Reason: "requests wait"})
 		return
 	}
 	if victim, found := p.idleAdapter(best); found {
-		p.give(best, Order{Verb: Unload, Target: victim, Takes: unloadTime, Reason: "a place for " + target.Model + "/" + target.Adapter})
+		p.give(best, Order{Verb: Unload, Target: victim, ExpectedDuration: unloadTime, Reason: "a place for " + target.Model + "/" + target.Adapter})
 	}
 }
 
@@ -133,7 +133,7 @@
 	for _, adapters := range replica.Holdings {
 		count += len(adapters)
 	}
-	for _, order := range replica.UnderWay {
+	for _, order := range replica.Pending {
 		if order.Verb == Load && !order.ForModel() && !replica.Holdings.Has(order.Target) {
 			count++
 		}
@@ -143,7 +143,7 @@
 
 func adaptersComing(replica *Replica) int {
 	count := 0
-	for _, order := range replica.UnderWay {
+	for _, order := range replica.Pending {
 		if order.Verb == Load && !order.ForModel() {
 			count++
 		}
--- a/loading/ask.go
+++ b/loading/ask.go
@@ -24,12 +24,12 @@
 // Question returns the order to be given again to learn at once, not from a later report,
 // that the load of a model has ended: the replica answers that it holds the model, or
 // that it is busy.
-func (r *Replica) Question(now time.Time) (Order, bool) {
-	if !r.Known || now.Before(r.HeldUntil) {
+func (r *Replica) ProbeOrder(now time.Time) (Order, bool) {
+	if !r.Verified || now.Before(r.TermGapUntil) {
 		return Order{}, false
 	}
-	for _, order := range r.UnderWay {
-		if order.Verb == Load && order.ForModel() && order.Asked < mostAsked && !now.Before(order.askAt()) {
+	for _, order := range r.Pending {
+		if order.Verb == Load && order.ForModel() && order.Probes < mostAsked && !now.Before(order.askAt()) {
 			asked := order.Order
 			asked.Sequence, asked.Reason = r.Sequence, reasonAsked
 			return asked, true
@@ -39,15 +39,15 @@
 }
 
 // askAt is when the replica should be asked whether the order has ended.
-func (u UnderWay) askAt() time.Time {
-	return u.ReadyAt().Add(time.Duration(u.Asked) * askAgain)
+func (u Pending) askAt() time.Time {
+	return u.ReadyAt().Add(time.Duration(u.Probes) * askAgain)
 }
 
 // Ended takes in the replica's answer that an order under way has ended.
-func (r *Replica) Ended(order Order, now time.Time) {
-	r.UnderWay = slices.DeleteFunc(r.UnderWay, func(one UnderWay) bool { return one.is(order) })
+func (r *Replica) CompleteOrder(order Order, now time.Time) {
+	r.Pending = slices.DeleteFunc(r.Pending, func(one Pending) bool { return one.is(order) })
 	r.apply(order)
-	r.ReadAgainAt = now.Add(readAfter)
+	r.ReportDueAt = now.Add(readAfter)
 	if order.Verb == Load && order.ForModel() {
 		if r.LoadedAt == nil {
 			r.LoadedAt = map[string]time.Time{}
@@ -64,12 +64,12 @@
 	return append(slices.Clone(names), name)
 }
 
-// NotYet takes in the replica's answer that a model is still being loaded or unloaded.
-func (r *Replica) NotYet(now time.Time) {
-	for index := range r.UnderWay {
-		if order := &r.UnderWay[index]; order.ForModel() && !now.Before(order.ReadyAt()) {
-			if order.Asked++; order.Asked >= mostAsked {
-				r.Known = false // only its report tells, whatever it says
+// MarkUnfinished takes in the replica's answer that a model is still being loaded or unloaded.
+func (r *Replica) MarkUnfinished(now time.Time) {
+	for index := range r.Pending {
+		if order := &r.Pending[index]; order.ForModel() && !now.Before(order.ReadyAt()) {
+			if order.Probes++; order.Probes >= mostAsked {
+				r.Verified = false // only its report tells, whatever it says
 			}
 		}
 	}
@@ -77,8 +77,8 @@
 
 // Awaits tells whether the replica has an order for a model under way that should have
 // ended.
-func (r *Replica) Awaits(now time.Time) bool {
-	return slices.ContainsFunc(r.UnderWay, func(order UnderWay) bool {
+func (r *Replica) HasOverdueOrder(now time.Time) bool {
+	return slices.ContainsFunc(r.Pending, func(order Pending) bool {
 		return order.ForModel() && !now.Before(order.ReadyAt())
 	})
 }
@@ -86,9 +86,9 @@
 // endUnloads takes in that unloads have ended, since the replica accepts an order for a
 // model only when none is under way.
 func (r *Replica) endUnloads(now time.Time) {
-	for _, order := range slices.Clone(r.UnderWay) {
+	for _, order := range slices.Clone(r.Pending) {
 		if order.unloaded(now) {
-			r.Ended(order.Order, now)
+			r.CompleteOrder(order.Order, now)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 // olderThanAnswers tells whether a report lacks a model of which the replica has said
 // since that it holds it.
 func (r *Replica) olderThanAnswers(report Report, now time.Time) bool {
-	if r.ReadAgainAt.IsZero() || now.After(r.ReadAgainAt.Add(readAfter)) {
+	if r.ReportDueAt.IsZero() || now.After(r.ReportDueAt.Add(readAfter)) {
 		return false
 	}
 	for model := range r.Holdings {
--- a/loading/ask_test.go
+++ b/loading/ask_test.go
@@ -9,30 +9,30 @@
 )
 
 func loadOrder(model string) Order {
-	return Order{ReplicaID: "r1", Verb: Load, Target: fleet.Target{Model: model}, Origin: FromDisk, Takes: second}
+	return Order{ReplicaID: "r1", Verb: Load, Target: fleet.Target{Model: model}, Origin: FromDisk, ExpectedDuration: second}
 }
 
 // Reports tell of the end of a load some hundred ms late, which was a fifth of the time
 // that each load kept its replica.
 func TestAReplicaIsAskedByTheSameOrderWhetherALoadHasEnded(t *testing.T) {
 	asked := replica("r1", "m0")
-	asked.Took(loadOrder("m1"), start)
-	_, possible := asked.Question(start.Add(second - 1))
+	asked.MarkAccepted(loadOrder("m1"), start)
+	_, possible := asked.ProbeOrder(start.Add(second - 1))
 	require.False(t, possible, "not before it should have ended")
-	question, possible := asked.Question(start.Add(second))
+	question, possible := asked.ProbeOrder(start.Add(second))
 	require.True(t, possible)
 	require.Equal(t, asked.Sequence, question.Sequence)
 	require.Equal(t, fleet.Target{Model: "m1"}, question.Target)
 
-	asked.NotYet(start.Add(second))
+	asked.MarkUnfinished(start.Add(second))
 	require.Equal(t, start.Add(second+askAgain), asked.NextCheck(start.Add(second)))
-	_, possible = asked.Question(start.Add(second))
+	_, possible = asked.ProbeOrder(start.Add(second))
 	require.False(t, possible)
 
 	end := start.Add(second + askAgain)
-	asked.Ended(question, end)
+	asked.CompleteOrder(question, end)
 	require.True(t, asked.Holdings.Has(fleet.Target{Model: "m1"}))
-	require.Empty(t, asked.UnderWay)
+	require.Empty(t, asked.Pending)
 	require.Zero(t, asked.freeIn(end))
 	require.Contains(t, asked.OnDisk, "m1")
 	require.Equal(t, end.Add(readAfter), asked.NextCheck(end), "the report tells which copies are kept")
@@ -40,12 +40,12 @@
 
 func TestAReportFromBeforeAnAnswerIsNotTaken(t *testing.T) {
 	asked := replica("r1", "m0")
-	asked.Took(loadOrder("m1"), start)
+	asked.MarkAccepted(loadOrder("m1"), start)
 	end := start.Add(second)
-	asked.Ended(loadOrder("m1"), end)
-	require.False(t, asked.Hear(Report{Sequence: 1, Busy: true, Holdings: fleet.Holdings{"m0": nil}}, end.Add(readAfter)))
+	asked.CompleteOrder(loadOrder("m1"), end)
+	require.False(t, asked.ApplyReport(Report{Sequence: 1, Busy: true, Holdings: fleet.Holdings{"m0": nil}}, end.Add(readAfter)))
 	require.True(t, asked.Holdings.Has(fleet.Target{Model: "m1"}))
-	asked.Hear(Report{Sequence: 1, Holdings: fleet.Holdings{"m0": nil, "m1": nil}, OnDisk: []string{"m1"}}, end.Add(2*readAfter))
+	asked.ApplyReport(Report{Sequence: 1, Holdings: fleet.Holdings{"m0": nil, "m1": nil}, OnDisk: []string{"m1"}}, end.Add(2*readAfter))
 	require.Equal(t, []string{"m1"}, asked.OnDisk)
 	require.True(t, asked.NextCheck(end.Add(2*readAfter)).IsZero())
 }
@@ -54,22 +54,22 @@
 // question, and its reports were not taken for the rest of the day.
 func TestAReplicaThatNeverSaysThatALoadHasEndedIsReadAnew(t *testing.T) {
 	asked := replica("r1", "m0")
-	asked.Took(loadOrder("m1"), start)
+	asked.MarkAccepted(loadOrder("m1"), start)
 	asked.Sequence++ // more than the replica has taken
 	now := start.Add(second)
 	for range mostAsked {
-		asked.NotYet(now)
+		asked.MarkUnfinished(now)
 		now = now.Add(askAgain)
 	}
-	require.False(t, asked.Known)
-	asked.Hear(Report{Sequence: 1, Holdings: fleet.Holdings{"m0": nil, "m1": nil}}, now.Add(second))
+	require.False(t, asked.Verified)
+	asked.ApplyReport(Report{Sequence: 1, Holdings: fleet.Holdings{"m0": nil, "m1": nil}}, now.Add(second))
 	require.Equal(t, int64(1), asked.Sequence)
 	require.True(t, asked.Holdings.Has(fleet.Target{Model: "m1"}))
 }
 
 func TestTheLoadIsOrderedWhenTheUnloadBeforeItShouldHaveEnded(t *testing.T) {
 	emptied := keeping(replica("r1", "m1", "m2"), "m5")
-	emptied.Took(Order{ReplicaID: "r1", Verb: Unload, Target: fleet.Target{Model: "m1"}, Takes: unloadTime, RoomFor: "m5"}, start)
+	emptied.MarkAccepted(Order{ReplicaID: "r1", Verb: Unload, Target: fleet.Target{Model: "m1"}, ExpectedDuration: unloadTime, RoomFor: "m5"}, start)
 	made := snapshot(waitingFor("m5", ""), emptied, replica("r2", "m0"))
 	require.Empty(t, decideOnDemand(made))
 	made.Now = start.Add(unloadTime)
@@ -79,9 +79,9 @@
 	require.Equal(t, "r1", orders[0].ReplicaID)
 
 	taken := *emptied
-	taken.Took(orders[0], made.Now)
+	taken.MarkAccepted(orders[0], made.Now)
 	require.False(t, taken.Holdings.Has(fleet.Target{Model: "m1"}), "it takes a load only after the unload")
 
-	emptied.NotYet(made.Now)
+	emptied.MarkUnfinished(made.Now)
 	require.Empty(t, decideOnDemand(made), "runs are still under way there")
 }
--- a/loading/bench_test.go
+++ b/loading/bench_test.go
@@ -17,7 +17,7 @@
 	asked := map[demand.Key]Demand{}
 	for rank := range models {
 		name := fmt.Sprintf("m%d", rank)
-		model := &routing.Model{Name: name, MemoryMB: 60, AdapterMemoryMB: 1, StoreLoad: 4 * time.Second}
+		model := &routing.Model{Name: name, MemoryMB: 60, AdapterMemoryMB: 1, StoreLoadTime: 4 * time.Second}
 		for adapter := range adaptersEach {
 			model.Adapters = append(model.Adapters, fmt.Sprintf("a%d", adapter+1))
 		}
@@ -27,7 +27,7 @@
 			asked[demand.Key{Service: "press", Target: fleet.Target{Model: name, Adapter: "a1"}}] = Demand{PerSecond: 1, Running: 2, LastUsed: start}
 		}
 	}
-	made := Snapshot{Now: start, Services: map[string]*routing.Engine{"press": engine}, Demand: asked, StoreLoads: 100, StoreAtOnce: 100, Settled: true}
+	made := Snapshot{Now: start, Services: map[string]*routing.Engine{"press": engine}, Demand: asked, StoreLoadsAllowed: 100, StoreConcurrency: 100, Settled: true}
 	for number := range replicas {
 		made.Replicas = append(made.Replicas, replica(fmt.Sprintf("r%03d", number), fmt.Sprintf("m%d", number%models), fmt.Sprintf("m%d", (number*7+3)%models), fmt.Sprintf("m%d", (number*13+5)%models)))
 	}
--- a/loading/fetch.go
+++ b/loading/fetch.go
@@ -30,7 +30,7 @@
 func storeLoadsUnderWay(replicas []*Replica) int {
 	count := 0
 	for _, replica := range replicas {
-		for _, order := range replica.UnderWay {
+		for _, order := range replica.Pending {
 			if order.LoadsFromStore() {
 				count++
 			}
@@ -42,17 +42,17 @@
 // storeRoom tells whether a model may be loaded from the weight store now. Copies beyond the
 // first leave some of it to first copies that requests wait for.
 func (p *planner) storeRoom(need *modelNeed) bool {
-	if p.StoreLoads <= 0 {
+	if p.StoreLoadsAllowed <= 0 {
 		return false
 	}
 	if need.copies == 0 {
-		return p.fetching < p.StoreAtOnce
+		return p.fetching < p.StoreConcurrency
 	}
 	if need.keptElsewhere() && !need.short() {
 		return false // sooner or later a replica that keeps the weights loads them
 	}
-	kept := min(p.firstFetches(), int(firstShare*float64(p.StoreAtOnce)))
-	return p.fetching+kept < p.StoreAtOnce
+	kept := min(p.firstFetches(), int(firstShare*float64(p.StoreConcurrency)))
+	return p.fetching+kept < p.StoreConcurrency
 }
 
 // firstFetches counts the models that requests wait for and that only the weight store has.
@@ -96,7 +96,7 @@
 
 // allKnown tells whether all replicas of the service were heard, as far as they answer.
 func (p *planner) allKnown() bool {
-	return !slices.ContainsFunc(p.places, func(one *place) bool { return !one.replica.Known && !one.replica.Assumed })
+	return !slices.ContainsFunc(p.places, func(one *place) bool { return !one.replica.Verified && !one.replica.Assumed })
 }
 
 // absentModels lists the models that no replica keeps, those asked for most first.
--- a/loading/fetch_test.go
+++ b/loading/fetch_test.go
@@ -20,10 +20,10 @@
 // for a moment, and they were loaded from the store elsewhere, seven times as long.
 func TestALoadWaitsForTheReplicaThatKeepsTheWeights(t *testing.T) {
 	keeper := keeping(replica("r1", "m0"), "m5")
-	keeper.Took(Order{Verb: Load, Target: fleet.Target{Model: "m1"}, Takes: second, Origin: FromDisk}, start.Add(-second/2))
+	keeper.MarkAccepted(Order{Verb: Load, Target: fleet.Target{Model: "m1"}, ExpectedDuration: second, Origin: FromDisk}, start.Add(-second/2))
 	require.Empty(t, decideOnDemand(snapshot(waitingFor("m5", ""), keeper, replica("r2", "m0"))))
 
-	keeper.Hear(Report{Sequence: 1, Holdings: fleet.Holdings{"m0": nil, "m1": nil}, OnDisk: []string{"m1", "m5"}}, start)
+	keeper.ApplyReport(Report{Sequence: 1, Holdings: fleet.Holdings{"m0": nil, "m1": nil}, OnDisk: []string{"m1", "m5"}}, start)
 	orders := decideOnDemand(snapshot(waitingFor("m5", ""), keeper, replica("r2", "m0")))
 	require.Len(t, orders, 1)
 	require.Equal(t, "r1", orders[0].ReplicaID)
@@ -32,7 +32,7 @@
 
 func TestALoadDoesNotWaitForAReplicaThatIsBusyForLonger(t *testing.T) {
 	keeper := keeping(replica("r1", "m0"), "m5")
-	keeper.Took(Order{Verb: Load, Target: fleet.Target{Model: "m1"}, Takes: 8 * second, Origin: FromStore}, start)
+	keeper.MarkAccepted(Order{Verb: Load, Target: fleet.Target{Model: "m1"}, ExpectedDuration: 8 * second, Origin: FromStore}, start)
 	orders := decideOnDemand(snapshot(waitingFor("m5", ""), keeper, replica("r2", "m0")))
 	require.Len(t, orders, 1)
 	require.Equal(t, "r2", orders[0].ReplicaID)
@@ -41,7 +41,7 @@
 // A call to the only replica with the weights is on its way: the load waits for it.
 func TestALoadWaitsForACallOnItsWay(t *testing.T) {
 	keeper := keeping(replica("r1"), "m5")
-	calling := keeper.WithCall(nil, start, start.Add(250*time.Millisecond))
+	calling := keeper.WithPendingCall(nil, start, start.Add(250*time.Millisecond))
 	require.Empty(t, decideOnDemand(snapshot(waitingFor("m5", ""), calling, replica("r2"))))
 }
 
@@ -49,11 +49,11 @@
 // another replica that was busy, until requests were given up.
 func TestRoomThatWasMadeForAModelIsUsedByIt(t *testing.T) {
 	emptied := keeping(replica("r1", "m1"), "m5")
-	emptied.PromisedTo, emptied.PromisedUntil = "m5", start.Add(second)
+	emptied.ReservedFor, emptied.ReservedUntil = "m5", start.Add(second)
 	emptied.Slots, emptied.Running = 10, 9
 	quicker := replica("r2", "m2")
 	quicker.InMemory = []string{"m5"}
-	quicker.Took(Order{Verb: Unload, Target: fleet.Target{Model: "m2"}, Takes: unloadTime}, start)
+	quicker.MarkAccepted(Order{Verb: Unload, Target: fleet.Target{Model: "m2"}, ExpectedDuration: unloadTime}, start)
 	orders := decideOnDemand(snapshot(waitingFor("m5", ""), emptied, quicker))
 	require.Len(t, orders, 1)
 	require.Equal(t, "r1", orders[0].ReplicaID)
@@ -86,7 +86,7 @@
 
 func TestNothingIsFetchedAheadBeforeAllReplicasWereHeard(t *testing.T) {
 	unheard := replica("r2", "m1")
-	unheard.Known = false
+	unheard.Verified = false
 	require.Empty(t, Decide(snapshot(nil, replica("r1", "m0"), unheard)))
 }
 
@@ -111,51 +111,51 @@
 		asked[key(model, "")] = Demand{Waiting: 1, LastUsed: start}
 	}
 	made := snapshot(asked, replica("r1"), replica("r2"), replica("r3"))
-	made.StoreAtOnce = 2
+	made.StoreConcurrency = 2
 	require.Len(t, Decide(made), 2)
 }
 
 func TestTheStorePaceIsLearnedFromHowLongLoadsTake(t *testing.T) {
-	pace := StorePace{}
-	require.Equal(t, firstAtOnce, pace.AtOnce())
+	pace := ConcurrencyEstimate{}
+	require.Equal(t, firstAtOnce, pace.Limit())
 	for load, want := range map[time.Duration]int{4 * second: 4, 6 * second: 4, 10 * second: 2, 20 * second: 1, 60 * second: 1} {
-		long := StorePace{}
-		long.Expect(load)
-		require.Equal(t, want, long.AtOnce(), load)
+		long := ConcurrencyEstimate{}
+		long.SetLoadTime(load)
+		require.Equal(t, want, long.Limit(), load)
 	}
-	pace.Ended(6*second, 6*second, firstAtOnce)
-	require.Equal(t, firstAtOnce+1, pace.AtOnce(), "at full speed with as many as allowed: one more")
-	pace.Ended(6*second, 6*second, 1)
-	require.Equal(t, firstAtOnce+1, pace.AtOnce(), "few under way say nothing")
-	pace.Ended(12*second, 6*second, 4)
-	require.Equal(t, 2, pace.AtOnce(), "four took twice as long")
-	pace.Ended(60*second, 6*second, 2)
-	require.Equal(t, 1, pace.AtOnce())
+	pace.Observe(6*second, 6*second, firstAtOnce)
+	require.Equal(t, firstAtOnce+1, pace.Limit(), "at full speed with as many as allowed: one more")
+	pace.Observe(6*second, 6*second, 1)
+	require.Equal(t, firstAtOnce+1, pace.Limit(), "few under way say nothing")
+	pace.Observe(12*second, 6*second, 4)
+	require.Equal(t, 2, pace.Limit(), "four took twice as long")
+	pace.Observe(60*second, 6*second, 2)
+	require.Equal(t, 1, pace.Limit())
 }
 
 func TestFetchesAreFollowedUntilTheirReplicasSayThatTheyEnded(t *testing.T) {
 	fetches := Fetches{}
 	loaded := replica("r1")
-	order := Order{ReplicaID: "r1", Verb: Load, Target: fleet.Target{Model: "m5"}, Origin: FromStore, Takes: 4 * second}
-	loaded.Took(order, start)
-	fetches.Began(order, start)
-	fetches.Heard(loaded, start.Add(second))
+	order := Order{ReplicaID: "r1", Verb: Load, Target: fleet.Target{Model: "m5"}, Origin: FromStore, ExpectedDuration: 4 * second}
+	loaded.MarkAccepted(order, start)
+	fetches.Start(order, start)
+	fetches.Update(loaded, start.Add(second))
 	require.Len(t, fetches.underWay, 1)
-	loaded.Hear(Report{Sequence: 1, Holdings: fleet.Holdings{"m5": nil}}, start.Add(8*second))
-	fetches.Heard(loaded, start.Add(8*second))
+	loaded.ApplyReport(Report{Sequence: 1, Holdings: fleet.Holdings{"m5": nil}}, start.Add(8*second))
+	fetches.Update(loaded, start.Add(8*second))
 	require.Empty(t, fetches.underWay)
-	require.Equal(t, 1, fetches.Pace.AtOnce(), "one load took twice as long as the catalogue says")
+	require.Equal(t, 1, fetches.Concurrency.Limit(), "one load took twice as long as the catalogue says")
 }
 
 // Seen on the same days: the only replica with the weights had just made room for another
 // model, and they were loaded from the store elsewhere.
 func TestALoadWaitsForAReplicaWhoseRoomIsPromisedToAnotherModel(t *testing.T) {
 	keeper := keeping(replica("r1", "m4"), "m3", "m5")
-	keeper.PromisedTo, keeper.PromisedUntil = "m3", start.Add(second)
+	keeper.ReservedFor, keeper.ReservedUntil = "m3", start.Add(second)
 	asked := waitingFor("m5", "")
 	made := snapshot(asked, keeper, replica("r2", "m0"))
 	for _, model := range made.Services["press"].Models {
-		model.DiskLoad = second / 2
+		model.DiskLoadTime = second / 2
 	}
 	require.Empty(t, decideOnDemand(made))
 
@@ -171,7 +171,7 @@
 	asked := map[demand.Key]Demand{key("m5", ""): {PerSecond: 9, Running: 4, LastUsed: start}}
 	held := keeping(replica("r1", "m5"), "m5")
 	keeper := keeping(replica("r2", "m1"), "m5")
-	keeper.Took(Order{Verb: Load, Target: fleet.Target{Model: "m2"}, Takes: 20 * second}, start)
+	keeper.MarkAccepted(Order{Verb: Load, Target: fleet.Target{Model: "m2"}, ExpectedDuration: 20 * second}, start)
 	require.Empty(t, decideOnDemand(snapshot(asked, held, keeper, replica("r3"))))
 	keeper.OnDisk = nil
 	orders := decideOnDemand(snapshot(asked, held, keeper, replica("r3")))
@@ -199,7 +199,7 @@
 	}
 	made := snapshot(asked, quick...)
 	for _, model := range made.Services["press"].Models {
-		model.DiskLoad = second / 10
+		model.DiskLoadTime = second / 10
 	}
 	require.Empty(t, decideOnDemand(made))
 }
@@ -209,7 +209,7 @@
 	crowded.Slots, crowded.Running = 10, 9
 	made := snapshot(waitingFor("m5", ""), crowded, replica("r2"))
 	for _, model := range made.Services["press"].Models {
-		model.StoreLoad, model.DiskLoad, model.MemoryLoad = 0, 0, 0
+		model.StoreLoadTime, model.DiskLoadTime, model.MemoryLoadTime = 0, 0, 0
 	}
 	orders := decideOnDemand(made)
 	require.Len(t, orders, 1)
--- a/loading/limits_test.go
+++ b/loading/limits_test.go
@@ -55,7 +55,7 @@
 	first.PerSecond = 0
 	orders := decideOnDemand(snapshot(asked, first, further))
 	require.Len(t, orders, 1)
-	require.Equal(t, Order{ReplicaID: orders[0].ReplicaID, Verb: Unload, Target: fleet.Target{Model: "m1"}, Takes: unloadTime, Reason: "room for m4", RoomFor: "m4"}, orders[0])
+	require.Equal(t, Order{ReplicaID: orders[0].ReplicaID, Verb: Unload, Target: fleet.Target{Model: "m1"}, ExpectedDuration: unloadTime, Reason: "room for m4", RoomFor: "m4"}, orders[0])
 }
 
 func TestModelsAreLoadedOnReplicasWithALimitOnlyWhereThereIsNoOther(t *testing.T) {
--- a/loading/loading.go
+++ b/loading/loading.go
@@ -50,8 +50,8 @@
 	Sequence  int64 // orders that the replica must have taken
 	Origin    Origin
 	// Takes is how long the order should take to carry out.
-	Takes  time.Duration
-	Reason string
+	ExpectedDuration time.Duration
+	Reason           string
 	// RoomFor is the model that an unload makes room for.
 	RoomFor string
 }
@@ -65,18 +65,18 @@
 // is tells whether another order does the same to the same target.
 func (o Order) is(other Order) bool { return o.Verb == other.Verb && o.Target == other.Target }
 
-// UnderWay is an order that the replica took, or may have taken, and has not
+// Pending is an order that the replica took, or may have taken, and has not
 // carried out as far as is known.
-type UnderWay struct {
+type Pending struct {
 	Order
 	Since time.Time
 	// Asked is how often the replica was asked, by an order, whether this one has ended,
 	// and said that it has not.
-	Asked int
+	Probes int
 }
 
 // ReadyAt is when the order should be carried out.
-func (u UnderWay) ReadyAt() time.Time { return u.Since.Add(u.Takes) }
+func (u Pending) ReadyAt() time.Time { return u.Since.Add(u.ExpectedDuration) }
 
 // Replica is what is known of a replica that loads models.
 type Replica struct {
@@ -88,7 +88,7 @@
 	Slots    int // requests that it runs at once; zero if not known
 	Running  int // requests of all daemons on it, those that wait there included
 	// Known tells whether the replica's own word was heard in this term.
-	Known bool
+	Verified bool
 	// Assumed tells that the registry's word counts until an order is to be given: the replica's own
 	// is then heard first. Thousands of replicas need not be asked for what they hold when a term
 	// begins; a few of them get an order in it.
@@ -97,33 +97,33 @@
 	Holdings fleet.Holdings
 	InMemory []string
 	OnDisk   []string
-	UnderWay []UnderWay
+	Pending  []Pending
 	// BlockedUntil keeps orders back after one was refused or got no answer.
 	BlockedUntil time.Time
-	// HeldUntil keeps orders back while those of an earlier holder are too recent.
-	HeldUntil time.Time
+	// TermGapUntil keeps orders back while those of an earlier holder are too recent.
+	TermGapUntil time.Time
 	// RestsUntil keeps orders and questions back: the replica asked the daemon that gives them for rest.
 	RestsUntil time.Time
 	// PerSecond is the limit that the replica named, in messages a second of all daemons; zero: none.
 	PerSecond float64
-	// PromisedTo is the model for which room was made, until a moment.
-	PromisedTo    string
-	PromisedUntil time.Time
+	// ReservedFor is the model for which room was made, until a moment.
+	ReservedFor   string
+	ReservedUntil time.Time
 	// LoadedAt is when each model was last seen to come.
 	LoadedAt map[string]time.Time
-	// ReadAgainAt is when the replica's report should be read since it tells what the
+	// ReportDueAt is when the replica's report should be read since it tells what the
 	// answers to orders do not; zero: not needed.
-	ReadAgainAt time.Time
+	ReportDueAt time.Time
 }
 
 // Incarnation names the process that the state is of.
 func (r *Replica) Incarnation() fleet.Incarnation { return fleet.Incarnation{ID: r.ID, Born: r.Born} }
 
 // underWay returns an order that concerns a target.
-func (r *Replica) underWay(target fleet.Target) *UnderWay {
-	for index := range r.UnderWay {
-		if r.UnderWay[index].Target == target {
-			return &r.UnderWay[index]
+func (r *Replica) underWay(target fleet.Target) *Pending {
+	for index := range r.Pending {
+		if r.Pending[index].Target == target {
+			return &r.Pending[index]
 		}
 	}
 	return nil
@@ -131,7 +131,7 @@
 
 // busy tells whether a model is being loaded or unloaded.
 func (r *Replica) busy() bool {
-	return slices.ContainsFunc(r.UnderWay, func(one UnderWay) bool { return one.ForModel() })
+	return slices.ContainsFunc(r.Pending, func(one Pending) bool { return one.ForModel() })
 }
 
 // leastFreeIn is the least time after which a replica that has an order under way is
@@ -142,9 +142,9 @@
 func (r *Replica) freeIn(now time.Time) time.Duration {
 	wait := time.Duration(0)
 	if !r.open(now) {
-		wait = max(leastFreeIn, r.BlockedUntil.Sub(now), r.HeldUntil.Sub(now), r.RestsUntil.Sub(now))
+		wait = max(leastFreeIn, r.BlockedUntil.Sub(now), r.TermGapUntil.Sub(now), r.RestsUntil.Sub(now))
 	}
-	for _, order := range r.UnderWay {
+	for _, order := range r.Pending {
 		if order.ForModel() && !order.unloaded(now) {
 			wait = max(wait, leastFreeIn, order.ReadyAt().Sub(now))
 		}
@@ -154,8 +154,8 @@
 
 // unloaded tells whether the order is an unload that should have ended. The next order
 // may then be tried: a replica that still has one under way refuses it.
-func (u UnderWay) unloaded(now time.Time) bool {
-	return u.Verb == Unload && u.ForModel() && u.Asked == 0 && !now.Before(u.ReadyAt())
+func (u Pending) unloaded(now time.Time) bool {
+	return u.Verb == Unload && u.ForModel() && u.Probes == 0 && !now.Before(u.ReadyAt())
 }
 
 // crowdedShare is the share of a replica's places from which it is no help to a model
@@ -173,7 +173,7 @@
 
 // open tells whether the replica can be given an order now.
 func (r *Replica) open(now time.Time) bool {
-	return (r.Known || r.Assumed) && !r.Draining && !now.Before(r.BlockedUntil) && !now.Before(r.HeldUntil) && !now.Before(r.RestsUntil)
+	return (r.Verified || r.Assumed) && !r.Draining && !now.Before(r.BlockedUntil) && !now.Before(r.TermGapUntil) && !now.Before(r.RestsUntil)
 }
 
 // Demand is the demand for a key over all daemons.
@@ -182,8 +182,8 @@
 	Waiting   int
 	Running   int
 	LastUsed  time.Time
-	// WaitingFor is how long requests have been waiting.
-	WaitingFor time.Duration
+	// LongestWait is how long requests have been waiting.
+	LongestWait time.Duration
 }
 
 // Snapshot is all that a decision is made from.
@@ -192,10 +192,10 @@
 	Services map[string]*routing.Engine // by name
 	Replicas []*Replica                 // in a fixed order
 	Demand   map[demand.Key]Demand
-	// StoreLoads is how many loads from the weight store may begin now.
-	StoreLoads int
-	// StoreAtOnce is how many loads from the weight store may be under way together.
-	StoreAtOnce int
+	// StoreLoadsAllowed is how many loads from the weight store may begin now.
+	StoreLoadsAllowed int
+	// StoreConcurrency is how many loads from the weight store may be under way together.
+	StoreConcurrency int
 	// Settled tells that no replica is thought to be missing from Replicas.
 	Settled bool
 }
@@ -249,7 +249,7 @@
 func (p *planner) give(replica *Replica, order Order) {
 	order.ReplicaID, order.Sequence = replica.ID, replica.Sequence
 	p.orders = append(p.orders, order)
-	p.placeOf[replica].order(order.Takes)
+	p.placeOf[replica].order(order.ExpectedDuration)
 	if order.Verb == Load && !order.ForModel() {
 		p.adapters[order.Target]++
 	}
@@ -257,13 +257,13 @@
 
 // promisedTo returns the model that room on a replica is kept for, or nothing.
 func (p *planner) promisedTo(replica *Replica) string {
-	for _, order := range replica.UnderWay {
+	for _, order := range replica.Pending {
 		if order.RoomFor != "" {
 			return order.RoomFor
 		}
 	}
-	if p.Now.Before(replica.PromisedUntil) {
-		return replica.PromisedTo
+	if p.Now.Before(replica.ReservedUntil) {
+		return replica.ReservedFor
 	}
 	return ""
 }
--- a/loading/loading_test.go
+++ b/loading/loading_test.go
@@ -21,14 +21,14 @@
 	engine := &routing.Engine{MemoryMB: 200, AdapterSlots: 2, LoadsPerSecond: 2, Models: map[string]*routing.Model{}}
 	for rank := range 6 {
 		name := fmt.Sprintf("m%d", rank)
-		engine.Models[name] = &routing.Model{Name: name, MemoryMB: 90, AdapterMemoryMB: 1, StoreLoad: 4 * second, DiskLoad: 2 * second, MemoryLoad: second}
+		engine.Models[name] = &routing.Model{Name: name, MemoryMB: 90, AdapterMemoryMB: 1, StoreLoadTime: 4 * second, DiskLoadTime: 2 * second, MemoryLoadTime: second}
 	}
 	engine.Models["m0"].Adapters = []string{"a1", "a2", "a3", "a4", "a5"}
 	return engine
 }
 
 func replica(id string, models ...string) *Replica {
-	made := &Replica{ID: id, Service: "press", Known: true, Holdings: fleet.Holdings{}, LoadedAt: map[string]time.Time{}}
+	made := &Replica{ID: id, Service: "press", Verified: true, Holdings: fleet.Holdings{}, LoadedAt: map[string]time.Time{}}
 	for _, model := range models {
 		made.Holdings[model] = nil
 	}
@@ -40,7 +40,7 @@
 }
 
 func snapshot(asked map[demand.Key]Demand, replicas ...*Replica) Snapshot {
-	return Snapshot{Now: start, Services: map[string]*routing.Engine{"press": testEngine()}, Replicas: replicas, Demand: asked, StoreLoads: 5, StoreAtOnce: 4, Settled: true}
+	return Snapshot{Now: start, Services: map[string]*routing.Engine{"press": testEngine()}, Replicas: replicas, Demand: asked, StoreLoadsAllowed: 5, StoreConcurrency: 4, Settled: true}
 }
 
 // decideOnDemand leaves out the loads of models that no replica keeps, which have tests
@@ -71,7 +71,7 @@
 
 func TestNothingIsLoadedTwiceWhileALoadIsUnderWay(t *testing.T) {
 	loading := replica("r1")
-	loading.Took(Order{Verb: Load, Target: fleet.Target{Model: "m5"}, Takes: 4 * second}, start)
+	loading.MarkAccepted(Order{Verb: Load, Target: fleet.Target{Model: "m5"}, ExpectedDuration: 4 * second}, start)
 	require.Empty(t, Decide(snapshot(waitingFor("m5", ""), loading, replica("r2"))))
 }
 
@@ -82,12 +82,12 @@
 	full := replica("r1", "m3", "m4")
 	orders := Decide(snapshot(asked, full, replica("r2", "m0", "m1")))
 	require.Len(t, orders, 1)
-	require.Equal(t, Order{ReplicaID: "r1", Verb: Unload, Target: fleet.Target{Model: "m4"}, Takes: unloadTime, Reason: "room for m5", RoomFor: "m5"}, orders[0])
+	require.Equal(t, Order{ReplicaID: "r1", Verb: Unload, Target: fleet.Target{Model: "m4"}, ExpectedDuration: unloadTime, Reason: "room for m5", RoomFor: "m5"}, orders[0])
 	// While it is unloaded, its room is promised: nothing else is evicted.
-	full.Took(orders[0], start)
+	full.MarkAccepted(orders[0], start)
 	require.Empty(t, Decide(snapshot(asked, full, replica("r2", "m0", "m1"))))
 	// Once free, it is kept for the model, whatever else wants a copy.
-	full.Hear(Report{Sequence: 1, Holdings: fleet.Holdings{"m3": nil}}, start.Add(second))
+	full.ApplyReport(Report{Sequence: 1, Holdings: fleet.Holdings{"m3": nil}}, start.Add(second))
 	asked[key("m2", "")] = Demand{Waiting: 9, LastUsed: start}
 	for _, order := range Decide(snapshot(asked, full, replica("r2", "m0", "m1"))) {
 		require.False(t, order.ReplicaID == "r1" && order.Target.Model != "m5")
@@ -98,28 +98,28 @@
 // several would bring out the same order to yet another replica.
 func TestAnOrderOnItsWayCounts(t *testing.T) {
 	order := Order{ReplicaID: "r1", Verb: Unload, Target: fleet.Target{Model: "m4"}, RoomFor: "m5"}
-	calling := replica("r1", "m3", "m4").WithCall(&order, start, start.Add(second))
+	calling := replica("r1", "m3", "m4").WithPendingCall(&order, start, start.Add(second))
 	require.Empty(t, Decide(snapshot(waitingFor("m5", ""), calling, replica("r2", "m0", "m1"))))
 }
 
 func TestNoAdapterIsOrderedWhileAModelIsLoaded(t *testing.T) {
 	busy := replica("r1", "m0")
-	busy.Took(Order{Verb: Load, Target: fleet.Target{Model: "m1"}, Takes: 4 * second}, start)
+	busy.MarkAccepted(Order{Verb: Load, Target: fleet.Target{Model: "m1"}, ExpectedDuration: 4 * second}, start)
 	require.Empty(t, Decide(snapshot(waitingFor("m0", "a1"), busy)))
 }
 
 func TestWhatMayBeUnderWayStaysCharged(t *testing.T) {
 	engine := testEngine()
 	charged := replica("r1", "m1")
-	charged.Took(Order{Verb: Load, Target: fleet.Target{Model: "m2"}, Takes: 4 * second}, start)
+	charged.MarkAccepted(Order{Verb: Load, Target: fleet.Target{Model: "m2"}, ExpectedDuration: 4 * second}, start)
 	made := &planner{Snapshot: snapshot(nil, charged), engine: engine}
 	require.InDelta(t, 20, made.memoryLeft(charged), 0.001)
 	unloads := replica("r2", "m1", "m2")
-	unloads.Took(Order{Verb: Unload, Target: fleet.Target{Model: "m1"}, Takes: unloadTime}, start)
+	unloads.MarkAccepted(Order{Verb: Unload, Target: fleet.Target{Model: "m1"}, ExpectedDuration: unloadTime}, start)
 	require.InDelta(t, 20, made.memoryLeft(unloads), 0.001)
 	made.Now = start.Add(unloadTime)
 	require.InDelta(t, 110, made.memoryLeft(unloads), 0.001, "it should have ended; the next order tells")
-	unloads.NotYet(made.Now)
+	unloads.MarkUnfinished(made.Now)
 	require.InDelta(t, 20, made.memoryLeft(unloads), 0.001, "the replica said that it has not")
 }
 
@@ -131,7 +131,7 @@
 		replicas = append(replicas, replica(fmt.Sprintf("r%d", number)))
 	}
 	limited := snapshot(asked, replicas...)
-	limited.StoreLoads = 2
+	limited.StoreLoadsAllowed = 2
 	require.Len(t, Decide(limited), 2)
 }
 
@@ -151,7 +151,7 @@
 func TestAnAdapterIsLoadedWhereItsModelIsAndAnIdleOneMakesPlace(t *testing.T) {
 	holder := replica("r2", "m0")
 	orders := Decide(snapshot(waitingFor("m0", "a1"), replica("r1", "m1"), holder))
-	require.Equal(t, []Order{{ReplicaID: "r2", Verb: Load, Target: fleet.Target{Model: "m0", Adapter: "a1"}, Takes: adapterTime, Reason: "requests wait"}}, orders)
+	require.Equal(t, []Order{{ReplicaID: "r2", Verb: Load, Target: fleet.Target{Model: "m0", Adapter: "a1"}, ExpectedDuration: adapterTime, Reason: "requests wait"}}, orders)
 	holder.Holdings["m0"] = []string{"a2", "a3"}
 	asked := waitingFor("m0", "a1")
 	asked[key("m0", "a3")] = Demand{Running: 1, LastUsed: start}
@@ -178,7 +178,7 @@
 // Seen on a day on which a replica crashed: its model counted as loaded, and requests
 // for it were refused until the registry forgot the replica.
 func TestAModelWhoseCopyDoesNotServeGetsAnother(t *testing.T) {
-	asked := map[demand.Key]Demand{key("m5", ""): {Waiting: 1, WaitingFor: unreachableAfter + 1, LastUsed: start}}
+	asked := map[demand.Key]Demand{key("m5", ""): {Waiting: 1, LongestWait: unreachableAfter + 1, LastUsed: start}}
 	orders := Decide(snapshot(asked, replica("r1", "m5"), replica("r2")))
 	require.Len(t, orders, 1)
 	require.Equal(t, "r2", orders[0].ReplicaID)
@@ -202,7 +202,7 @@
 
 func TestAReplicaOfWhichNothingIsKnownGetsNoOrder(t *testing.T) {
 	silent := replica("r1")
-	silent.Doubt(start)
+	silent.MarkUnverified(start)
 	require.Empty(t, Decide(snapshot(waitingFor("m5", ""), silent)))
 	require.Equal(t, silent.BlockedUntil, silent.NextCheck(start))
 }
@@ -210,29 +210,29 @@
 func TestAReportFromBeforeTheLastOrderIsNotTaken(t *testing.T) {
 	held := replica("r1", "m1")
 	held.Sequence = 4
-	order := Order{Verb: Load, Target: fleet.Target{Model: "m2"}, Sequence: 4, Takes: 4 * second}
-	held.Took(order, start)
-	require.False(t, held.Hear(Report{Sequence: 4, Holdings: fleet.Holdings{"m1": nil}}, start))
-	require.Len(t, held.UnderWay, 1)
-	require.False(t, held.Hear(Report{Sequence: 5, Busy: true, Holdings: fleet.Holdings{"m1": nil}}, start.Add(second)))
-	require.True(t, held.Hear(Report{Sequence: 5, Holdings: fleet.Holdings{"m1": nil, "m2": nil}}, start.Add(4*second)))
-	require.Empty(t, held.UnderWay)
+	order := Order{Verb: Load, Target: fleet.Target{Model: "m2"}, Sequence: 4, ExpectedDuration: 4 * second}
+	held.MarkAccepted(order, start)
+	require.False(t, held.ApplyReport(Report{Sequence: 4, Holdings: fleet.Holdings{"m1": nil}}, start))
+	require.Len(t, held.Pending, 1)
+	require.False(t, held.ApplyReport(Report{Sequence: 5, Busy: true, Holdings: fleet.Holdings{"m1": nil}}, start.Add(second)))
+	require.True(t, held.ApplyReport(Report{Sequence: 5, Holdings: fleet.Holdings{"m1": nil, "m2": nil}}, start.Add(4*second)))
+	require.Empty(t, held.Pending)
 	require.True(t, held.Holdings.Has(fleet.Target{Model: "m2"}))
 }
 
 func TestALoadOfAnotherHolderKeepsOrdersBackUntilItHasEnded(t *testing.T) {
 	held := replica("r1", "m1")
-	held.Doubt(start)
-	held.Hear(Report{Sequence: 7, Busy: true, Holdings: fleet.Holdings{"m1": nil}}, start.Add(second))
+	held.MarkUnverified(start)
+	held.ApplyReport(Report{Sequence: 7, Busy: true, Holdings: fleet.Holdings{"m1": nil}}, start.Add(second))
 	require.False(t, held.open(start.Add(second)))
-	held.Hear(Report{Sequence: 7, Holdings: fleet.Holdings{"m1": nil, "m2": nil}}, start.Add(2*second))
+	held.ApplyReport(Report{Sequence: 7, Holdings: fleet.Holdings{"m1": nil, "m2": nil}}, start.Add(2*second))
 	require.True(t, held.open(start.Add(2*second)))
 }
 
 func TestTheStoreWindowSlides(t *testing.T) {
-	window := StoreWindow{Length: 5 * second, Most: 2}
-	window.Began(start)
-	window.Began(start.Add(second))
+	window := StoreWindow{Length: 5 * second, Max: 2}
+	window.RecordStart(start)
+	window.RecordStart(start.Add(second))
 	require.Zero(t, window.Allowed(start.Add(5*second)))
 	require.Equal(t, 1, window.Allowed(start.Add(5*second+1)))
 }
@@ -278,21 +278,21 @@
 // Orders of two holders to one replica keep a distance; other replicas need not wait.
 func TestAReplicaThatAnEarlierHolderOrderedLatelyGetsNoOrder(t *testing.T) {
 	held := replica("r1")
-	held.HeldUntil = start.Add(second)
+	held.TermGapUntil = start.Add(second)
 	orders := Decide(snapshot(waitingFor("m5", ""), held, replica("r2", "m3")))
 	require.Len(t, orders, 1)
 	require.Equal(t, "r2", orders[0].ReplicaID)
 	later := snapshot(waitingFor("m5", ""), held)
 	require.Empty(t, Decide(later))
-	later.Now = held.HeldUntil
+	later.Now = held.TermGapUntil
 	require.Len(t, Decide(later), 1)
 
 	asked := replica("r3")
-	asked.Took(Order{Verb: Load, Target: fleet.Target{Model: "m5"}, Takes: second}, start)
-	asked.HeldUntil = start.Add(3 * second)
-	_, possible := asked.Question(start.Add(2 * second))
+	asked.MarkAccepted(Order{Verb: Load, Target: fleet.Target{Model: "m5"}, ExpectedDuration: second}, start)
+	asked.TermGapUntil = start.Add(3 * second)
+	_, possible := asked.ProbeOrder(start.Add(2 * second))
 	require.False(t, possible, "a question is an order too")
-	_, possible = asked.Question(asked.HeldUntil)
+	_, possible = asked.ProbeOrder(asked.TermGapUntil)
 	require.True(t, possible)
 }
 
@@ -361,7 +361,7 @@
 func TestAllCopiesThatAreMissingAreLookedForAtOnce(t *testing.T) {
 	busy := replica("r2")
 	busy.OnDisk = []string{"m5"}
-	busy.Took(Order{Verb: Load, Target: fleet.Target{Model: "m4"}, Takes: second}, start)
+	busy.MarkAccepted(Order{Verb: Load, Target: fleet.Target{Model: "m4"}, ExpectedDuration: second}, start)
 	replicas := []*Replica{replica("r1", "m5"), busy}
 	for number := 3; number <= 8; number++ {
 		replicas = append(replicas, replica(fmt.Sprintf("r%d", number)))
@@ -402,7 +402,7 @@
 func TestAnAdapterOnItsWayIsNotOrderedAgain(t *testing.T) {
 	holder := replica("r1", "m0")
 	target := fleet.Target{Model: "m0", Adapter: "a1"}
-	holder.UnderWay = []UnderWay{{Order: Order{ReplicaID: "r1", Verb: Load, Target: target, Takes: adapterTime}, Since: start}}
+	holder.Pending = []Pending{{Order: Order{ReplicaID: "r1", Verb: Load, Target: target, ExpectedDuration: adapterTime}, Since: start}}
 	asked := map[demand.Key]Demand{key("m0", "a1"): {PerSecond: 3 * adapterRatePerCopy, Waiting: 4, LastUsed: start}}
 	ordersOf := func(replicas ...*Replica) []Order {
 		return slices.DeleteFunc(decideOnDemand(snapshot(asked, replicas...)), func(order Order) bool { return order.Target != target })
@@ -417,21 +417,21 @@
 // look older than those of the process before.
 func TestAReplicaThatStartedAgainIsKnownByItsOwnWordAlone(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	replica := &Replica{ID: "r1", Born: 1000, Known: true, Sequence: 9, Holdings: fleet.Holdings{"m1": nil}, OnDisk: []string{"m1"}, PromisedTo: "m2", PromisedUntil: now.Add(time.Hour)}
-	replica.Took(Order{ReplicaID: "r1", Target: fleet.Target{Model: "m2"}, Sequence: 9, Takes: time.Hour}, now)
+	replica := &Replica{ID: "r1", Born: 1000, Verified: true, Sequence: 9, Holdings: fleet.Holdings{"m1": nil}, OnDisk: []string{"m1"}, ReservedFor: "m2", ReservedUntil: now.Add(time.Hour)}
+	replica.MarkAccepted(Order{ReplicaID: "r1", Target: fleet.Target{Model: "m2"}, Sequence: 9, ExpectedDuration: time.Hour}, now)
 
-	replica.Restarted(2000)
+	replica.MarkRestarted(2000)
 	require.False(t, replica.open(now), "its own word first")
 	require.Empty(t, replica.Holdings, "no copy of it counts")
 	require.False(t, replica.busy())
-	require.False(t, replica.Hear(Report{Born: 1000, Sequence: 10, Holdings: fleet.Holdings{"m1": nil, "m2": nil}}, now), "of the process before")
-	require.True(t, replica.Hear(Report{Born: 2000, OnDisk: []string{"m1"}}, now))
+	require.False(t, replica.ApplyReport(Report{Born: 1000, Sequence: 10, Holdings: fleet.Holdings{"m1": nil, "m2": nil}}, now), "of the process before")
+	require.True(t, replica.ApplyReport(Report{Born: 2000, OnDisk: []string{"m1"}}, now))
 	require.True(t, replica.open(now))
 	require.Zero(t, replica.Sequence)
 	require.Empty(t, replica.Holdings)
 	require.False(t, replica.busy())
-	require.Empty(t, replica.PromisedTo)
+	require.Empty(t, replica.ReservedFor)
 
-	require.True(t, replica.Hear(Report{Born: 3000, Sequence: 0, Holdings: fleet.Holdings{}}, now), "its report may tell before the registry does")
+	require.True(t, replica.ApplyReport(Report{Born: 3000, Sequence: 0, Holdings: fleet.Holdings{}}, now), "its report may tell before the registry does")
 	require.EqualValues(t, 3000, replica.Born)
 }
--- a/loading/models.go
+++ b/loading/models.go
@@ -86,15 +86,15 @@
 	replica := best.place.replica
 	if len(best.victims) > 0 {
 		need.onWay++
-		p.give(replica, Order{Verb: Unload, Target: fleet.Target{Model: best.victims[0].name}, Takes: unloadTime,
+		p.give(replica, Order{Verb: Unload, Target: fleet.Target{Model: best.victims[0].name}, ExpectedDuration: unloadTime,
 			Reason: "room for " + need.model.Name, RoomFor: need.model.Name})
 		return
 	}
 	if best.origin == FromStore {
-		p.StoreLoads--
+		p.StoreLoadsAllowed--
 		p.fetching++
 	}
-	p.give(replica, Order{Verb: Load, Target: fleet.Target{Model: need.model.Name}, Origin: best.origin, Takes: best.takes, Reason: reason})
+	p.give(replica, Order{Verb: Load, Target: fleet.Target{Model: need.model.Name}, Origin: best.origin, ExpectedDuration: best.takes, Reason: reason})
 	need.addCopy(replica.Zone)
 	need.cached = true
 }
@@ -252,7 +252,7 @@
 			left -= known.MemoryMB + float64(len(adapters))*known.AdapterMemoryMB
 		}
 	}
-	for _, order := range replica.UnderWay {
+	for _, order := range replica.Pending {
 		known := p.engine.Models[order.Target.Model]
 		if order.Verb != Load || known == nil || replica.Holdings.Has(order.Target) {
 			continue
@@ -304,16 +304,16 @@
 
 // shareOfStoreLoad returns a time as a share of that of a load from the weight store.
 func (n *modelNeed) shareOfStoreLoad(takes time.Duration) float64 {
-	if n.model.StoreLoad <= 0 {
+	if n.model.StoreLoadTime <= 0 {
 		return 1
 	}
-	return takes.Seconds() / n.model.StoreLoad.Seconds()
+	return takes.Seconds() / n.model.StoreLoadTime.Seconds()
 }
 
 // loadShare returns how long a load of the model takes, as a share of one from the store.
 func (n *modelNeed) loadShare() float64 {
-	if n.cached && n.model.DiskLoad > 0 {
-		return n.shareOfStoreLoad(n.model.DiskLoad)
+	if n.cached && n.model.DiskLoadTime > 0 {
+		return n.shareOfStoreLoad(n.model.DiskLoadTime)
 	}
 	return 1
 }
@@ -322,10 +322,10 @@
 // requests wait for the first.
 func (p *planner) valueOfCopy(need *modelNeed, urgent bool) float64 {
 	if urgent {
-		return worthFirst + worthRequest*float64(need.waiting) + need.perSecond*need.model.StoreLoad.Seconds()
+		return worthFirst + worthRequest*float64(need.waiting) + need.perSecond*need.model.StoreLoadTime.Seconds()
 	}
 	if need.copies == 0 {
-		return need.perSecond * need.model.DiskLoad.Seconds()
+		return need.perSecond * need.model.DiskLoadTime.Seconds()
 	}
 	if need.perSecond >= busyRate && need.copies < spareCopies {
 		return (worthSpare + need.perSecond) * need.loadShare()
--- a/loading/needs.go
+++ b/loading/needs.go
@@ -128,7 +128,7 @@
 		need.running += asked.Running
 		if key.Target.Adapter == "" {
 			need.waiting += asked.Waiting
-			need.waitedFor = max(need.waitedFor, asked.WaitingFor)
+			need.waitedFor = max(need.waitedFor, asked.LongestWait)
 		} else {
 			need.adapterWaiting += asked.Waiting
 		}
@@ -155,7 +155,7 @@
 				}
 			}
 		}
-		for _, order := range replica.UnderWay {
+		for _, order := range replica.Pending {
 			need := byName[order.Target.Model]
 			_, held := replica.Holdings[order.Target.Model]
 			if need != nil && order.Verb == Load && order.ForModel() && !held {
--- a/loading/pace.go
+++ b/loading/pace.go
@@ -19,19 +19,19 @@
 	fullSpeed = 1.15
 )
 
-// StorePace learns how many loads from the weight store run at full speed together from
+// ConcurrencyEstimate learns how many loads from the weight store run at full speed together from
 // how long they take. Beyond that number all take longer and no more of them end, while
 // each keeps a replica from other orders. The zero value has seen none.
-type StorePace struct {
+type ConcurrencyEstimate struct {
 	atOnce float64       // zero: none was seen to end
 	load   time.Duration // of the largest model alone; zero: not known
 }
 
 // Expect takes in how long a load from the store takes alone.
-func (p *StorePace) Expect(load time.Duration) { p.load = load }
+func (p *ConcurrencyEstimate) SetLoadTime(load time.Duration) { p.load = load }
 
 // AtOnce returns how many loads may be under way together.
-func (p *StorePace) AtOnce() int {
+func (p *ConcurrencyEstimate) Limit() int {
 	if p.atOnce == 0 && p.load > 0 {
 		return max(1, min(firstAtOnce, int(sharedTime/p.load)))
 	}
@@ -43,12 +43,12 @@
 
 // Ended takes in that a load which the catalogue says takes catalogue took a time, with
 // so many under way on the average, itself included.
-func (p *StorePace) Ended(took, catalogue time.Duration, underWay float64) {
+func (p *ConcurrencyEstimate) Observe(took, catalogue time.Duration, underWay float64) {
 	if catalogue <= 0 {
 		return
 	}
 	stretch := took.Seconds() / catalogue.Seconds()
-	atOnce := float64(p.AtOnce())
+	atOnce := float64(p.Limit())
 	switch {
 	case stretch > fullSpeed:
 		p.atOnce = max(1, min(atOnce, underWay/stretch))
@@ -59,30 +59,30 @@
 
 // fetch is a load from the weight store under way.
 type fetch struct {
-	UnderWay
+	Pending
 	together int // loads under way when it began, itself included
 }
 
 // Fetches follows the loads from the weight store of all replicas and learns the
 // store's pace from them.
 type Fetches struct {
-	Pace     StorePace
-	underWay map[string]fetch // by replica
+	Concurrency ConcurrencyEstimate
+	underWay    map[string]fetch // by replica
 }
 
 // Began takes in that a replica accepted a load from the store.
-func (f *Fetches) Began(order Order, now time.Time) {
+func (f *Fetches) Start(order Order, now time.Time) {
 	if !order.LoadsFromStore() {
 		return
 	}
 	if f.underWay == nil {
 		f.underWay = map[string]fetch{}
 	}
-	f.underWay[order.ReplicaID] = fetch{UnderWay: UnderWay{Order: order, Since: now}, together: len(f.underWay) + 1}
+	f.underWay[order.ReplicaID] = fetch{Pending: Pending{Order: order, Since: now}, together: len(f.underWay) + 1}
 }
 
 // Heard takes in a replica's state after its report.
-func (f *Fetches) Heard(replica *Replica, now time.Time) {
+func (f *Fetches) Update(replica *Replica, now time.Time) {
 	begun, known := f.underWay[replica.ID]
 	if !known || replica.underWay(begun.Target) != nil {
 		return
@@ -90,7 +90,7 @@
 	together := float64(begun.together+len(f.underWay)) / 2
 	delete(f.underWay, replica.ID)
 	if _, held := replica.Holdings[begun.Target.Model]; held {
-		f.Pace.Ended(now.Sub(begun.Since), begun.Takes, together)
+		f.Concurrency.Observe(now.Sub(begun.Since), begun.ExpectedDuration, together)
 	}
 }
 
--- a/loading/place.go
+++ b/loading/place.go
@@ -86,7 +86,7 @@
 	for _, name := range one.replica.OnDisk {
 		p.indexKeeper(one, name, FromDisk)
 	}
-	for _, order := range one.replica.UnderWay {
+	for _, order := range one.replica.Pending {
 		if need := p.byName[order.Target.Model]; need != nil && order.Verb == Load {
 			need.cached = true
 		}
@@ -104,9 +104,9 @@
 		return
 	}
 	need.cached = true
-	takes := need.model.DiskLoad
+	takes := need.model.DiskLoadTime
 	if origin == FromMemory {
-		takes = need.model.MemoryLoad
+		takes = need.model.MemoryLoadTime
 	}
 	known := len(need.keepers) > 0 && need.keepers[len(need.keepers)-1].place == one
 	if takes > 0 && !known {
@@ -125,7 +125,7 @@
 }
 
 // fromStore is the source of weights that a place does not keep.
-func (n *modelNeed) fromStore() source { return source{FromStore, n.model.StoreLoad} }
+func (n *modelNeed) fromStore() source { return source{FromStore, n.model.StoreLoadTime} }
 
 // order takes in that an order was given.
 func (p *place) order(takes time.Duration) { p.freeIn += max(leastFreeIn, takes) }
@@ -182,10 +182,10 @@
 
 // reloadTime returns how long it takes to load a model again that is on the place now.
 func (p *place) reloadTime(need *modelNeed) time.Duration {
-	if need.model.DiskLoad > 0 && slices.Contains(p.replica.OnDisk, need.model.Name) {
-		return need.model.DiskLoad
+	if need.model.DiskLoadTime > 0 && slices.Contains(p.replica.OnDisk, need.model.Name) {
+		return need.model.DiskLoadTime
 	}
-	return need.model.StoreLoad
+	return need.model.StoreLoadTime
 }
 
 // evict picks the models that are worth least and whose unloading frees enough
@@ -224,7 +224,7 @@
 				}
 			}
 		}
-		for _, order := range replica.UnderWay {
+		for _, order := range replica.Pending {
 			if order.Verb == Load && !order.ForModel() {
 				copies[order.Target]++
 			}
--- a/loading/search_test.go
+++ b/loading/search_test.go
@@ -45,14 +45,14 @@
 	switch rapid.IntRange(0, 4).Draw(t, "state") {
 	case 0:
 		target := fleet.Target{Model: drawName(t, "loading")}
-		drawn.Took(Order{Verb: Load, Target: target, Takes: time.Duration(rapid.IntRange(0, 4).Draw(t, "takes")) * second}, start)
+		drawn.MarkAccepted(Order{Verb: Load, Target: target, ExpectedDuration: time.Duration(rapid.IntRange(0, 4).Draw(t, "takes")) * second}, start)
 	case 1:
 		held := drawNames(t, 1, "unloading")
 		if len(held) > 0 {
-			drawn.Took(Order{Verb: Unload, Target: fleet.Target{Model: held[0]}, Takes: unloadTime, RoomFor: drawName(t, "room for")}, start)
+			drawn.MarkAccepted(Order{Verb: Unload, Target: fleet.Target{Model: held[0]}, ExpectedDuration: unloadTime, RoomFor: drawName(t, "room for")}, start)
 		}
 	case 2:
-		drawn.PromisedTo, drawn.PromisedUntil = drawName(t, "promised"), start.Add(second)
+		drawn.ReservedFor, drawn.ReservedUntil = drawName(t, "promised"), start.Add(second)
 	}
 	return drawn
 }
@@ -62,7 +62,7 @@
 	for rank := range drawnModels {
 		engine.Models[fmt.Sprintf("m%d", rank)] = &routing.Model{
 			Name: fmt.Sprintf("m%d", rank), MemoryMB: float64(rapid.IntRange(3, 9).Draw(t, "memory")) * 10, AdapterMemoryMB: 1, Adapters: []string{"a1", "a2"},
-			StoreLoad: 6 * second, DiskLoad: time.Duration(rapid.IntRange(0, 2).Draw(t, "disk load")) * second, MemoryLoad: time.Duration(rapid.IntRange(0, 1).Draw(t, "memory load")) * second,
+			StoreLoadTime: 6 * second, DiskLoadTime: time.Duration(rapid.IntRange(0, 2).Draw(t, "disk load")) * second, MemoryLoadTime: time.Duration(rapid.IntRange(0, 1).Draw(t, "memory load")) * second,
 		}
 	}
 	return engine
@@ -88,10 +88,10 @@
 // plainSource looks a model's weights up on the replica itself.
 func plainSource(one *place, need *modelNeed) source {
 	switch model := need.model; {
-	case slices.Contains(one.replica.InMemory, model.Name) && model.MemoryLoad > 0:
-		return source{FromMemory, model.MemoryLoad}
-	case slices.Contains(one.replica.OnDisk, model.Name) && model.DiskLoad > 0:
-		return source{FromDisk, model.DiskLoad}
+	case slices.Contains(one.replica.InMemory, model.Name) && model.MemoryLoadTime > 0:
+		return source{FromMemory, model.MemoryLoadTime}
+	case slices.Contains(one.replica.OnDisk, model.Name) && model.DiskLoadTime > 0:
+		return source{FromDisk, model.DiskLoadTime}
 	}
 	return need.fromStore()
 }
@@ -147,7 +147,7 @@
 				if one.promised == name {
 					promisers = append(promisers, one)
 				}
-				onWay := slices.ContainsFunc(one.replica.UnderWay, func(order UnderWay) bool { return order.Verb == Load && order.Target.Model == name })
+				onWay := slices.ContainsFunc(one.replica.Pending, func(order Pending) bool { return order.Verb == Load && order.Target.Model == name })
 				cached = cached || held || onWay || slices.Contains(one.replica.InMemory, name) || slices.Contains(one.replica.OnDisk, name)
 				kept = kept || !held && plainSource(one, need).origin != FromStore
 				require.Equal(t, plainSource(one, need), need.sourceOn(one))
--- a/loading/state.go
+++ b/loading/state.go
@@ -10,13 +10,13 @@
 
 // Report is a replica's own word on itself, as it stood a moment earlier.
 type Report struct {
-	Born     int64 // Unix ms of its start; zero if it does not say
-	Sequence int64
-	Busy     bool // a model is being loaded or unloaded
-	Holdings fleet.Holdings
-	Coming   []fleet.Target // adapters on their way
-	InMemory []string
-	OnDisk   []string
+	Born            int64 // Unix ms of its start; zero if it does not say
+	Sequence        int64
+	Busy            bool // a model is being loaded or unloaded
+	Holdings        fleet.Holdings
+	LoadingAdapters []fleet.Target // adapters on their way
+	InMemory        []string
+	OnDisk          []string
 }
 
 const (
@@ -28,21 +28,21 @@
 )
 
 // Took takes in that the replica accepted an order.
-func (r *Replica) Took(order Order, now time.Time) {
+func (r *Replica) MarkAccepted(order Order, now time.Time) {
 	r.endUnloads(now)
 	r.Sequence = order.Sequence + 1
-	r.UnderWay = slices.DeleteFunc(r.UnderWay, func(one UnderWay) bool { return one.is(order) })
-	r.UnderWay = append(r.UnderWay, UnderWay{Order: order, Since: now})
+	r.Pending = slices.DeleteFunc(r.Pending, func(one Pending) bool { return one.is(order) })
+	r.Pending = append(r.Pending, Pending{Order: order, Since: now})
 	r.promise(order, now)
 }
 
-// WithCall returns the replica as it may be once a call on its way has been
+// WithPendingCall returns the replica as it may be once a call on its way has been
 // answered: the order counts as under way, and no other can be given.
-func (r *Replica) WithCall(order *Order, now, blockedUntil time.Time) *Replica {
+func (r *Replica) WithPendingCall(order *Order, now, blockedUntil time.Time) *Replica {
 	calling := *r
 	calling.BlockedUntil = blockedUntil
 	if order != nil {
-		calling.UnderWay = append(slices.Clone(r.UnderWay), UnderWay{Order: *order, Since: now})
+		calling.Pending = append(slices.Clone(r.Pending), Pending{Order: *order, Since: now})
 	}
 	return &calling
 }
@@ -50,9 +50,9 @@
 // promise notes for which model room is made, or that it was used.
 func (r *Replica) promise(order Order, now time.Time) {
 	if order.RoomFor != "" {
-		r.PromisedTo, r.PromisedUntil = order.RoomFor, now.Add(promiseTime)
-	} else if order.Verb == Load && order.Target.Model == r.PromisedTo {
-		r.PromisedTo = ""
+		r.ReservedFor, r.ReservedUntil = order.RoomFor, now.Add(promiseTime)
+	} else if order.Verb == Load && order.Target.Model == r.ReservedFor {
+		r.ReservedFor = ""
 	}
 }
 
@@ -61,13 +61,13 @@
 
 // Did takes in that the replica answered that an order needs nothing more: what is
 // to be loaded is there, or an adapter was unloaded at once.
-func (r *Replica) Did(order Order, now time.Time) {
+func (r *Replica) MarkDone(order Order, now time.Time) {
 	if order.Verb == Unload {
 		r.Sequence = order.Sequence + 1
 	}
 	if order.ForModel() {
 		r.endUnloads(now)
-		r.Ended(order, now)
+		r.CompleteOrder(order, now)
 		return
 	}
 	r.apply(order)
@@ -75,15 +75,15 @@
 
 // Doubt takes in that an order was refused or got no answer, so that the replica's
 // own word must be heard before the next.
-func (r *Replica) Doubt(now time.Time) {
-	r.Known, r.Assumed = false, false
+func (r *Replica) MarkUnverified(now time.Time) {
+	r.Verified, r.Assumed = false, false
 	r.BlockedUntil = now.Add(refusedPause)
 }
 
 // Lost takes in that the address belongs to another replica, or that nothing listens
 // there: the registry will say so.
-func (r *Replica) Lost(now time.Time) {
-	r.Known, r.Assumed = false, false
+func (r *Replica) MarkUnreachable(now time.Time) {
+	r.Verified, r.Assumed = false, false
 	r.BlockedUntil = now.Add(lostPause)
 }
 
@@ -92,48 +92,48 @@
 
 // Restarted takes in that the replica has started again under its id, at a moment by its own clock: it is
 // empty, knows no order, and its own word must be heard before the next.
-func (r *Replica) Restarted(born int64) {
+func (r *Replica) MarkRestarted(born int64) {
 	if r.Born != 0 {
-		r.Known, r.Assumed = false, false
-		r.Sequence, r.Holdings, r.UnderWay, r.InMemory = 0, nil, nil, nil
-		r.PromisedTo, r.LoadedAt, r.ReadAgainAt = "", nil, time.Time{}
+		r.Verified, r.Assumed = false, false
+		r.Sequence, r.Holdings, r.Pending, r.InMemory = 0, nil, nil, nil
+		r.ReservedFor, r.LoadedAt, r.ReportDueAt = "", nil, time.Time{}
 	}
 	r.Born = born
 }
 
 // Hear takes in a replica's report and tells whether it changed what is known.
-func (r *Replica) Hear(report Report, now time.Time) bool {
+func (r *Replica) ApplyReport(report Report, now time.Time) bool {
 	switch {
 	case report.Born != 0 && report.Born < r.Born:
 		return false // of an earlier incarnation
 	case report.Born > r.Born:
-		r.Restarted(report.Born)
-	case report.Sequence < r.Sequence && r.Known:
+		r.MarkRestarted(report.Born)
+	case report.Sequence < r.Sequence && r.Verified:
 		return false // from before the last order
 	}
 	if r.olderThanAnswers(report, now) {
 		return false
 	}
-	r.ReadAgainAt, r.Assumed = time.Time{}, false
-	changed := report.Sequence != r.Sequence || !r.Known
+	r.ReportDueAt, r.Assumed = time.Time{}, false
+	changed := report.Sequence != r.Sequence || !r.Verified
 	changed = changed || !slices.Equal(r.InMemory, report.InMemory) || !slices.Equal(r.OnDisk, report.OnDisk)
 	r.InMemory, r.OnDisk = report.InMemory, report.OnDisk
 	if report.Sequence != r.Sequence {
 		// Others gave orders, or one of ours was carried out late.
-		r.UnderWay = nil
+		r.Pending = nil
 	}
 	changed = r.adopt(report.Holdings, now) || changed
 	r.Sequence = report.Sequence
-	before := len(r.UnderWay)
-	r.UnderWay = slices.DeleteFunc(r.UnderWay, func(order UnderWay) bool { return r.ended(order, report, now) })
+	before := len(r.Pending)
+	r.Pending = slices.DeleteFunc(r.Pending, func(order Pending) bool { return r.ended(order, report, now) })
 	// A load that is not known is charged by giving no order until it has ended.
-	r.Known = !report.Busy || r.busy()
-	for _, coming := range report.Coming {
+	r.Verified = !report.Busy || r.busy()
+	for _, coming := range report.LoadingAdapters {
 		if r.underWay(coming) == nil {
-			r.UnderWay = append(r.UnderWay, UnderWay{Order: Order{ReplicaID: r.ID, Verb: Load, Target: coming, Takes: adapterTime}, Since: now})
+			r.Pending = append(r.Pending, Pending{Order: Order{ReplicaID: r.ID, Verb: Load, Target: coming, ExpectedDuration: adapterTime}, Since: now})
 		}
 	}
-	return changed || before != len(r.UnderWay)
+	return changed || before != len(r.Pending)
 }
 
 // adopt replaces the holdings and notes when models came.
@@ -142,7 +142,7 @@
 		r.LoadedAt = map[string]time.Time{}
 	}
 	for model := range holdings {
-		if _, held := r.Holdings[model]; !held && r.Known {
+		if _, held := r.Holdings[model]; !held && r.Verified {
 			r.LoadedAt[model] = now
 		}
 	}
@@ -157,7 +157,7 @@
 }
 
 // ended tells whether a report shows that an order is no longer under way.
-func (r *Replica) ended(order UnderWay, report Report, now time.Time) bool {
+func (r *Replica) ended(order Pending, report Report, now time.Time) bool {
 	done := report.Holdings.Has(order.Target) == (order.Verb == Load)
 	switch {
 	case order.ForModel():
@@ -165,7 +165,7 @@
 	case done:
 		return true
 	}
-	return !slices.Contains(report.Coming, order.Target) && now.Sub(order.Since) > settleTime
+	return !slices.Contains(report.LoadingAdapters, order.Target) && now.Sub(order.Since) > settleTime
 }
 
 // apply changes the holdings as an order that was carried out does.
@@ -195,17 +195,17 @@
 	if r.Assumed {
 		return time.Time{}
 	}
-	if !r.Known {
+	if !r.Verified {
 		return r.BlockedUntil
 	}
-	next := r.ReadAgainAt
-	for _, order := range r.UnderWay {
+	next := r.ReportDueAt
+	for _, order := range r.Pending {
 		at := order.ReadyAt()
 		switch {
 		case !order.ForModel():
-		case order.Verb == Load && order.Asked < mostAsked:
+		case order.Verb == Load && order.Probes < mostAsked:
 			at = order.askAt()
-		case order.Verb == Unload && order.Asked == 0:
+		case order.Verb == Unload && order.Probes == 0:
 			at = at.Add(triedWithin) // the next order tells
 		}
 		if next.IsZero() || at.Before(next) {
@@ -219,15 +219,15 @@
 // time, over all replicas.
 type StoreWindow struct {
 	Length time.Duration
-	Most   int
+	Max    int
 	starts []time.Time
 }
 
 // Allowed returns how many loads may begin now.
 func (w *StoreWindow) Allowed(now time.Time) int {
 	w.starts = slices.DeleteFunc(w.starts, func(start time.Time) bool { return now.Sub(start) > w.Length })
-	return max(0, w.Most-len(w.starts))
+	return max(0, w.Max-len(w.starts))
 }
 
 // Began counts a load.
-func (w *StoreWindow) Began(now time.Time) { w.starts = append(w.starts, now) }
+func (w *StoreWindow) RecordStart(now time.Time) { w.starts = append(w.starts, now) }
--- a/logging/fields.go
+++ b/logging/fields.go
@@ -33,7 +33,7 @@
 	RetryAfterMs    = "retry_after_ms"
 	ConfigVersion   = "config_version"
 	Fence           = "fence"
-	Holder          = "holder"
+	Leader          = "holder"
 	Reclaimed       = "reclaimed"
 	HandedOver      = "handed_over"
 	Order           = "order"
--- a/logging/revision.go
+++ b/logging/revision.go
@@ -8,5 +8,5 @@
 
 // AtRevision returns the fields of a revision of the key-value service: its era and the service's own count.
 func AtRevision(revision int64) logrus.Fields {
-	return logrus.Fields{Era: kv.EraOf(revision), Revision: kv.CountOf(revision)}
+	return logrus.Fields{Era: kv.EraOf(revision), Revision: kv.CounterOf(revision)}
 }
--- a/logstory/losses.go
+++ b/logstory/losses.go
@@ -209,7 +209,7 @@
 // sourceOf tells where the load came from that a request waited for: the last of its
 // model, or of an adapter of it, that was ordered before the wait ended.
 func (c *lossCounter) sourceOf(request endedRequest) string {
-	waitsForAdapter := request.waitReason == fleet.AdapterAbsent.String()
+	waitsForAdapter := request.waitReason == fleet.AdapterNotLoaded.String()
 	if request.waitReason != fleet.NotLoaded.String() && !waitsForAdapter {
 		return ""
 	}
--- a/node/follow.go
+++ b/node/follow.go
@@ -23,15 +23,15 @@
 	})
 	n.mirror.Handle(adapters.ReplicaPrefix, func(event kv.Event) { n.takeReplica(adapters, event) })
 	n.mirror.Handle(n.config.TermKey, n.election.Observe)
-	n.mirror.Handle(n.config.EndsPrefix, n.quarantine.Observe)
-	n.mirror.Urgent(n.config.TermKey)
-	n.mirror.Bulk(adapters.ReplicaPrefix, cmp.Or(n.config.KnownByAll, KnownByAll), n.config.SizeKey, n.replicas.changed)
-	n.mirror.LoneTime(n.replicas.loneTime)
-	n.mirror.Peers(n.listensToPeers)
-	n.mirror.Notable(func(before, after kv.Pair) bool { return notable(adapters, before, after) })
-	n.mirror.Loaded(func() {
+	n.mirror.Handle(n.config.CrashPrefix, n.quarantine.Observe)
+	n.mirror.SetUrgentKey(n.config.TermKey)
+	n.mirror.LimitReplicaRecords(adapters.ReplicaPrefix, cmp.Or(n.config.KnownByAll, KnownByAll), n.config.FleetSizeKey, n.replicas.changed)
+	n.mirror.SetFallbackDelay(n.replicas.loneTime)
+	n.mirror.SetHasPeers(n.listensToPeers)
+	n.mirror.SetForwardFilter(func(before, after kv.Pair) bool { return notable(adapters, before, after) })
+	n.mirror.OnLoaded(func() {
 		if _, held := n.mirror.Get(n.config.TermKey); !held {
-			n.election.Vacate(n.mirror.Revision())
+			n.election.ObserveAbsent(n.mirror.Revision())
 		}
 		n.replicas.loaded()
 	})
@@ -75,7 +75,7 @@
 		n.holder.RegistryChanged(id)
 		return
 	}
-	n.putReplica(entry, event.Restored)
+	n.putReplica(entry, event.AfterRestore)
 	n.registryLog.replicaListed(entry, event.Pair.ModRevision)
 	n.holder.RegistryChanged(entry.ID)
 }
@@ -91,8 +91,8 @@
 		return
 	}
 	n.log.WithField(logging.Replica, entry.ID).Info(logging.MessageReplicaDoubted)
-	time.AfterFunc(fleet.ReturnedTime, func() {
-		n.fleet.Trust(entry.Incarnation())
+	time.AfterFunc(fleet.RestoredEntryHold, func() {
+		n.fleet.TrustRestored(entry.Incarnation())
 		n.holder.RegistryChanged(entry.ID)
 	})
 }
@@ -105,7 +105,7 @@
 	}
 	earlier, earlierErr := adapters.ReadReplica(before)
 	later, laterErr := adapters.ReadReplica(after)
-	return earlierErr != nil || laterErr != nil || !earlier.SameButLoaded(later)
+	return earlierErr != nil || laterErr != nil || !earlier.EqualExceptModels(later)
 }
 
 // recordSource returns the daemon that passes the platform's records on to this one: the
@@ -114,7 +114,7 @@
 	if address = n.replicas.directory(); address != "" {
 		return address, true
 	}
-	address = n.election.HolderAddress()
+	address = n.election.LeaderAddress()
 	return address, address != n.config.PeerAddress
 }
 
--- a/node/gauges.go
+++ b/node/gauges.go
@@ -19,7 +19,7 @@
 		{"finchspoke_replicas_known", "Replicas in the registry.", func() float64 { return float64(n.fleet.Len()) }},
 		{"finchspoke_config_age_seconds", "Time since the configuration in force was taken; 0 without one.", n.tableAge},
 		{"finchspoke_config_proof_age_seconds", "Time for which the configuration in force may have been out of date; -1 if it was never proven.", n.proofAge},
-		{"finchspoke_quota_holder_answers", "1 if the holder of tenants' limits answers this daemon.", func() float64 { return truth(n.quotas.Answers()) }},
+		{"finchspoke_quota_holder_answers", "1 if the holder of tenants' limits answers this daemon.", func() float64 { return truth(n.quotas.LeaderResponsive()) }},
 		{"finchspoke_quota_credit", "Credit lent ahead to this daemon, of all tenants together, in their units.", func() float64 { return n.quotas.Credit() }},
 		{"finchspoke_quarantine_named", "Requests known to have been at a replica that ended.", func() float64 {
 			named, _, _ := n.quarantine.Counts()
@@ -29,10 +29,10 @@
 			_, withheld, _ := n.quarantine.Counts()
 			return float64(withheld)
 		}},
-		{"finchspoke_replicas_limited", "Replicas known to this daemon that named a limit.", func() float64 { return float64(n.fleet.Limits()) }},
-		{"finchspoke_permits_waiting", "Turns at replicas with a limit that this daemon gave out as the holder and that have not come yet.", func() float64 { return float64(n.limits.Waiting()) }},
+		{"finchspoke_replicas_limited", "Replicas known to this daemon that named a limit.", func() float64 { return float64(n.fleet.RateLimitedCount()) }},
+		{"finchspoke_permits_waiting", "Turns at replicas with a limit that this daemon gave out as the holder and that have not come yet.", func() float64 { return float64(n.limits.PendingReservations()) }},
 		{"finchspoke_daemons_attached", "Daemons attached to the holder of load orders, as it last told.", func() float64 { return float64(n.core.Daemons()) }},
-		{"finchspoke_store_reached", "1 if the key-value service answered last.", func() float64 { return truth(n.mirror.Reached()) }},
+		{"finchspoke_store_reached", "1 if the key-value service answered last.", func() float64 { return truth(n.mirror.StoreReachable()) }},
 		{"finchspoke_peer_connections", "Connections of other daemons to this one.", func() float64 { return float64(n.peers.Traffic().Connections) }},
 		{"finchspoke_peer_sent_bytes", "Bytes sent on connections of other daemons to this one.", func() float64 { return float64(n.peers.Traffic().SentBytes) }},
 		{"finchspoke_peer_received_bytes", "Bytes received on them.", func() float64 { return float64(n.peers.Traffic().ReceivedBytes) }},
@@ -72,16 +72,16 @@
 }
 
 // meter counts the calls to the key-value service.
-func (n *Node) meter(store kv.ChangeStore) kv.ChangeStore {
+func (n *Node) meter(store kv.LongPollStore) kv.LongPollStore {
 	calls := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "finchspoke_store_calls_total", Help: "Calls to the key-value service, by call and outcome.",
 	}, []string{"call", "outcome"})
 	n.metrics.MustRegister(calls)
-	return &kv.Metered{ChangeStore: store, Count: func(call, outcome string) { calls.WithLabelValues(call, outcome).Inc() }}
+	return &kv.MeteredStore{LongPollStore: store, Count: func(call, outcome string) { calls.WithLabelValues(call, outcome).Inc() }}
 }
 
-// CountDropped registers the counter of log lines that were dropped.
-func (n *Node) CountDropped(dropped func() uint64) {
+// CountDroppedLines registers the counter of log lines that were dropped.
+func (n *Node) CountDroppedLines(dropped func() uint64) {
 	n.metrics.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "finchspoke_log_lines_dropped_total", Help: "Log lines dropped because the writer was too slow.",
 	}, func() float64 { return float64(dropped()) }))
--- a/node/notices.go
+++ b/node/notices.go
@@ -11,42 +11,42 @@
 )
 
 // Notices is how the replicas' protocol deals with what replicas say of themselves.
-type Notices struct {
+type ReplicaCallbacks struct {
 	// Hear takes in a notice, before the answer that it came with is used.
-	Hear func(fleet.Notice)
+	OnHint func(fleet.Hint)
 	// Admit tells, right before a request is written, whether its replica still takes it.
 	Admit func(replica string, held fleet.Permit) error
 }
 
 // hear takes in what a replica said of itself.
-func (n *Node) hear(notice fleet.Notice) {
+func (n *Node) hear(notice fleet.Hint) {
 	now := time.Now()
-	if notice.Unreadable != "" {
-		n.noticeEntry(notice).WithField(logging.Limit, notice.Unreadable).Warn(logging.MessageLimitUnreadable)
+	if notice.InvalidLimit != "" {
+		n.noticeEntry(notice).WithField(logging.Limit, notice.InvalidLimit).Warn(logging.MessageLimitUnreadable)
 	}
-	if change, news := n.fleet.HearLimit(notice, now); news {
+	if change, news := n.fleet.ApplyLimitHint(notice, now); news {
 		n.notices.limits.Inc()
-		n.noticeEntry(notice).WithFields(logrus.Fields{logging.Limit: change.PerSecond, logging.LimitBefore: change.Before}).Info(logging.MessageReplicaLimit)
-		n.follower.LimitHeard()
+		n.noticeEntry(notice).WithFields(logrus.Fields{logging.Limit: change.PerSecond, logging.LimitBefore: change.Previous}).Info(logging.MessageReplicaLimit)
+		n.follower.LimitReported()
 		n.holder.RegistryChanged(notice.Replica)
 	}
-	if !notice.Leaving && notice.Rest == 0 {
+	if !notice.Leaving && notice.Backoff == 0 {
 		return
 	}
-	leaves := n.fleet.Hear(notice, now)
+	leaves := n.fleet.ApplyHint(notice, now)
 	n.holder.RegistryChanged(notice.Replica)
 	if leaves {
 		n.notices.leaving.Inc()
 		n.noticeEntry(notice).Info(logging.MessageReplicaLeaves)
 	}
-	if notice.Rest > 0 {
+	if notice.Backoff > 0 {
 		n.notices.rests.Inc()
-		n.noticeEntry(notice).WithField(logging.RestMs, notice.Rest.Milliseconds()).Info(logging.MessageReplicaRests)
+		n.noticeEntry(notice).WithField(logging.RestMs, notice.Backoff.Milliseconds()).Info(logging.MessageReplicaRests)
 	}
 }
 
 // noticeEntry begins a line of a notice. It is made where one is written: most answers say nothing.
-func (n *Node) noticeEntry(notice fleet.Notice) *logrus.Entry {
+func (n *Node) noticeEntry(notice fleet.Hint) *logrus.Entry {
 	return n.log.WithFields(logrus.Fields{logging.RequestID: notice.RequestID, logging.Replica: notice.Replica})
 }
 
--- a/node/replicas.go
+++ b/node/replicas.go
@@ -50,7 +50,7 @@
 	k := &replicaKnowledge{node: n, lone: loneTime + time.Duration(rand.Float64()*float64(loneSpread))}
 	k.client = &discovery.Client{Daemon: n.config.ID, Zone: n.config.Zone, Fleet: n.fleet, Directories: k.directories, Log: n.log}
 	k.client.Prepare()
-	k.server = &discovery.Server{Fleet: n.fleet, KnowsAll: k.whole.Load, WillKnow: n.mirror.WantsAll, ContactAge: n.mirror.ContactAge, Now: time.Now}
+	k.server = &discovery.Server{Fleet: n.fleet, HasAllReplicas: k.whole.Load, IsLoading: n.mirror.RequiresAll, ContactAge: n.mirror.ContactAge, Now: time.Now}
 	k.server.Prepare()
 	return k
 }
@@ -63,21 +63,21 @@
 func (k *replicaKnowledge) changed(without bool) {
 	if without {
 		k.whole.Store(false)
-		k.server.End()
+		k.server.StopObserving()
 		k.node.fleet.Limit(k.client)
 		k.client.Enable(true)
 		return
 	}
-	k.node.fleet.Fill()
+	k.node.fleet.BeginFullSync()
 	k.client.Enable(false)
 }
 
 // loaded takes in that a whole list of the records was handled.
 func (k *replicaKnowledge) loaded() {
-	isWhole := k.node.mirror.KnowsAll()
+	isWhole := k.node.mirror.HasAll()
 	if isWhole && !k.whole.Load() {
-		k.node.fleet.Whole()
-		k.server.Begin()
+		k.node.fleet.EndFullSync()
+		k.server.StartObserving()
 		k.node.holder.RegistryChanged("")
 	}
 	k.whole.Store(isWhole)
@@ -85,7 +85,7 @@
 
 // setDirectories takes in which daemons the holder of load orders named, and whether this is one.
 func (k *replicaKnowledge) setDirectories(serve bool, addresses []string) {
-	k.node.mirror.WantBulk(serve)
+	k.node.mirror.RequireReplicaRecords(serve)
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	k.addresses = rendezvous.Ranked(k.node.config.ID, addresses)
@@ -97,7 +97,7 @@
 	k.mutex.Lock()
 	known := k.addresses
 	k.mutex.Unlock()
-	holder := k.node.election.HolderAddress()
+	holder := k.node.election.LeaderAddress()
 	if len(known) == 0 && holder != "" {
 		return []string{holder}
 	}
@@ -107,10 +107,10 @@
 // directory returns the address of the directory that this daemon asks; empty: it knows all replicas
 // itself, or is asking none yet.
 func (k *replicaKnowledge) directory() string {
-	if !k.node.mirror.WithoutBulk() || k.node.mirror.Leading() {
+	if !k.node.mirror.OmitsReplicaRecords() || k.node.mirror.Leading() {
 		return ""
 	}
-	current := k.client.Current()
+	current := k.client.DirectoryAddress()
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if !slices.Contains(k.addresses, current) {
@@ -144,7 +144,7 @@
 	peers := slices.Clone(k.addresses)
 	k.mutex.Unlock()
 	others := k.node.otherSeeds()
-	if holder := k.node.election.HolderAddress(); holder != "" {
+	if holder := k.node.election.LeaderAddress(); holder != "" {
 		others = append([]string{holder}, others...)
 	}
 	for _, seed := range others {
@@ -166,7 +166,7 @@
 // termDelay returns how much later than others this daemon campaigns for the term.
 func (n *Node) termDelay() time.Duration {
 	switch {
-	case !n.mirror.WithoutBulk():
+	case !n.mirror.OmitsReplicaRecords():
 		return n.config.TermDelay
 	case n.replicas.knowsDirectories():
 		return n.config.TermDelay + campaignLater
--- a/node/turns.go
+++ b/node/turns.go
@@ -21,7 +21,7 @@
 	if perSecond == 0 {
 		return true
 	}
-	granted, _ := t.quotas.AskPermit(ctx, permit.Ask{Replica: replica, PerSecond: perSecond, Priority: permit.LeastUrgent})
+	granted, _ := t.quotas.RequestPermit(ctx, permit.Request{Replica: replica, PerSecond: perSecond, Priority: permit.LowestPriority})
 	return granted != nil && granted.Use()
 }
 
--- a/permit/book.go
+++ b/permit/book.go
@@ -18,35 +18,35 @@
 	// urgent requests take all that there are. Within any time a replica gets at most the limit's rate
 	// and these two above it.
 	saved = 2
-	// MostAhead is how far ahead of its turn a permit is given out at most. The next owner, which does
+	// MaxReservationDelay is how far ahead of its turn a permit is given out at most. The next owner, which does
 	// not know what its predecessor gave out, begins that much later.
-	MostAhead = time.Second
+	MaxReservationDelay = time.Second
 	// Life is how long after its turn a permit may be used: a connection may take 0.4 s to open. What a
 	// daemon that stood still finds later is worth nothing. It counts from the question.
-	Life = 500 * time.Millisecond
+	Validity = 500 * time.Millisecond
 	// mostReturn bounds the advice to callers.
 	mostReturn = 10 * time.Second
 	// urgencyTime is how long the most urgent request that asked is remembered.
 	urgencyTime = 10 * time.Second
 	// lineKept is how long a line is kept that nobody asks for.
 	lineKept = time.Minute
-	// LeastUrgent is the priority of messages that come after all requests.
-	LeastUrgent = 1000
+	// LowestPriority is the priority of messages that come after all requests.
+	LowestPriority = 1000
 )
 
 // Ask is a daemon's question whether a message may go to a replica.
-type Ask struct {
+type Request struct {
 	Replica   fleet.Incarnation
 	PerSecond float64 // that the replica takes; above zero
 	Priority  int     // of the request; 0 is the most urgent
 	// Patience is how long it may wait for its turn.
-	Patience time.Duration
+	MaxWait time.Duration
 }
 
 // Answer is the word on a question.
 type Answer struct {
 	Granted bool
-	In      time.Duration // until the turn, if it was granted
+	Delay   time.Duration // until the turn, if it was granted
 	// RetryIn is when a turn should be free, after all that were told so before; only for what was not
 	// granted.
 	RetryIn time.Duration
@@ -54,7 +54,7 @@
 
 // Book is the owner's account of all replicas with a limit in one term. It is not safe for concurrent
 // use.
-type Book struct {
+type Pacer struct {
 	opens time.Time // before that no turn is given out
 	lines map[fleet.Incarnation]*line
 }
@@ -72,19 +72,19 @@
 // returnTimes are when the next request that is refused should come back: an urgent one, and another.
 type returnTimes struct{ urgent, other time.Time }
 
-// NewBook returns the book of a term that begins at a moment. first tells that nobody gave out permits
+// NewPacer returns the book of a term that begins at a moment. first tells that nobody gave out permits
 // before; else the turns that are out have to pass first.
-func NewBook(first bool, now time.Time) *Book {
-	made := &Book{opens: now, lines: map[fleet.Incarnation]*line{}}
+func NewPacer(first bool, now time.Time) *Pacer {
+	made := &Pacer{opens: now, lines: map[fleet.Incarnation]*line{}}
 	if !first {
-		made.opens = now.Add(MostAhead)
+		made.opens = now.Add(MaxReservationDelay)
 	}
 	return made
 }
 
 // Ask answers a question. reached is the share of the daemons that ask this owner, above zero: the
 // others use up their own part of the limit, or ask another owner.
-func (b *Book) Ask(ask Ask, reached float64, now time.Time) Answer {
+func (b *Pacer) Request(ask Request, reached float64, now time.Time) Answer {
 	known := b.line(ask, reached, now)
 	isUrgent := known.noteUrgency(ask.Priority, now)
 	turn := known.turn(isUrgent, now)
@@ -93,30 +93,32 @@
 		return Answer{RetryIn: known.refuse(wait, isUrgent, now)}
 	}
 	known.take(now)
-	return Answer{Granted: true, In: wait}
+	return Answer{Granted: true, Delay: wait}
 }
 
 // patienceOf returns how far ahead a turn is given out. Less urgent requests wait until one is free, or
 // they would take what urgent ones need before those come.
-func patienceOf(ask Ask, isUrgent bool) time.Duration {
+func patienceOf(ask Request, isUrgent bool) time.Duration {
 	if !isUrgent {
 		return 0
 	}
-	return min(ask.Patience, MostAhead)
+	return min(ask.MaxWait, MaxReservationDelay)
 }
 
 // Charge takes in that a message goes to a replica whether it has a turn or not.
-func (b *Book) Charge(ask Ask, reached float64, now time.Time) { b.line(ask, reached, now).take(now) }
+func (b *Pacer) Charge(ask Request, reached float64, now time.Time) {
+	b.line(ask, reached, now).take(now)
+}
 
 // Return takes back a permit that was not used.
-func (b *Book) Return(replica fleet.Incarnation) {
+func (b *Pacer) Return(replica fleet.Incarnation) {
 	if known := b.lines[replica]; known != nil {
 		known.next = known.next.Add(-known.pause())
 	}
 }
 
 // Waiting returns how many turns are given out and have not come yet, of all replicas together.
-func (b *Book) Waiting(now time.Time) (turns int) {
+func (b *Pacer) PendingReservations(now time.Time) (turns int) {
 	for _, one := range b.lines {
 		if ahead := one.next.Sub(now); ahead > 0 {
 			turns += int((ahead - 1) / one.pause()) // the turn at this moment has come
@@ -126,7 +128,7 @@
 }
 
 // line returns the line of a replica at its present rate.
-func (b *Book) line(ask Ask, reached float64, now time.Time) *line {
+func (b *Pacer) line(ask Request, reached float64, now time.Time) *line {
 	rate := ask.PerSecond * min(1, reached)
 	known := b.lines[ask.Replica]
 	if known == nil {
@@ -145,7 +147,7 @@
 }
 
 // forget drops the lines that nobody asked for lately.
-func (b *Book) forget(now time.Time) {
+func (b *Pacer) forget(now time.Time) {
 	for replica, one := range b.lines {
 		if now.Sub(one.askedAt) > lineKept && now.After(one.next) {
 			delete(b.lines, replica)
--- a/permit/model_test.go
+++ b/permit/model_test.go
@@ -40,13 +40,13 @@
 
 // modelOwner is an owner's term.
 type modelOwner struct {
-	book   *Book
+	book   *Pacer
 	frozen time.Time // until when it stands still
 	over   bool
 }
 
 type modelDaemon struct {
-	shares *Shares
+	shares *LocalShares
 	owner  *modelOwner // that it asks; nil: none
 	heard  time.Time   // when an owner last answered
 	frozen time.Time   // until when it stands still
@@ -67,10 +67,10 @@
 
 func newModel(way way, seed uint64, daemons int, perSecond float64) *model {
 	m := &model{way: way, perSecond: perSecond, random: rand.New(rand.NewPCG(seed, 3))}
-	m.owner = &modelOwner{book: NewBook(true, time.Now())}
+	m.owner = &modelOwner{book: NewPacer(true, time.Now())}
 	for range daemons {
 		pause := float64(daemons) / perSecond * float64(time.Second)
-		m.daemons = append(m.daemons, &modelDaemon{shares: NewShares(m.random.Float64), owner: m.owner, heard: time.Now(),
+		m.daemons = append(m.daemons, &modelDaemon{shares: NewLocalShares(m.random.Float64), owner: m.owner, heard: time.Now(),
 			next: time.Now().Add(time.Duration(m.random.Float64() * pause))})
 	}
 	return m
@@ -117,8 +117,8 @@
 			time.Sleep(answer.RetryIn)
 			continue
 		}
-		until := asked.Add(answer.In + Life)
-		time.Sleep(answer.In)
+		until := asked.Add(answer.Delay + Validity)
+		time.Sleep(answer.Delay)
 		m.connect()
 		m.awake(&daemon.frozen)
 		if time.Now().After(until) {
@@ -147,7 +147,7 @@
 }
 
 func (m *model) ask(daemon *modelDaemon, patience time.Duration) (answer Answer) {
-	asked := Ask{Replica: fleet.Incarnation{ID: "r1"}, PerSecond: m.perSecond, Patience: patience}
+	asked := Request{Replica: fleet.Incarnation{ID: "r1"}, PerSecond: m.perSecond, MaxWait: patience}
 	if m.way != owned {
 		m.locked(func() { answer = m.byItself(daemon) })
 		return answer
@@ -163,14 +163,14 @@
 	m.locked(func() {
 		answer = Answer{RetryIn: 300 * time.Millisecond}
 		if time.Since(daemon.heard) > modelSilent {
-			answer = daemon.shares.Ask(asked, len(m.daemons), time.Now())
+			answer = daemon.shares.Request(asked, len(m.daemons), time.Now())
 		}
 	})
 	return answer
 }
 
 // askOwner asks the owner; answered is false if no answer came in time.
-func (m *model) askOwner(daemon *modelDaemon, owner *modelOwner, asked Ask, began time.Time) (answer Answer, answered bool) {
+func (m *model) askOwner(daemon *modelDaemon, owner *modelOwner, asked Request, began time.Time) (answer Answer, answered bool) {
 	m.hop()
 	m.awake(&owner.frozen)
 	m.locked(func() {
@@ -178,7 +178,7 @@
 			return
 		}
 		m.asked++
-		answer, answered = owner.book.Ask(asked, m.reached(owner), time.Now()), true
+		answer, answered = owner.book.Request(asked, m.reached(owner), time.Now()), true
 	})
 	m.hop()
 	m.awake(&daemon.frozen)
@@ -235,7 +235,7 @@
 		}
 	})
 	time.Sleep(vacant)
-	m.locked(func() { m.owner = &modelOwner{book: NewBook(false, time.Now())} })
+	m.locked(func() { m.owner = &modelOwner{book: NewPacer(false, time.Now())} })
 	for _, one := range m.daemons {
 		m.locked(func() { one.owner = m.owner })
 		time.Sleep(200 * time.Millisecond / time.Duration(len(m.daemons)))
@@ -245,7 +245,7 @@
 // bound is what the aim allows within a window: the rate, what is saved up, and for messages on their way
 // what comes at the rate in the life of a permit.
 func bound(perSecond float64) int {
-	return int(perSecond*(modelWindow+Life).Seconds()) + saved
+	return int(perSecond*(modelWindow+Validity).Seconds()) + saved
 }
 
 var modelSizes = []int{1, 9, 69, 985}
--- a/permit/shares.go
+++ b/permit/shares.go
@@ -14,19 +14,19 @@
 
 // Shares is a daemon's own part of each limit, for the time in which no owner answers. It is not safe
 // for concurrent use.
-type Shares struct {
+type LocalShares struct {
 	random func() float64 // in [0, 1)
 	next   map[fleet.Incarnation]time.Time
 }
 
-// NewShares returns shares of which none was used. random spreads the first turns of daemons that lost
+// NewLocalShares returns shares of which none was used. random spreads the first turns of daemons that lost
 // their owner at the same moment.
-func NewShares(random func() float64) *Shares {
-	return &Shares{random: random, next: map[fleet.Incarnation]time.Time{}}
+func NewLocalShares(random func() float64) *LocalShares {
+	return &LocalShares{random: random, next: map[fleet.Incarnation]time.Time{}}
 }
 
 // Ask answers a question where so many daemons share the limit.
-func (s *Shares) Ask(ask Ask, daemons int, now time.Time) Answer {
+func (s *LocalShares) Request(ask Request, daemons int, now time.Time) Answer {
 	pause := time.Duration(float64(time.Second) * float64(max(1, daemons)) / (ownPart * ask.PerSecond))
 	next, known := s.next[ask.Replica]
 	if !known {
@@ -34,12 +34,12 @@
 		s.next[ask.Replica] = next
 	}
 	wait := max(0, next.Sub(now))
-	if wait > min(ask.Patience, MostAhead) {
+	if wait > min(ask.MaxWait, MaxReservationDelay) {
 		return Answer{RetryIn: min(mostReturn, wait)}
 	}
 	s.next[ask.Replica] = now.Add(wait + pause)
-	return Answer{Granted: true, In: wait}
+	return Answer{Granted: true, Delay: wait}
 }
 
 // Reset forgets what was used: an owner answers again.
-func (s *Shares) Reset() { clear(s.next) }
+func (s *LocalShares) Reset() { clear(s.next) }
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -129,7 +129,7 @@
 // ConnectionBroken probes a replica whose connection broke while it had a request, and records a
 // crash if the replica has ended. It returns once the probe has finished or timed out. The request
 // must not be dispatched again before that, since it may be quarantined by then.
-func (g *Guard) Broke(ctx context.Context, replica fleet.Incarnation, address string, request Fingerprint) {
+func (g *Guard) ConnectionBroken(ctx context.Context, replica fleet.Incarnation, address string, request Fingerprint) {
 	if g.IsDraining(replica.ID) {
 		return
 	}
@@ -157,7 +157,7 @@
 // Abandoned records that a dispatch was canceled while the replica had the request, because the
 // caller disconnected or the deadline passed. The replica may still execute the request and crash,
 // which no connection of this daemon would show; it is therefore probed later.
-func (g *Guard) Left(replica fleet.Incarnation, address string, request Fingerprint) {
+func (g *Guard) Abandoned(replica fleet.Incarnation, address string, request Fingerprint) {
 	if g.IsDraining(replica.ID) {
 		return
 	}
@@ -316,7 +316,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	switch {
-	case event.Deleted && event.Restored:
+	case event.Deleted && event.AfterRestore:
 		g.markLost(event.Pair.Key)
 		return
 	case event.Deleted:
--- a/quarantine/guard_test.go
+++ b/quarantine/guard_test.go
@@ -159,7 +159,7 @@
 		_, guards := startGuards(t, 3, prober)
 		for number, guard := range guards {
 			require.Nil(t, guard.Withheld(testFingerprint(1)))
-			guard.Broke(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", testFingerprint(1))
+			guard.ConnectionBroken(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", testFingerprint(1))
 		}
 		time.Sleep(2 * gatherDelay)
 		for _, guard := range guards {
@@ -179,7 +179,7 @@
 		store, guards := startGuards(t, 1, &fakeProber{results: map[string]Liveness{"r0": Ended, "r1": Ended, "r2": Ended}})
 		store.failNext(kv.ErrUnavailable, kv.ErrUnavailable, kv.ErrUncertain, kv.ErrUnavailable)
 		for number := range CrashThreshold {
-			guards[0].Broke(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", testFingerprint(1))
+			guards[0].ConnectionBroken(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", testFingerprint(1))
 		}
 		require.NotNil(t, guards[0].Withheld(testFingerprint(1)), "not quarantined before the report is published")
 		time.Sleep(10 * time.Second)
@@ -195,12 +195,12 @@
 		store, guards := startGuards(t, 1, prober)
 		for range 2 * CrashThreshold {
 			for _, replica := range []string{"runs", "cut", "leaving"} {
-				guards[0].Broke(t.Context(), fleet.Incarnation{ID: replica}, "address", testFingerprint(1))
+				guards[0].ConnectionBroken(t.Context(), fleet.Incarnation{ID: replica}, "address", testFingerprint(1))
 			}
 		}
 		prober.setResult("silent", Ended, time.Hour)
 		startedAt := time.Now()
-		guards[0].Broke(t.Context(), fleet.Incarnation{ID: "silent"}, "address", testFingerprint(1))
+		guards[0].ConnectionBroken(t.Context(), fleet.Incarnation{ID: "silent"}, "address", testFingerprint(1))
 		require.Equal(t, probeTimeout, time.Since(startedAt), "wait for a probe")
 		time.Sleep(time.Second)
 		require.Zero(t, store.recordCount())
@@ -218,7 +218,7 @@
 			broken.Add(1)
 			go func() {
 				defer broken.Done()
-				guards[0].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(number))
+				guards[0].ConnectionBroken(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(number))
 			}()
 		}
 		broken.Wait()
@@ -240,7 +240,7 @@
 		store, guards := startGuards(t, 2, &fakeProber{results: results})
 		guards[1].Served(testFingerprint(1))
 		for number := range 20 {
-			guards[number%2].Broke(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", testFingerprint(1))
+			guards[number%2].ConnectionBroken(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", testFingerprint(1))
 			time.Sleep(time.Second)
 			guards[(number+1)%2].Served(testFingerprint(1))
 			time.Sleep(time.Second)
@@ -261,7 +261,7 @@
 			store.failNext(kv.ErrUnavailable)
 		}
 		for number := range 3 * maxReportFingerprints {
-			guards[0].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(number))
+			guards[0].ConnectionBroken(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(number))
 			if number == 0 {
 				time.Sleep(2 * gatherDelay) // the first report is being published
 			}
@@ -277,7 +277,7 @@
 func TestOnlyLeaderDeletesExpiredRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, guards := startGuards(t, 2, &fakeProber{results: map[string]Liveness{"r0": Ended}})
-		guards[1].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(1))
+		guards[1].ConnectionBroken(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(1))
 		time.Sleep(suspectTTL - time.Minute)
 		require.Equal(t, 1, store.recordCount())
 		time.Sleep(time.Minute + 2*sweepInterval)
@@ -295,7 +295,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store, guards := startGuards(t, 1, &fakeProber{results: map[string]Liveness{"r0": Ended}})
 		store.noLeader.Store(true)
-		guards[0].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(1))
+		guards[0].ConnectionBroken(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(1))
 		time.Sleep(suspectTTL + 2*sweepInterval)
 		require.Equal(t, 1, store.recordCount())
 		total, _, _ := guards[0].Counts()
@@ -319,13 +319,13 @@
 		prober := &fakeProber{results: map[string]Liveness{"r0": Ended, "r1": Ended, "r2": Ended, "runs": Running}, latency: probeTimeout - time.Millisecond}
 		_, guards := startGuards(t, 2, prober)
 		for _, replica := range []string{"r0", "r1"} { // no other request shows the crash
-			guards[0].Left(fleet.Incarnation{ID: replica}, "address", testFingerprint(1))
+			guards[0].Abandoned(fleet.Incarnation{ID: replica}, "address", testFingerprint(1))
 		}
-		guards[0].Left(fleet.Incarnation{ID: "runs"}, "address", testFingerprint(1))
+		guards[0].Abandoned(fleet.Incarnation{ID: "runs"}, "address", testFingerprint(1))
 		time.Sleep(abandonWindow / 2)
-		guards[0].Left(fleet.Incarnation{ID: "runs"}, "address", testFingerprint(2))
-		guards[0].Left(fleet.Incarnation{ID: "r2"}, "address", testFingerprint(1))
-		guards[1].Broke(t.Context(), fleet.Incarnation{ID: "r2"}, "address", testFingerprint(3)) // the other daemon detects the crash
+		guards[0].Abandoned(fleet.Incarnation{ID: "runs"}, "address", testFingerprint(2))
+		guards[0].Abandoned(fleet.Incarnation{ID: "r2"}, "address", testFingerprint(1))
+		guards[1].ConnectionBroken(t.Context(), fleet.Incarnation{ID: "r2"}, "address", testFingerprint(3)) // the other daemon detects the crash
 		time.Sleep(2 * abandonWindow)
 		for _, guard := range guards {
 			require.NotNil(t, guard.Withheld(testFingerprint(1)))
@@ -340,12 +340,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		prober := &fakeProber{results: map[string]Liveness{"r0": Running}}
 		store, guards := startGuards(t, 1, prober)
-		guards[0].Left(fleet.Incarnation{ID: "r0"}, "address", testFingerprint(1))
+		guards[0].Abandoned(fleet.Incarnation{ID: "r0"}, "address", testFingerprint(1))
 		time.Sleep(abandonWindow - time.Millisecond)
-		guards[0].Left(fleet.Incarnation{ID: "r0"}, "address", testFingerprint(2)) // the probe covers only the first
+		guards[0].Abandoned(fleet.Incarnation{ID: "r0"}, "address", testFingerprint(2)) // the probe covers only the first
 		time.Sleep(2 * time.Millisecond)
 		prober.setResult("r0", Ended, 0)
-		guards[0].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(3))
+		guards[0].ConnectionBroken(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(3))
 		time.Sleep(2 * gatherDelay)
 		require.Equal(t, 1, store.recordCount())
 		total, _, _ := guards[0].Counts()
@@ -359,7 +359,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		_, guards := startGuards(t, 1, &fakeProber{results: map[string]Liveness{"r0": Running}})
 		for number := range 2 * maxAbandoned {
-			guards[0].Left(fleet.Incarnation{ID: fmt.Sprintf("r%d", number%7)}, "address", testFingerprint(number))
+			guards[0].Abandoned(fleet.Incarnation{ID: fmt.Sprintf("r%d", number%7)}, "address", testFingerprint(number))
 		}
 		require.Equal(t, maxAbandoned, abandonedCount(guards[0]))
 	})
@@ -370,9 +370,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		_, guards := startGuards(t, 2, &fakeProber{results: map[string]Liveness{"r0": Ended}})
 		guards[0].Prober = &fakeProber{results: map[string]Liveness{"r0": Unknown}}
-		guards[0].Left(fleet.Incarnation{ID: "r0"}, "address", testFingerprint(1))
+		guards[0].Abandoned(fleet.Incarnation{ID: "r0"}, "address", testFingerprint(1))
 		time.Sleep(abandonWindow / 2)
-		guards[1].Broke(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(2))
+		guards[1].ConnectionBroken(t.Context(), fleet.Incarnation{ID: "r0"}, "address", testFingerprint(2))
 		time.Sleep(2 * abandonWindow)
 		for _, guard := range guards {
 			total, _, _ := guard.Counts()
@@ -398,15 +398,15 @@
 		end := time.Now().Add(backoff)
 		guards[0].RestsUntil = func(string) time.Time { return end }
 		replica := fleet.Incarnation{ID: "r0"}
-		guards[0].Left(replica, "address", testFingerprint(1))
+		guards[0].Abandoned(replica, "address", testFingerprint(1))
 		time.Sleep(2 * abandonWindow)
 		require.Zero(t, prober.calls())
 		for range 3 {
-			guards[0].Broke(t.Context(), replica, "address", testFingerprint(1))
+			guards[0].ConnectionBroken(t.Context(), replica, "address", testFingerprint(1))
 		}
 		require.Equal(t, 1, prober.calls())
 		time.Sleep(time.Until(end))
-		guards[0].Broke(t.Context(), replica, "address", testFingerprint(1))
+		guards[0].ConnectionBroken(t.Context(), replica, "address", testFingerprint(1))
 		require.Equal(t, 2, prober.calls())
 	})
 }
@@ -430,11 +430,11 @@
 		rateLimiter := &fakeRateLimiter{}
 		guards[0].Turns = rateLimiter
 		replica := fleet.Incarnation{ID: "r0"}
-		guards[0].Broke(t.Context(), replica, "address", testFingerprint(1))
+		guards[0].ConnectionBroken(t.Context(), replica, "address", testFingerprint(1))
 		require.EqualValues(t, 1, rateLimiter.charged.Load())
 		require.Equal(t, 1, prober.calls())
 
-		guards[0].Left(replica, "address", testFingerprint(1))
+		guards[0].Abandoned(replica, "address", testFingerprint(1))
 		time.Sleep(2*abandonCheckDelay + time.Millisecond)
 		require.EqualValues(t, 2, rateLimiter.calls.Load())
 		require.Equal(t, 1, prober.calls(), "probed without a reservation")
--- a/quarantine/restore_test.go
+++ b/quarantine/restore_test.go
@@ -16,10 +16,10 @@
 func (s *fakeStore) restoreEmpty() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.revision = kv.RevisionIn(kv.EraOf(s.revision)+1, 0)
+	s.revision = kv.MakeRevision(kv.EraOf(s.revision)+1, 0)
 	for key := range s.records {
 		delete(s.records, key)
-		s.notify(kv.Event{Pair: kv.Pair{Key: key, ModRevision: s.revision}, Deleted: true, Restored: true})
+		s.notify(kv.Event{Pair: kv.Pair{Key: key, ModRevision: s.revision}, Deleted: true, AfterRestore: true})
 	}
 }
 
@@ -40,8 +40,8 @@
 		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/1", Value: clearing, ModRevision: 5}})
 		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/2", Value: crashes, ModRevision: 6}})
 		require.NotNil(t, guards[0].Withheld(request))
-		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/1", Value: clearing, ModRevision: kv.RevisionIn(1, 5)}, Restored: true})
-		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/2", ModRevision: kv.RevisionIn(1, 5)}, Deleted: true, Restored: true})
+		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/1", Value: clearing, ModRevision: kv.MakeRevision(1, 5)}, AfterRestore: true})
+		guards[0].Observe(kv.Event{Pair: kv.Pair{Key: "ends/2", ModRevision: kv.MakeRevision(1, 5)}, Deleted: true, AfterRestore: true})
 		require.NotNil(t, guards[0].Withheld(request))
 	})
 }
@@ -52,7 +52,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				store, guards := startGuards(t, 2, &fakeProber{results: map[string]Liveness{"r0": Ended, "r1": Ended, "r2": Ended}})
 				for number := range CrashThreshold {
-					guards[1].Broke(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", testFingerprint(1))
+					guards[1].ConnectionBroken(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", testFingerprint(1))
 					time.Sleep(2 * gatherDelay)
 				}
 				written := store.recordCount()
--- a/quota/account.go
+++ b/quota/account.go
@@ -20,7 +20,7 @@
 
 // asked is a question without an answer.
 type asked struct {
-	Ask
+	Request
 	sent time.Time
 	// abandoned tells that its request has ended, or used credit.
 	abandoned bool
@@ -39,16 +39,16 @@
 }
 
 // Ask makes a question.
-func (a *Account) Ask(tenant string, cost float64, now time.Time) Ask {
+func (a *Account) Request(tenant string, cost float64, now time.Time) Request {
 	a.last++
-	made := Ask{ID: a.last, Tenant: tenant, Cost: cost}
-	a.asked[a.last] = asked{Ask: made, sent: now}
+	made := Request{ID: a.last, Tenant: tenant, Cost: cost}
+	a.asked[a.last] = asked{Request: made, sent: now}
 	return made
 }
 
 // Take takes in an answer. It returns what is to be given back: a grant for which no request
 // waits any more.
-func (a *Account) Take(answer Answer, now time.Time) (unused *Refund) {
+func (a *Account) ApplyAnswer(answer Answer, now time.Time) (unused *Refund) {
 	question, known := a.asked[answer.ID]
 	if !known {
 		return nil
@@ -89,8 +89,8 @@
 	}
 }
 
-// UseAhead uses credit that was lent ahead, if there is enough.
-func (a *Account) UseAhead(tenant string, cost float64, now time.Time) bool {
+// UseCredit uses credit that was lent ahead, if there is enough.
+func (a *Account) UseCredit(tenant string, cost float64, now time.Time) bool {
 	known := a.credits[tenant]
 	if known == nil || !now.Before(known.until) || known.left < cost {
 		return false
@@ -100,8 +100,8 @@
 	return true
 }
 
-// GiveAheadBack gives back credit that a request took and that did not run.
-func (a *Account) GiveAheadBack(tenant string, cost float64) {
+// RefundCredit gives back credit that a request took and that did not run.
+func (a *Account) RefundCredit(tenant string, cost float64) {
 	if known := a.credits[tenant]; known != nil && known.used >= cost {
 		known.left += cost
 		known.used -= cost
@@ -121,14 +121,14 @@
 	var all []Credit
 	for _, tenant := range slices.Sorted(maps.Keys(a.credits)) {
 		if known := a.credits[tenant]; now.Before(known.until) && known.left > 0 {
-			all = append(all, Credit{Tenant: tenant, Left: known.left, For: known.until.Sub(now)})
+			all = append(all, Credit{Tenant: tenant, Left: known.left, TTL: known.until.Sub(now)})
 		}
 	}
 	return all
 }
 
 // Return empties the credit that may still be used, because the holder has called it in.
-func (a *Account) Return(now time.Time) []Credit {
+func (a *Account) ReturnCredits(now time.Time) []Credit {
 	returned := a.Credits(now)
 	for _, one := range returned {
 		a.credits[one.Tenant].left = 0
@@ -139,7 +139,7 @@
 // Report lists what was used of the credit and is not reported yet. Until its number is
 // confirmed it is reported again on the next connection: the holder must not lend anew what
 // was used.
-func (a *Account) Report() (number uint64, used map[string]float64) {
+func (a *Account) ReportUsage() (number uint64, used map[string]float64) {
 	a.lastReport++
 	var all map[string]float64
 	for tenant, known := range a.credits {
@@ -159,11 +159,11 @@
 }
 
 // Confirmed takes in that the holder got a report.
-func (a *Account) Confirmed(number uint64) { delete(a.reports, number) }
+func (a *Account) ConfirmReport(number uint64) { delete(a.reports, number) }
 
 // Disconnected forgets the questions that no holder will answer any more. What was reported
 // and not confirmed is to be reported again.
-func (a *Account) Disconnected() {
+func (a *Account) HandleDisconnect() {
 	clear(a.asked)
 	for number, used := range a.reports {
 		for tenant, amount := range used {
--- a/quota/callin.go
+++ b/quota/callin.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// TakeBack takes in credit that a daemon returned because it was called in.
-func (l *Ledger) TakeBack(daemon string, credits []Credit, now time.Time) {
+// AcceptReturned takes in credit that a daemon returned because it was called in.
+func (l *Ledger) AcceptReturned(daemon string, credits []Credit, now time.Time) {
 	for _, credit := range credits {
 		use := l.tenants[credit.Tenant]
 		if use == nil {
@@ -15,7 +15,7 @@
 		}
 		returned := min(known.amount, credit.Left)
 		use.take(known, returned)
-		lapses := now.Add(credit.For)
+		lapses := now.Add(credit.TTL)
 		if use.pool.amount == 0 || lapses.Before(use.pool.until) {
 			use.pool.until = lapses
 		}
@@ -23,9 +23,9 @@
 	}
 }
 
-// AnswerUnsure answers a daemon's question while the holder's lease does not surely hold, so
+// AnswerUncertain answers a daemon's question while the holder's lease does not surely hold, so
 // that another holder may grant from the same limits: only from credit that was called in.
-func (l *Ledger) AnswerUnsure(daemon string, ask Ask, now time.Time) Answer {
+func (l *Ledger) AnswerUncertain(daemon string, ask Request, now time.Time) Answer {
 	l.heard[daemon] = now
 	use := l.tenants[ask.Tenant]
 	if use == nil {
--- a/quota/credit.go
+++ b/quota/credit.go
@@ -18,7 +18,7 @@
 }
 
 // Used takes in that a daemon used credit that it was lent ahead.
-func (l *Ledger) Used(daemon, tenant string, amount float64, now time.Time) {
+func (l *Ledger) RecordUsage(daemon, tenant string, amount float64, now time.Time) {
 	use := l.tenants[tenant]
 	if use == nil {
 		return
@@ -53,7 +53,7 @@
 			adopted = min(adopted, known.adopted)
 			use.take(known, known.amount)
 		}
-		use.lent[daemon] = &lent{amount: credit.Left, adopted: adopted, until: now.Add(credit.For), use: rate{over: shortTime}, since: now}
+		use.lent[daemon] = &lent{amount: credit.Left, adopted: adopted, until: now.Add(credit.TTL), use: rate{over: shortTime}, since: now}
 		use.lentNow += credit.Left
 		use.adopted += adopted
 	}
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Ask is a daemon's question whether a request may use a tenant's limit.
-type Ask struct {
+type Request struct {
 	ID     uint64 // of the question; unique for the daemon's process
 	Tenant string
 	Cost   float64
@@ -33,7 +33,7 @@
 type Credit struct {
 	Tenant string
 	Left   float64
-	For    time.Duration // until it lapses
+	TTL    time.Duration // until it lapses
 }
 
 // Refund gives back what was granted to a request that did not run.
@@ -108,7 +108,7 @@
 }
 
 // Answer answers a daemon's question while the holder's lease surely holds.
-func (l *Ledger) Answer(daemon string, ask Ask, now time.Time) Answer {
+func (l *Ledger) Answer(daemon string, ask Request, now time.Time) Answer {
 	l.heard[daemon] = now
 	use := l.tenants[ask.Tenant]
 	if use == nil {
@@ -160,7 +160,7 @@
 }
 
 // Heard takes in that a daemon spoke, and so said all that it had used until then.
-func (l *Ledger) Heard(daemon string, now time.Time) { l.heard[daemon] = now }
+func (l *Ledger) RecordContact(daemon string, now time.Time) { l.heard[daemon] = now }
 
 // Return takes back what was granted in this term to a request that did not run.
 func (l *Ledger) Return(refund Refund) {
--- a/quota/limit.go
+++ b/quota/limit.go
@@ -31,7 +31,7 @@
 	// Window is the length of time over which use is summed.
 	Window time.Duration
 	// Over is the share by which the use in a window may exceed the limit.
-	Over float64
+	Overshoot float64
 	// Slack may be used in a window besides, in the tenants' units.
 	Slack float64
 }
@@ -66,7 +66,7 @@
 // divide returns the division for a limit.
 func (b Bounds) divide(limit Limit) division {
 	lasting := limit.PerSecond * b.Window.Seconds()
-	made := division{most: (lasting+limit.Burst)*(1+b.Over) + b.Slack}
+	made := division{most: (lasting+limit.Burst)*(1+b.Overshoot) + b.Slack}
 	made.reserve = max(0, made.most-lasting-2*lastShare*b.Slack)
 	made.ahead = max(0, lentShare*(made.reserve-burstShare*limit.Burst))
 	return made
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -78,7 +78,7 @@
 
 func newModel(seed uint64, daemons int, limits map[string]Limit) *model {
 	m := &model{
-		random: rand.New(rand.NewPCG(seed, 7)), bounds: Bounds{Window: 8 * time.Second, Over: 0.1, Slack: 11_000}, limits: limits,
+		random: rand.New(rand.NewPCG(seed, 7)), bounds: Bounds{Window: 8 * time.Second, Overshoot: 0.1, Slack: 11_000}, limits: limits,
 		now: time.Unix(1_000, 0), admitted: map[string][]admission{}, asked: map[string]float64{}, granted: map[string]float64{},
 		refused: map[string]int{}, requests: map[string]int{},
 	}
@@ -124,9 +124,9 @@
 	if m.holder == nil || daemon.cut || daemon.holder == m.holder {
 		return
 	}
-	daemon.account.Disconnected()
+	daemon.account.HandleDisconnect()
 	daemon.holder = m.holder
-	number, used := daemon.account.Report()
+	number, used := daemon.account.ReportUsage()
 	credits, holder, account, name := daemon.account.Credits(m.now), m.holder, daemon.account, daemon.name
 	m.after(m.delay(daemon), func() {
 		if holder.over || daemon.holder != holder {
@@ -134,7 +134,7 @@
 		}
 		m.report(holder, name, used)
 		holder.ledger.Adopt(name, credits, m.now)
-		account.Confirmed(number)
+		account.ConfirmReport(number)
 	})
 }
 
@@ -147,20 +147,20 @@
 		return
 	}
 	name, account, holder := daemon.name, daemon.account, daemon.holder
-	number, used := account.Report()
+	number, used := account.ReportUsage()
 	m.after(m.delay(daemon), func() {
 		if holder.over || daemon.holder != holder {
 			return
 		}
-		account.Confirmed(number)
+		account.ConfirmReport(number)
 		m.report(holder, name, used)
-		holder.ledger.Heard(name, m.now)
+		holder.ledger.RecordContact(name, m.now)
 	})
 }
 
 func (m *model) report(holder *modelHolder, name string, used map[string]float64) {
 	for tenant, amount := range used {
-		holder.ledger.Used(name, tenant, amount, m.now)
+		holder.ledger.RecordUsage(name, tenant, amount, m.now)
 	}
 }
 
@@ -200,8 +200,8 @@
 		m.useAhead(daemon, tenant, cost)
 		return
 	}
-	ask := daemon.account.Ask(tenant, cost, m.now)
-	number, used := daemon.account.Report()
+	ask := daemon.account.Request(tenant, cost, m.now)
+	number, used := daemon.account.ReportUsage()
 	holder, account, name := daemon.holder, daemon.account, daemon.name
 	settled := false
 	m.after(m.delay(daemon), func() {
@@ -209,14 +209,14 @@
 			return
 		}
 		m.report(holder, name, used)
-		account.Confirmed(number)
+		account.ConfirmReport(number)
 		unsure := holder.unsure
 		answer := m.answer(holder, name, ask)
 		m.after(m.delay(daemon), func() {
 			if daemon.holder != holder || daemon.account != account {
 				return
 			}
-			if unused := account.Take(answer, m.now); unused != nil {
+			if unused := account.ApplyAnswer(answer, m.now); unused != nil {
 				m.after(m.delay(daemon), func() { holder.ledger.Return(*unused) })
 				return
 			}
@@ -238,24 +238,24 @@
 	})
 }
 
-func (m *model) answer(holder *modelHolder, name string, ask Ask) Answer {
+func (m *model) answer(holder *modelHolder, name string, ask Request) Answer {
 	if holder.unsure {
-		return holder.ledger.AnswerUnsure(name, ask, m.now)
+		return holder.ledger.AnswerUncertain(name, ask, m.now)
 	}
 	return holder.ledger.Answer(name, ask, m.now)
 }
 
 // returnCredit lets a daemon return the credit that its holder calls in.
 func (m *model) returnCredit(daemon *modelDaemon, holder *modelHolder) {
-	name, returned := daemon.name, daemon.account.Return(m.now)
+	name, returned := daemon.name, daemon.account.ReturnCredits(m.now)
 	m.after(m.delay(daemon), func() {
 		if !holder.over && daemon.holder == holder {
-			holder.ledger.TakeBack(name, returned, m.now)
+			holder.ledger.AcceptReturned(name, returned, m.now)
 		}
 	})
 }
 
-func (m *model) decide(daemon *modelDaemon, ask Ask, answer Answer, holder *modelHolder, failing bool) {
+func (m *model) decide(daemon *modelDaemon, ask Request, answer Answer, holder *modelHolder, failing bool) {
 	switch {
 	case answer.Granted && failing:
 		holder.ledger.Return(Refund{Tenant: ask.Tenant, Cost: ask.Cost, Slot: answer.Slot})
@@ -269,7 +269,7 @@
 }
 
 func (m *model) useAhead(daemon *modelDaemon, tenant string, cost float64) {
-	if daemon.account.UseAhead(tenant, cost, m.now) {
+	if daemon.account.UseCredit(tenant, cost, m.now) {
 		m.admit(tenant, cost)
 		return
 	}
--- a/records/bulk.go
+++ b/records/bulk.go
@@ -16,12 +16,12 @@
 // that says whether there are more; empty: none does. changed is called whenever this daemon begins to
 // do without them, or knows them all again, before the records are handled. It must be called before
 // Serve.
-func (m *Mirror) Bulk(prefix string, most int, sizeKey string, changed func(without bool)) {
+func (m *Mirror) LimitReplicaRecords(prefix string, most int, sizeKey string, changed func(without bool)) {
 	m.bulk, m.bulkMost, m.sizeKey, m.bulkChanged = prefix, most, sizeKey, changed
 }
 
-// WantBulk tells whether this daemon is to know the bulk however large it is.
-func (m *Mirror) WantBulk(wanted bool) {
+// RequireReplicaRecords tells whether this daemon is to know the bulk however large it is.
+func (m *Mirror) RequireReplicaRecords(wanted bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.bulkWanted = wanted
@@ -30,8 +30,8 @@
 // needsBulk tells whether this daemon is to know the bulk however large it is; the mutex is held.
 func (m *Mirror) needsBulk() bool { return m.bulkWanted || m.leading }
 
-// WantsAll tells whether this daemon is to know all records however many they are.
-func (m *Mirror) WantsAll() bool {
+// RequiresAll tells whether this daemon is to know all records however many they are.
+func (m *Mirror) RequiresAll() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.needsBulk()
@@ -45,21 +45,21 @@
 }
 
 // KnowsAll tells whether all records are known, the bulk included.
-func (m *Mirror) KnowsAll() bool {
+func (m *Mirror) HasAll() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.revision > 0 && !m.without
 }
 
-// WithoutBulk tells whether this daemon does without the bulk.
-func (m *Mirror) WithoutBulk() bool {
+// OmitsReplicaRecords tells whether this daemon does without the bulk.
+func (m *Mirror) OmitsReplicaRecords() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.without
 }
 
 // TooLarge tells whether there are too many records for every daemon to know them all.
-func (m *Mirror) TooLarge() bool {
+func (m *Mirror) TooManyReplicas() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.tooLarge
@@ -147,7 +147,7 @@
 	without, needs, known := m.without, m.needsBulk(), m.revision > 0
 	m.mutex.Unlock()
 	switch {
-	case !update.WithoutBulk || without:
+	case !update.OmitsReplicaRecords || without:
 		return true
 	case needs, !known && !update.Whole:
 		return false
--- a/records/bulk_test.go
+++ b/records/bulk_test.go
@@ -28,10 +28,10 @@
 
 // limitedMirror returns a mirror that does without replicas where there are more than most, and what
 // it told of that.
-func limitedMirror(t *testing.T, store kv.ChangeStore, most int) (*Mirror, *[]bool) {
+func limitedMirror(t *testing.T, store kv.LongPollStore, most int) (*Mirror, *[]bool) {
 	told := &[]bool{}
 	mirror := mirrorOf(t, store)
-	mirror.Bulk(testBulk, most, "", func(without bool) { *told = append(*told, without) })
+	mirror.LimitReplicaRecords(testBulk, most, "", func(without bool) { *told = append(*told, without) })
 	return mirror, told
 }
 
@@ -73,7 +73,7 @@
 			store.events = append(store.events, kv.Event{Pair: pair})
 		}
 		mirror := mirrorOf(t, store)
-		mirror.Lead(true)
+		mirror.SetLeading(true)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go func() { _ = mirror.Serve(ctx) }()
@@ -91,11 +91,11 @@
 	source.replace(append(bulkOf(3, 5), kv.Pair{Key: "config", Value: []byte("1"), ModRevision: 4}), 10, true)
 	require.False(t, feed.viewFor(view{}, false).without, "few replicas: all are told of all")
 	source.apply([]kv.Event{put(testBulk+"more", "ready", 11), put("config", "2", 12)}, 12)
-	require.True(t, source.TooLarge())
+	require.True(t, source.TooManyReplicas())
 
 	peer := feed.viewFor(view{revision: 10}, false)
 	update, changed := source.since(peer)
-	require.True(t, update.WithoutBulk)
+	require.True(t, update.OmitsReplicaRecords)
 	require.Equal(t, []string{"config"}, keysOf(update))
 	update, _ = source.since(feed.viewFor(view{revision: 10}, true))
 	require.Equal(t, []string{testBulk + "more", "config"}, keysOf(update), "a directory asks for all")
@@ -130,35 +130,35 @@
 	for _, pair := range append(bulkOf(2, 5), kv.Pair{Key: "config", Value: []byte("1"), ModRevision: 4}) {
 		all.Events = append(all.Events, kv.Event{Pair: pair})
 	}
-	mirror.Take(all)
-	require.True(t, mirror.KnowsAll())
+	mirror.ApplyUpdate(all)
+	require.True(t, mirror.HasAll())
 
-	mirror.Take(Update{Revision: 12, WithoutBulk: true, Events: []kv.Event{put("config", "2", 12)}})
+	mirror.ApplyUpdate(Update{Revision: 12, OmitsReplicaRecords: true, Events: []kv.Event{put("config", "2", 12)}})
 	require.Equal(t, []bool{true}, *told)
-	require.False(t, mirror.KnowsAll())
+	require.False(t, mirror.HasAll())
 	require.Equal(t, "2", value(mirror, "config"))
 	_, known := mirror.Get(testBulk + "0000")
 	require.False(t, known)
 	handled = nil
-	mirror.Take(Update{Revision: 13, Events: []kv.Event{put(testBulk+"0000", "draining", 13)}})
+	mirror.ApplyUpdate(Update{Revision: 13, Events: []kv.Event{put(testBulk+"0000", "draining", 13)}})
 	require.Empty(t, handled, "what was on its way is not of use any more")
 
-	mirror.Take(Update{Revision: 9, Whole: true, Events: all.Events})
-	require.False(t, mirror.KnowsAll(), "an older list is not taken")
+	mirror.ApplyUpdate(Update{Revision: 9, Whole: true, Events: all.Events})
+	require.False(t, mirror.HasAll(), "an older list is not taken")
 	require.Equal(t, "2", value(mirror, "config"))
 	all.Revision, all.Events = 13, append(all.Events[:2:2], put("config", "2", 12))
-	mirror.Take(all)
-	require.True(t, mirror.KnowsAll())
+	mirror.ApplyUpdate(all)
+	require.True(t, mirror.HasAll())
 	require.Equal(t, []bool{true, false}, *told)
 	require.ElementsMatch(t, []string{testBulk + "0000", testBulk + "0001"}, handled)
 }
 
 func TestADirectoryIsNotMadeToDoWithoutReplicas(t *testing.T) {
 	mirror, told := limitedMirror(t, newFakeStore(), 3)
-	mirror.Take(Update{Revision: 10, Whole: true, Events: []kv.Event{put(testBulk+"a", "ready", 5)}})
-	mirror.WantBulk(true)
-	mirror.Take(Update{Revision: 12, WithoutBulk: true, Contact: time.Now(), Events: []kv.Event{put("config", "2", 12)}})
-	require.True(t, mirror.KnowsAll())
+	mirror.ApplyUpdate(Update{Revision: 10, Whole: true, Events: []kv.Event{put(testBulk+"a", "ready", 5)}})
+	mirror.RequireReplicaRecords(true)
+	mirror.ApplyUpdate(Update{Revision: 12, OmitsReplicaRecords: true, LastContact: time.Now(), Events: []kv.Event{put("config", "2", 12)}})
+	require.True(t, mirror.HasAll())
 	require.False(t, mirror.InContact(), "changes of replicas before revision 12 would be missed")
 	require.Empty(t, *told)
 }
@@ -181,14 +181,14 @@
 				}
 				mirror, _ := limitedMirror(t, store, 30)
 				mirror.Handle("config", func(kv.Event) {})
-				mirror.Lead(test.leads)
+				mirror.SetLeading(test.leads)
 				ctx, stop := context.WithCancel(t.Context())
 				defer stop()
 				go func() { _ = mirror.Serve(ctx) }()
 				time.Sleep(10 * time.Second)
 				synctest.Wait()
 				require.Equal(t, test.reads, store.read)
-				require.Equal(t, test.reads == test.pages, mirror.KnowsAll())
+				require.Equal(t, test.reads == test.pages, mirror.HasAll())
 				require.Equal(t, "config", value(mirror, "config"))
 				require.EqualValues(t, 20, mirror.Revision())
 			})
@@ -214,7 +214,7 @@
 func TestAPackedUpdateKeepsTheAgeOfItsProof(t *testing.T) {
 	asked := time.Now()
 	feed := &Feed{}
-	sent := Update{Revision: 9, Whole: true, WithoutBulk: true, Proven: asked.Add(-700 * time.Millisecond), Contact: asked,
+	sent := Update{Revision: 9, Whole: true, OmitsReplicaRecords: true, Verified: asked.Add(-700 * time.Millisecond), LastContact: asked,
 		Events: []kv.Event{put("config", strings.Repeat("route ", 4000), 8)}}
 	message := feed.message(sent, asked)
 	require.NotEmpty(t, message.GetPacked())
@@ -259,10 +259,10 @@
 		}
 		start := func(leads bool) (*Mirror, context.CancelFunc) {
 			mirror := mirrorOf(t, store)
-			mirror.Bulk(testBulk, 3, "finch/size", func(bool) {})
+			mirror.LimitReplicaRecords(testBulk, 3, "finch/size", func(bool) {})
 			mirror.Handle("op/config", func(kv.Event) {})
 			mirror.Handle("finch/term", func(kv.Event) {})
-			mirror.Lead(leads)
+			mirror.SetLeading(leads)
 			ctx, stop := context.WithCancel(t.Context())
 			go func() { _ = mirror.Serve(ctx) }()
 			time.Sleep(time.Second)
@@ -270,7 +270,7 @@
 			return mirror, stop
 		}
 		holder, stop := start(true)
-		require.True(t, holder.KnowsAll())
+		require.True(t, holder.HasAll())
 		store.put(testBulk+"more", "ready")
 		time.Sleep(time.Second)
 		stop()
@@ -279,20 +279,20 @@
 		store.listed = nil
 		daemon, stop := start(false)
 		defer stop()
-		require.False(t, daemon.KnowsAll())
+		require.False(t, daemon.HasAll())
 		require.Equal(t, "1", value(daemon, "op/config"))
 		require.NotContains(t, store.listed, "")
 		require.NotContains(t, store.listed, testBulk)
 
 		again, stopAgain := start(true)
 		defer stopAgain()
-		require.True(t, again.KnowsAll(), "who leads reads them all")
+		require.True(t, again.HasAll(), "who leads reads them all")
 	})
 }
 
 func TestAListThatIsOlderThanWhatAPeerToldIsNotTaken(t *testing.T) {
 	mirror, _ := limitedMirror(t, newFakeStore(), 3)
-	mirror.Take(Update{Revision: 20, Whole: true, Events: []kv.Event{put("config", "2", 20)}})
+	mirror.ApplyUpdate(Update{Revision: 20, Whole: true, Events: []kv.Event{put("config", "2", 20)}})
 	mirror.take([]kv.Pair{{Key: "config", Value: []byte("1"), ModRevision: 10}}, 18)
 	require.Equal(t, "2", value(mirror, "config"))
 }
@@ -301,15 +301,15 @@
 // what came after: the configuration in between was never heard of.
 func TestAStreamEndsWithAnUpdateThatIsNotTaken(t *testing.T) {
 	source, address := servedSource(t.Context(), t)
-	source.Bulk(testBulk, 1, "", func(bool) {})
+	source.LimitReplicaRecords(testBulk, 1, "", func(bool) {})
 	source.replace(append(bulkOf(2, 6), kv.Pair{Key: "config", Value: []byte("2"), ModRevision: 8}), 9, true)
 	source.narrow() // it leaves replicas out, whoever asks
 	mirror, _ := limitedMirror(t, newFakeStore(), 1)
-	mirror.Take(Update{Revision: 5, Whole: true, Events: []kv.Event{put("config", "1", 4), put(testBulk+"0000", "ready", 3)}})
-	mirror.WantBulk(true)
+	mirror.ApplyUpdate(Update{Revision: 5, Whole: true, Events: []kv.Event{put("config", "1", 4), put(testBulk+"0000", "ready", 3)}})
+	mirror.RequireReplicaRecords(true)
 	require.ErrorIs(t, followUntil(t, mirror, address, "2"), errUnsuited)
 	require.EqualValues(t, 5, mirror.Revision(), "nothing was taken")
-	mirror.WantBulk(false)
+	mirror.RequireReplicaRecords(false)
 	require.NoError(t, followUntil(t, mirror, address, "2"), "from what was known before")
 }
 
@@ -345,17 +345,17 @@
 // daemons that showed it.
 func TestAListThatADirectoryCannotTakeInIsAskedForAgain(t *testing.T) {
 	directory, told := limitedMirror(t, newFakeStore(), 3)
-	directory.Take(Update{Revision: 10, Whole: true, WithoutBulk: true, Events: []kv.Event{put("config", "1", 4)}})
-	directory.Take(Update{Revision: 13, WithoutBulk: true, Events: []kv.Event{put("config", "2", 13)}})
-	directory.WantBulk(true)
+	directory.ApplyUpdate(Update{Revision: 10, Whole: true, OmitsReplicaRecords: true, Events: []kv.Event{put("config", "1", 4)}})
+	directory.ApplyUpdate(Update{Revision: 13, OmitsReplicaRecords: true, Events: []kv.Event{put("config", "2", 13)}})
+	directory.RequireReplicaRecords(true)
 	all := Update{Revision: 11, Whole: true}
 	for _, pair := range append(bulkOf(5, 5), kv.Pair{Key: "config", Value: []byte("1"), ModRevision: 4}) {
 		all.Events = append(all.Events, kv.Event{Pair: pair})
 	}
-	require.False(t, directory.Take(all), "it is older than what is known here")
+	require.False(t, directory.ApplyUpdate(all), "it is older than what is known here")
 	require.Equal(t, "2", value(directory, "config"), "nothing goes back")
 	all.Revision = 13
-	require.True(t, directory.Take(all))
-	require.True(t, directory.KnowsAll())
+	require.True(t, directory.ApplyUpdate(all))
+	require.True(t, directory.HasAll())
 	require.Equal(t, []bool{true, false}, *told)
 }
--- a/records/contact.go
+++ b/records/contact.go
@@ -39,7 +39,7 @@
 }
 
 // Reached tells whether the service answered last, here or to a peer that vouches.
-func (m *Mirror) Reached() bool {
+func (m *Mirror) StoreReachable() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.reached
--- a/records/era.go
+++ b/records/era.go
@@ -52,12 +52,12 @@
 	}
 	gone := 0
 	for index := range events {
-		events[index].Restored = true
+		events[index].AfterRestore = true
 		if events[index].Deleted {
 			gone++
 		}
 	}
 	m.log.WithFields(logging.AtRevision(after)).WithFields(logrus.Fields{
-		logging.EraBefore: kv.EraOf(before), logging.RevisionBefore: kv.CountOf(before), logging.Listed: len(events) - gone, logging.Gone: gone,
+		logging.EraBefore: kv.EraOf(before), logging.RevisionBefore: kv.CounterOf(before), logging.Listed: len(events) - gone, logging.Gone: gone,
 	}).Warn(logging.MessageServiceRestored)
 }
--- a/records/era_test.go
+++ b/records/era_test.go
@@ -18,7 +18,7 @@
 func (s *fakeStore) copied() (pairs map[string]kv.Pair, count int64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return maps.Clone(s.pairs), kv.CountOf(s.revision)
+	return maps.Clone(s.pairs), kv.CounterOf(s.revision)
 }
 
 // restore makes the store go on from a copy, in its next era.
@@ -26,9 +26,9 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	era := kv.EraOf(s.revision) + 1
-	s.pairs, s.revision = map[string]kv.Pair{}, kv.RevisionIn(era, count)
+	s.pairs, s.revision = map[string]kv.Pair{}, kv.MakeRevision(era, count)
 	for key, pair := range pairs {
-		pair.ModRevision = kv.RevisionIn(era, kv.CountOf(pair.ModRevision))
+		pair.ModRevision = kv.MakeRevision(era, kv.CounterOf(pair.ModRevision))
 		s.pairs[key] = pair
 	}
 	close(s.changed)
@@ -78,17 +78,17 @@
 func TestTheWordOfAPeerOfAnEarlierEraDoesNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mirror := mirrorOf(t, newFakeStore())
-		restored, earlier := kv.RevisionIn(2, 5), kv.RevisionIn(1, 90)
-		require.True(t, mirror.Take(Update{Revision: restored, Whole: true, Events: []kv.Event{put("config", "3", kv.RevisionIn(2, 3))}, Contact: time.Now().Add(-vouchTime / 2)}))
+		restored, earlier := kv.MakeRevision(2, 5), kv.MakeRevision(1, 90)
+		require.True(t, mirror.ApplyUpdate(Update{Revision: restored, Whole: true, Events: []kv.Event{put("config", "3", kv.MakeRevision(2, 3))}, LastContact: time.Now().Add(-vouchTime / 2)}))
 		for _, update := range []Update{
-			{Revision: earlier, Contact: time.Now(), Proven: time.Now()},
-			{Revision: earlier, Whole: true, Events: []kv.Event{put("config", "9", kv.RevisionIn(1, 80))}, Contact: time.Now(), Proven: time.Now()},
-			{Revision: earlier, Events: []kv.Event{put("servers/a", "1", earlier)}, Contact: time.Now(), Proven: time.Now()},
+			{Revision: earlier, LastContact: time.Now(), Verified: time.Now()},
+			{Revision: earlier, Whole: true, Events: []kv.Event{put("config", "9", kv.MakeRevision(1, 80))}, LastContact: time.Now(), Verified: time.Now()},
+			{Revision: earlier, Events: []kv.Event{put("servers/a", "1", earlier)}, LastContact: time.Now(), Verified: time.Now()},
 		} {
-			require.True(t, mirror.Take(update), "the peer is listened to until it hears of the restore")
+			require.True(t, mirror.ApplyUpdate(update), "the peer is listened to until it hears of the restore")
 		}
 		require.Equal(t, map[string]string{"config": "3"}, values(mirror))
-		require.True(t, mirror.ProvenAt().IsZero())
+		require.True(t, mirror.VerifiedAt().IsZero())
 		time.Sleep(vouchTime / 2)
 		require.False(t, mirror.InContact())
 	})
@@ -100,7 +100,7 @@
 		store := newFakeStore()
 		store.put("config", "1")
 		mirror := mirrorOf(t, store)
-		mirror.LimitProof("config", time.Second)
+		mirror.VerifyWithin("config", time.Second)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go func() { _ = mirror.Serve(ctx) }()
@@ -109,7 +109,7 @@
 		store.restore(pairs, count)
 		store.put("config", "2")
 		for range 20 { // the peer goes on vouching
-			mirror.Take(Update{Revision: 1, Contact: time.Now()})
+			mirror.ApplyUpdate(Update{Revision: 1, LastContact: time.Now()})
 			time.Sleep(100 * time.Millisecond)
 		}
 		require.Equal(t, "2", value(mirror, "config"))
@@ -121,18 +121,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		mirror := mirrorOf(t, newFakeStore())
 		mirror.replace([]kv.Pair{put("config", "1", 5).Pair}, 5, true)
-		mirror.Take(Update{Revision: 5, Contact: time.Now()})
+		mirror.ApplyUpdate(Update{Revision: 5, LastContact: time.Now()})
 		require.True(t, mirror.InContact())
 		mirror.outdate()
 		require.False(t, mirror.InContact(), "what was heard is of before")
-		mirror.Take(Update{Revision: 9, Events: []kv.Event{put("config", "2", 9)}, Contact: time.Now(), Proven: time.Now()})
+		mirror.ApplyUpdate(Update{Revision: 9, Events: []kv.Event{put("config", "2", 9)}, LastContact: time.Now(), Verified: time.Now()})
 		require.False(t, mirror.InContact())
-		require.True(t, mirror.ProvenAt().IsZero())
+		require.True(t, mirror.VerifiedAt().IsZero())
 		require.Equal(t, "1", value(mirror, "config"))
-		restored := kv.RevisionIn(1, 4)
-		mirror.Take(Update{Revision: restored, Whole: true, Events: []kv.Event{put("config", "3", restored)}, Contact: time.Now(), Proven: time.Now()})
+		restored := kv.MakeRevision(1, 4)
+		mirror.ApplyUpdate(Update{Revision: restored, Whole: true, Events: []kv.Event{put("config", "3", restored)}, LastContact: time.Now(), Verified: time.Now()})
 		require.True(t, mirror.InContact())
-		require.False(t, mirror.ProvenAt().IsZero())
+		require.False(t, mirror.VerifiedAt().IsZero())
 		require.Equal(t, "3", value(mirror, "config"))
 	})
 }
@@ -142,11 +142,11 @@
 	source.replace([]kv.Pair{put("config", "1", 5).Pair}, 90, true)
 	before, _ := source.since(view{})
 	follower := mirrorOf(t, newFakeStore())
-	require.True(t, follower.Take(before))
-	source.replace([]kv.Pair{put("config", "2", kv.RevisionIn(1, 6)).Pair}, kv.RevisionIn(1, 6), true)
+	require.True(t, follower.ApplyUpdate(before))
+	source.replace([]kv.Pair{put("config", "2", kv.MakeRevision(1, 6)).Pair}, kv.MakeRevision(1, 6), true)
 	after, _ := source.since(view{revision: before.Revision})
 	require.True(t, after.Whole)
-	require.True(t, follower.Take(after))
+	require.True(t, follower.ApplyUpdate(after))
 	require.Equal(t, "2", value(follower, "config"))
 	require.Equal(t, source.Revision(), follower.Revision())
 }
@@ -176,7 +176,7 @@
 					store.set(random.IntN(2) == 0)
 				case 3:
 					update, _ := mirror.since(told)
-					require.True(t, follower.Take(update))
+					require.True(t, follower.ApplyUpdate(update))
 					told.revision = max(told.revision, update.Revision)
 				case 4:
 					time.Sleep(time.Duration(random.IntN(1500)) * time.Millisecond)
@@ -188,7 +188,7 @@
 			time.Sleep(5 * time.Second)
 			require.Equal(t, store.values(), values(mirror), "seed %d", seed)
 			update, _ := mirror.since(told)
-			require.True(t, follower.Take(update))
+			require.True(t, follower.ApplyUpdate(update))
 			require.Equal(t, store.values(), values(follower), "seed %d", seed)
 		})
 	}
--- a/records/feed.go
+++ b/records/feed.go
@@ -34,7 +34,7 @@
 }
 
 func keyOf(update Update) packedKey {
-	key := packedKey{last: update.Revision, count: len(update.Events), whole: update.Whole, without: update.WithoutBulk}
+	key := packedKey{last: update.Revision, count: len(update.Events), whole: update.Whole, without: update.OmitsReplicaRecords}
 	if !update.Whole {
 		key.first, key.last = update.Events[0].Pair.ModRevision, update.Events[len(update.Events)-1].Pair.ModRevision
 	}
@@ -64,7 +64,7 @@
 		question := asked.question.Load()
 		peer = f.viewFor(peer, asked.all.Load())
 		update, changed := f.Mirror.since(peer)
-		if update.Whole && first && !request.GetWhole() && !update.WithoutBulk { // without the bulk it is short
+		if update.Whole && first && !request.GetWhole() && !update.OmitsReplicaRecords { // without the bulk it is short
 			return errBehind
 		}
 		message := f.message(update, f.Mirror.now())
@@ -93,7 +93,7 @@
 // viewFor returns what a peer is told of from now on. One that is told of the bulk again gets all
 // records.
 func (f *Feed) viewFor(peer view, all bool) view {
-	without := f.Mirror.TooLarge() && !all
+	without := f.Mirror.TooManyReplicas() && !all
 	if peer.without && !without {
 		peer.revision = 0
 	}
@@ -125,12 +125,12 @@
 
 // message makes the message of an update.
 func (f *Feed) message(update Update, now time.Time) *rpc.RecordsUpdate {
-	message := &rpc.RecordsUpdate{Revision: update.Revision, Whole: update.Whole, WithoutReplicas: update.WithoutBulk, SecondHand: update.SecondHand, ContactAgeMs: never, ProvenAgeMs: never}
-	if !update.Contact.IsZero() {
-		message.ContactAgeMs = max(0, now.Sub(update.Contact).Milliseconds())
+	message := &rpc.RecordsUpdate{Revision: update.Revision, Whole: update.Whole, WithoutReplicas: update.OmitsReplicaRecords, SecondHand: update.SecondHand, ContactAgeMs: never, ProvenAgeMs: never}
+	if !update.LastContact.IsZero() {
+		message.ContactAgeMs = max(0, now.Sub(update.LastContact).Milliseconds())
 	}
-	if !update.Proven.IsZero() {
-		message.ProvenAgeMs = roundedUp(now.Sub(update.Proven))
+	if !update.Verified.IsZero() {
+		message.ProvenAgeMs = roundedUp(now.Sub(update.Verified))
 	}
 	if len(update.Events) > 0 {
 		content := f.content(keyOf(update), update.Events)
@@ -177,12 +177,12 @@
 	if err != nil {
 		return Update{}, err
 	}
-	update := Update{Revision: message.GetRevision(), Whole: message.GetWhole(), WithoutBulk: message.GetWithoutReplicas(), SecondHand: message.GetSecondHand()}
+	update := Update{Revision: message.GetRevision(), Whole: message.GetWhole(), OmitsReplicaRecords: message.GetWithoutReplicas(), SecondHand: message.GetSecondHand()}
 	if age := message.GetContactAgeMs(); age >= 0 {
-		update.Contact = now.Add(-time.Duration(age) * time.Millisecond)
+		update.LastContact = now.Add(-time.Duration(age) * time.Millisecond)
 	}
 	if age := message.GetProvenAgeMs(); age >= 0 && !asked.IsZero() {
-		update.Proven = asked.Add(-time.Duration(age) * time.Millisecond)
+		update.Verified = asked.Add(-time.Duration(age) * time.Millisecond)
 	}
 	for _, record := range message.GetRecords() {
 		pair := kv.Pair{Key: record.GetKey(), Value: record.GetValue(), ModRevision: record.GetRevision()}
@@ -210,7 +210,7 @@
 	defer func() { _ = stream.Close() }()
 	defer m.listen(false)
 	var open questions
-	first := &rpc.FollowRecords{DaemonId: daemonID, KnownRevision: m.Revision(), Whole: !m.answeredLately(), Question: open.next(m.now()), All: m.WantsAll()}
+	first := &rpc.FollowRecords{DaemonId: daemonID, KnownRevision: m.Revision(), Whole: !m.answeredLately(), Question: open.next(m.now()), All: m.RequiresAll()}
 	if m.lacksBulk() {
 		first.KnownRevision, first.Whole = 0, true
 	}
@@ -228,10 +228,10 @@
 		if err != nil {
 			return err
 		}
-		if !m.Take(update) {
+		if !m.ApplyUpdate(update) {
 			return errUnsuited
 		}
-		if err := stream.Send(&rpc.FollowRecords{Question: open.next(m.now()), All: m.WantsAll()}); err != nil {
+		if err := stream.Send(&rpc.FollowRecords{Question: open.next(m.now()), All: m.RequiresAll()}); err != nil {
 			return err
 		}
 	}
--- a/records/list.go
+++ b/records/list.go
@@ -35,7 +35,7 @@
 			return nil, 0, err
 		}
 	}
-	if m.WithoutBulk() && !m.lacksBulk() {
+	if m.OmitsReplicaRecords() && !m.lacksBulk() {
 		return m.listOthers(ctx, known)
 	}
 	lister, can := m.store.(kv.PageLister)
@@ -55,9 +55,9 @@
 		return nil, 0, err
 	case m.Revision() > 0:
 		return nil, 0, errTold
-	case m.WithoutBulk() && m.bulkIsLast():
+	case m.OmitsReplicaRecords() && m.bulkIsLast():
 		return pairs, revision, nil // the others came before the parts that were not read
-	case m.WithoutBulk():
+	case m.OmitsReplicaRecords():
 		return m.listOthers(ctx, known)
 	}
 	return pairs, revision, nil
--- a/records/list_test.go
+++ b/records/list_test.go
@@ -52,11 +52,11 @@
 			pages: [][]kv.Pair{pageOf(5, "config", "replica-1"), pageOf(6, "replica-2"), pageOf(7, "replica-3")}}
 		store.revision = 20
 		mirror := mirrorOf(t, store)
-		mirror.LimitProof("config", time.Minute)
+		mirror.VerifyWithin("config", time.Minute)
 		seen := map[string]int{}
 		mirror.Handle("", func(event kv.Event) { seen[event.Pair.Key]++ })
 		loaded := 0
-		mirror.Loaded(func() { loaded++ })
+		mirror.OnLoaded(func() { loaded++ })
 		began := time.Now()
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -65,12 +65,12 @@
 		time.Sleep(store.pause)
 		synctest.Wait()
 		require.Equal(t, map[string]int{"config": 1, "replica-1": 1}, seen)
-		require.Equal(t, began, mirror.ProvenAt(), "from when the part with the record was asked for")
+		require.Equal(t, began, mirror.VerifiedAt(), "from when the part with the record was asked for")
 		require.Zero(t, loaded, "the rest is still to come")
 		time.Sleep(store.pause)
 		synctest.Wait()
 		require.Equal(t, 1, seen["replica-2"])
-		require.Equal(t, began, mirror.ProvenAt(), "other parts prove nothing of the record")
+		require.Equal(t, began, mirror.VerifiedAt(), "other parts prove nothing of the record")
 
 		// The list broke off, and is asked for again from its beginning.
 		time.Sleep(pauseFirst + 4*store.pause)
@@ -85,7 +85,7 @@
 
 func TestAPartOfAListTellsNothingOnceThePeersWholeIsKnown(t *testing.T) {
 	mirror := mirrorOf(t, newFakeStore())
-	mirror.Take(Update{Revision: 9, Whole: true, Events: []kv.Event{put("config", "new", 9)}})
+	mirror.ApplyUpdate(Update{Revision: 9, Whole: true, Events: []kv.Event{put("config", "new", 9)}})
 	mirror.preview(pageOf(5, "config", "replica-1"), time.Now())
 	pair, _ := mirror.Get("config")
 	require.Equal(t, "new", string(pair.Value))
--- a/records/pauses.go
+++ b/records/pauses.go
@@ -12,7 +12,7 @@
 
 // Urgent names the record whose changes are not gathered with others. It must be called
 // before Serve.
-func (m *Mirror) Urgent(key string) { m.urgent = key }
+func (m *Mirror) SetUrgentKey(key string) { m.urgent = key }
 
 // restWhileVouched waits until no peer vouches any more; it returns false at once
 // where none does.
@@ -42,7 +42,7 @@
 
 // Peers makes this daemon give its peers some time to vouch for the records once it has listed them,
 // before it asks the service for changes. It must be called before Serve.
-func (m *Mirror) Peers(has func() bool) { m.hasPeers = has }
+func (m *Mirror) SetHasPeers(has func() bool) { m.hasPeers = has }
 
 // peerTime is how long peers have to vouch after a list: they are asked after 0.2 s. Daemons that start
 // together with a thousand others make a call less each.
@@ -61,10 +61,10 @@
 	}
 }
 
-// LoneTime makes this daemon ask the service itself so long after the last word of a peer, where it
+// SetFallbackDelay makes this daemon ask the service itself so long after the last word of a peer, where it
 // does without the bulk: peers that know all records ask the service sooner, and then vouch. That
 // all ask at once is 1,400 calls a second at 985 daemons. It must be called before Serve.
-func (m *Mirror) LoneTime(after func() time.Duration) { m.loneTime = after }
+func (m *Mirror) SetFallbackDelay(after func() time.Duration) { m.loneTime = after }
 
 // aloneAfter returns how long a peer's word keeps this daemon from asking the service itself; the
 // mutex is held.
@@ -112,7 +112,7 @@
 // isLone tells whether this daemon does without the bulk and asks the service itself, though peers
 // could tell it.
 func (m *Mirror) isLone() bool {
-	return m.WithoutBulk() && !m.WantsAll() && m.hasPeers != nil && m.hasPeers()
+	return m.OmitsReplicaRecords() && !m.RequiresAll() && m.hasPeers != nil && m.hasPeers()
 }
 
 // stretched returns how long to wait before the next call after one that failed.
@@ -136,7 +136,7 @@
 // those that this daemon passes them on to.
 func (m *Mirror) gather(ctx context.Context, events []kv.Event) {
 	isUrgent := func(event kv.Event) bool { return event.Pair.Key == m.urgent }
-	if len(events) == 0 || len(events) >= gatherMost || m.WantsAll() && slices.ContainsFunc(events, isUrgent) {
+	if len(events) == 0 || len(events) >= gatherMost || m.RequiresAll() && slices.ContainsFunc(events, isUrgent) {
 		return
 	}
 	timer := time.NewTimer(gatherTime)
@@ -150,7 +150,7 @@
 
 // Hurry makes the mirror ask for changes at once where it waits for more of them: this
 // daemon has written an urgent one.
-func (m *Mirror) Hurry() {
+func (m *Mirror) PollNow() {
 	select {
 	case m.hurried <- struct{}{}:
 	default:
--- a/records/proof.go
+++ b/records/proof.go
@@ -10,19 +10,19 @@
 	"github.com/finchspoke/finchspoke/sleep"
 )
 
-// ProvenAt returns the latest moment, on the monotonic clock, at which the record that proofs
+// VerifiedAt returns the latest moment, on the monotonic clock, at which the record that proofs
 // are about was surely the newest here: all its changes that the service had acknowledged by
 // then are known. It is the zero time if there was none.
 //
 // The moment is that of a question, not of its answer. An answer may be late, and a process
 // may stand still before it reads one; neither makes the records look newer than they are.
-func (m *Mirror) ProvenAt() time.Time {
+func (m *Mirror) VerifiedAt() time.Time {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.provenAt()
 }
 
-// provenAt is ProvenAt; the mutex is held.
+// provenAt is VerifiedAt; the mutex is held.
 func (m *Mirror) provenAt() time.Time {
 	if m.provenByPeer.After(m.provenHere) {
 		return m.provenByPeer
@@ -30,9 +30,9 @@
 	return m.provenHere
 }
 
-// LimitProof makes the mirror ask the service itself for changes of a record once the newest
+// VerifyWithin makes the mirror ask the service itself for changes of a record once the newest
 // proof is as old as limit, whoever vouches for the records. It must be called before Serve.
-func (m *Mirror) LimitProof(key string, limit time.Duration) { m.proofKey, m.proofLimit = key, limit }
+func (m *Mirror) VerifyWithin(key string, limit time.Duration) { m.proofKey, m.proofLimit = key, limit }
 
 // prove asks the service whether the record that proofs are about has changed. It returns false
 // if it has: then all changes are needed. A peer passes the other records on meanwhile. Were all
--- a/records/proof_test.go
+++ b/records/proof_test.go
@@ -18,16 +18,16 @@
 func TestRecordsAreProvenFromWhenTheQuestionWasSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
-		require.True(t, mirrorOf(t, store).ProvenAt().IsZero(), "nothing was heard")
+		require.True(t, mirrorOf(t, store).VerifiedAt().IsZero(), "nothing was heard")
 		mirror, stop := followed(t, store)
 		defer stop()
 		synctest.Wait()
-		listed := mirror.ProvenAt()
+		listed := mirror.VerifiedAt()
 		require.Equal(t, time.Now(), listed)
 
 		time.Sleep(watchWait + time.Millisecond) // a call without news ends
 		synctest.Wait()
-		require.Equal(t, listed, mirror.ProvenAt(), "the call was sent right after the list")
+		require.Equal(t, listed, mirror.VerifiedAt(), "the call was sent right after the list")
 	})
 }
 
@@ -37,20 +37,20 @@
 	asked := time.Now()
 	proven := asked.Add(-100 * time.Millisecond)
 	feed := &Feed{}
-	message := feed.message(Update{Revision: 1, Contact: asked, Proven: proven}, asked.Add(50*time.Millisecond))
+	message := feed.message(Update{Revision: 1, LastContact: asked, Verified: proven}, asked.Add(50*time.Millisecond))
 	read := asked.Add(8 * time.Second) // the process stood still
 
 	update, err := updateOf(message, read, asked)
 	require.NoError(t, err)
-	require.Equal(t, asked.Add(-150*time.Millisecond), update.Proven, "the age of 150 ms counts from the question")
+	require.Equal(t, asked.Add(-150*time.Millisecond), update.Verified, "the age of 150 ms counts from the question")
 
 	update, err = updateOf(message, read, time.Time{})
 	require.NoError(t, err)
-	require.True(t, update.Proven.IsZero(), "an answer to no question proves nothing")
+	require.True(t, update.Verified.IsZero(), "an answer to no question proves nothing")
 
 	update, err = updateOf(feed.message(Update{Revision: 1}, asked), read, asked)
 	require.NoError(t, err)
-	require.True(t, update.Proven.IsZero(), "the peer itself heard nothing")
+	require.True(t, update.Verified.IsZero(), "the peer itself heard nothing")
 }
 
 func TestAnAgeIsNeverRoundedDown(t *testing.T) {
@@ -62,19 +62,19 @@
 func TestAPeersProofIsNotPassedOn(t *testing.T) {
 	mirror := mirrorOf(t, newFakeStore())
 	proven := time.Now()
-	mirror.Take(Update{Revision: 3, Whole: true, Contact: proven, Proven: proven})
-	require.Equal(t, proven, mirror.ProvenAt())
+	mirror.ApplyUpdate(Update{Revision: 3, Whole: true, LastContact: proven, Verified: proven})
+	require.Equal(t, proven, mirror.VerifiedAt())
 	update, _ := mirror.since(view{})
-	require.True(t, update.Proven.IsZero())
+	require.True(t, update.Verified.IsZero())
 }
 
 func TestAPeerThatKnowsMoreThanItSentProvesNothing(t *testing.T) {
 	mirror := mirrorOf(t, newFakeStore())
-	mirror.Take(Update{Revision: 3, Whole: true, Proven: time.Now().Add(-time.Second)})
-	before := mirror.ProvenAt()
+	mirror.ApplyUpdate(Update{Revision: 3, Whole: true, Verified: time.Now().Add(-time.Second)})
+	before := mirror.VerifiedAt()
 	mirror.apply(nil, 2)
-	mirror.Take(Update{Revision: 3, Whole: true, Proven: time.Now()})
-	require.True(t, mirror.ProvenAt().After(before), "the same records, proven later")
+	mirror.ApplyUpdate(Update{Revision: 3, Whole: true, Verified: time.Now()})
+	require.True(t, mirror.VerifiedAt().After(before), "the same records, proven later")
 }
 
 func TestQuestionsAreAnsweredOnceAndForgotten(t *testing.T) {
@@ -102,12 +102,12 @@
 		const limit = 2 * time.Second
 		store, mirror, stop := followedOne(t)
 		defer stop()
-		mirror.LimitProof("config", limit)
+		mirror.VerifyWithin("config", limit)
 		began := time.Now()
 		for time.Since(began) < 10*limit {
-			mirror.Take(Update{Revision: mirror.Revision(), Contact: time.Now()}) // vouches, proves nothing
+			mirror.ApplyUpdate(Update{Revision: mirror.Revision(), LastContact: time.Now()}) // vouches, proves nothing
 			synctest.Wait()
-			require.LessOrEqual(t, time.Since(mirror.ProvenAt()), limit+100*time.Millisecond)
+			require.LessOrEqual(t, time.Since(mirror.VerifiedAt()), limit+100*time.Millisecond)
 			time.Sleep(50 * time.Millisecond)
 		}
 		require.Less(t, store.asked(), 20, "about one call each time the proof grows old")
@@ -115,7 +115,7 @@
 
 		store.put("config", "2") // the peer does not tell
 		for began = time.Now(); time.Since(began) < 2*limit; time.Sleep(50 * time.Millisecond) {
-			mirror.Take(Update{Revision: mirror.Revision(), Contact: time.Now()})
+			mirror.ApplyUpdate(Update{Revision: mirror.Revision(), LastContact: time.Now()})
 			synctest.Wait()
 		}
 		require.Equal(t, "2", value(mirror, "config"), "what has changed is asked for")
@@ -148,17 +148,17 @@
 	follower := mirrorOf(t, newFakeStore())
 	go func() { _ = follower.followPeer(ctx, rpc.NewDRPCRecordsClient(conn), "follower") }()
 	require.Eventually(t, func() bool { return follower.Revision() == 5 }, time.Second, time.Millisecond)
-	require.True(t, follower.ProvenAt().IsZero(), "the source has heard nothing itself")
+	require.True(t, follower.VerifiedAt().IsZero(), "the source has heard nothing itself")
 	for range 3 {
 		proven := time.Now()
 		// The service answers again and again: a word that crosses the follower's next question
 		// answers none, and the next word does.
 		require.Eventually(t, func() bool {
 			source.answered(time.Now(), proven)
-			return !follower.ProvenAt().IsZero()
+			return !follower.VerifiedAt().IsZero()
 		}, time.Second, time.Millisecond)
 		source.answered(time.Now(), proven)
-		require.False(t, follower.ProvenAt().After(proven))
+		require.False(t, follower.VerifiedAt().After(proven))
 	}
 }
 
@@ -179,10 +179,10 @@
 	defer proxy.Close()
 	follower := mirrorOf(t, newFakeStore())
 	subscriber := &Subscriber{Daemon: "follower", Mirror: follower, Source: func() (string, bool) { return proxy.Address(), true },
-		Deputy: func() string { return "" }, Seeds: func() []string { return nil }, Log: follower.log}
+		Standby: func() string { return "" }, Seeds: func() []string { return nil }, Log: follower.log}
 	go func() { _ = subscriber.Serve(ctx) }()
 	proven := func() bool {
-		return !follower.ProvenAt().IsZero() && time.Since(follower.ProvenAt()) < 300*time.Millisecond
+		return !follower.VerifiedAt().IsZero() && time.Since(follower.VerifiedAt()) < 300*time.Millisecond
 	}
 	require.Eventually(t, proven, 2*time.Second, 5*time.Millisecond)
 	proxy.SilenceOpen()
@@ -195,15 +195,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		mirror := mirrorOf(t, newFakeStore())
 		suspended := time.Duration(0)
-		mirror.Clock(func() time.Time { return time.Now().Add(suspended) })
+		mirror.SetClock(func() time.Time { return time.Now().Add(suspended) })
 		heard := mirror.now()
 		mirror.answered(heard, heard)
-		mirror.Take(Update{Revision: 1, Contact: heard, Proven: heard})
+		mirror.ApplyUpdate(Update{Revision: 1, LastContact: heard, Verified: heard})
 		require.True(t, mirror.InContact())
 		suspended = vouchTime
 		require.False(t, mirror.InContact())
 		require.False(t, mirror.answeredLately())
 		require.False(t, mirror.restWhileVouched(t.Context()), "nobody vouches any more")
-		require.Equal(t, vouchTime, mirror.now().Sub(mirror.ProvenAt()))
+		require.Equal(t, vouchTime, mirror.now().Sub(mirror.VerifiedAt()))
 	})
 }
