--- a/records/records.go
+++ b/records/records.go
@@ -62,7 +62,7 @@
 
 // Mirror follows the records under a prefix. It is a suture service.
 type Mirror struct {
-	store  kv.ChangeStore
+	store  kv.LongPollStore
 	prefix string
 	log    logrus.FieldLogger
 	now    func() time.Time
@@ -130,12 +130,12 @@
 }
 
 // NewMirror returns a mirror of the records under a prefix.
-func NewMirror(store kv.ChangeStore, prefix string, log logrus.FieldLogger) *Mirror {
+func NewMirror(store kv.LongPollStore, prefix string, log logrus.FieldLogger) *Mirror {
 	return &Mirror{store: store, prefix: prefix, log: log, now: time.Now, pairs: map[string]kv.Pair{}, changed: make(chan struct{}), changedOthers: make(chan struct{}), lead: make(chan struct{}, 1), hurried: make(chan struct{}, 1)}
 }
 
 // Clock replaces the clock by which answers and proofs grow old. It must be called before Serve.
-func (m *Mirror) Clock(now func() time.Time) { m.now = now }
+func (m *Mirror) SetClock(now func() time.Time) { m.now = now }
 
 // Handle calls handle for each change under a prefix. All calls come one after the
 // other. It must be called before Serve.
@@ -145,12 +145,12 @@
 
 // Loaded calls loaded after each whole list was taken in. It must be called before
 // Serve.
-func (m *Mirror) Loaded(loaded func()) { m.loaded = loaded }
+func (m *Mirror) OnLoaded(loaded func()) { m.loaded = loaded }
 
 // Notable tells which changes of a record are passed on to peers; without it, all
 // are. New records and those that are gone always are. It must be called before
 // Serve.
-func (m *Mirror) Notable(notable func(before, after kv.Pair) bool) { m.notable = notable }
+func (m *Mirror) SetForwardFilter(notable func(before, after kv.Pair) bool) { m.notable = notable }
 
 // String names the service in the supervisor's events.
 func (m *Mirror) String() string { return "records" }
@@ -195,7 +195,7 @@
 
 // Lead tells whether this daemon follows the service for all: then it does so itself,
 // whoever vouches.
-func (m *Mirror) Lead(leading bool) {
+func (m *Mirror) SetLeading(leading bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if leading && !m.leading {
@@ -255,11 +255,11 @@
 	defer m.turn.Unlock()
 	lacks := m.lacksBulk()
 	if known := m.Revision(); revision < known && !lacks {
-		m.log.WithFields(logging.AtRevision(known)).WithField(logging.ListedRevision, kv.CountOf(revision)).
+		m.log.WithFields(logging.AtRevision(known)).WithField(logging.ListedRevision, kv.CounterOf(revision)).
 			Warn("the records that the key-value service lists are left out: they lie behind those known here")
 		return
 	}
-	m.replace(pairs, revision, !m.WithoutBulk() || lacks)
+	m.replace(pairs, revision, !m.OmitsReplicaRecords() || lacks)
 }
 
 // notify wakes the streams to peers; where only the bulk changed, not those to peers that do
--- a/records/records_test.go
+++ b/records/records_test.go
@@ -18,7 +18,7 @@
 // fakeStore holds records; while silent, calls hang until their time is over, and
 // waits for changes that began before are never answered.
 type fakeStore struct {
-	kv.ChangeStore
+	kv.LongPollStore
 	mutex     sync.Mutex
 	pairs     map[string]kv.Pair
 	revision  int64
@@ -158,7 +158,7 @@
 }
 
 // mirrorOf returns a mirror that does not follow its store yet.
-func mirrorOf(t *testing.T, store kv.ChangeStore) *Mirror {
+func mirrorOf(t *testing.T, store kv.LongPollStore) *Mirror {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(t.Output())
@@ -169,7 +169,7 @@
 func vouchFor(mirror *Mirror, most time.Duration) {
 	const pause = 500 * time.Millisecond
 	for range most / pause {
-		mirror.Take(Update{Revision: 1, Contact: time.Now()})
+		mirror.ApplyUpdate(Update{Revision: 1, LastContact: time.Now()})
 		time.Sleep(pause)
 	}
 }
@@ -209,12 +209,12 @@
 		require.Equal(t, "1", value(mirror, "config"))
 		store.set(true)
 		time.Sleep(3 * time.Second)
-		require.False(t, mirror.Reached())
+		require.False(t, mirror.StoreReachable())
 		store.set(false)
 		store.put("config", "2")
 		time.Sleep(2 * time.Second)
 		require.Equal(t, "2", value(mirror, "config"))
-		require.True(t, mirror.Reached())
+		require.True(t, mirror.StoreReachable())
 		require.Equal(t, 1, store.lists, "the watch goes on where it was")
 	})
 }
@@ -255,14 +255,14 @@
 		store.set(true)
 		mirror, stop := followed(t, store)
 		defer stop()
-		mirror.Take(Update{Revision: 9, Whole: true, Events: []kv.Event{put("config", "5", 5), put("servers/a", "1", 7)}})
-		mirror.Take(Update{Revision: 8, Whole: true, Events: []kv.Event{put("config", "4", 4)}})
-		mirror.Take(Update{Revision: 8, Events: []kv.Event{put("config", "4", 4)}})
+		mirror.ApplyUpdate(Update{Revision: 9, Whole: true, Events: []kv.Event{put("config", "5", 5), put("servers/a", "1", 7)}})
+		mirror.ApplyUpdate(Update{Revision: 8, Whole: true, Events: []kv.Event{put("config", "4", 4)}})
+		mirror.ApplyUpdate(Update{Revision: 8, Events: []kv.Event{put("config", "4", 4)}})
 		require.Equal(t, "5", value(mirror, "config"))
-		require.False(t, mirror.Reached(), "the peer does not vouch")
-		mirror.Take(Update{Revision: 12, Events: []kv.Event{{Pair: kv.Pair{Key: "servers/a", ModRevision: 12}, Deleted: true}}})
+		require.False(t, mirror.StoreReachable(), "the peer does not vouch")
+		mirror.ApplyUpdate(Update{Revision: 12, Events: []kv.Event{{Pair: kv.Pair{Key: "servers/a", ModRevision: 12}, Deleted: true}}})
 		// A peer that is behind must not bring back what is gone.
-		mirror.Take(Update{Revision: 11, Events: []kv.Event{put("servers/a", "1", 7), put("servers/b", "1", 11)}})
+		mirror.ApplyUpdate(Update{Revision: 11, Events: []kv.Event{put("servers/a", "1", 7), put("servers/b", "1", 11)}})
 		require.Empty(t, value(mirror, "servers/a"))
 		store.revision = 20
 		store.put("config", "6")
@@ -298,7 +298,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store, mirror, stop := followedOne(t)
 		defer stop()
-		mirror.Take(Update{Revision: 1, Contact: time.Now().Add(-vouchTime)})
+		mirror.ApplyUpdate(Update{Revision: 1, LastContact: time.Now().Add(-vouchTime)})
 		store.put("config", "2")
 		synctest.Wait()
 		require.Equal(t, "2", value(mirror, "config"))
@@ -307,7 +307,7 @@
 
 func TestAPeerGetsWhatItLacksAndOnlyWhatIsNotable(t *testing.T) {
 	mirror := mirrorOf(t, newFakeStore())
-	mirror.Notable(func(before, after kv.Pair) bool { return before.Value[0] != after.Value[0] })
+	mirror.SetForwardFilter(func(before, after kv.Pair) bool { return before.Value[0] != after.Value[0] })
 	mirror.replace([]kv.Pair{{Key: "servers/a", Value: []byte("ready"), ModRevision: 3}}, 10, true)
 
 	update, changed := mirror.since(view{revision: 4})
@@ -346,7 +346,7 @@
 func TestAnUpdateSurvivesItsMessage(t *testing.T) {
 	long := strings.Repeat("route ", 4000)
 	now := time.Now()
-	sent := Update{Revision: 9, Whole: true, Contact: now.Add(-time.Second), Events: []kv.Event{
+	sent := Update{Revision: 9, Whole: true, LastContact: now.Add(-time.Second), Events: []kv.Event{
 		put("servers/a", "1", 7), put("config", long, 8), {Pair: kv.Pair{Key: "servers/b", ModRevision: 9}, Deleted: true}}}
 	feed := &Feed{}
 	message := feed.message(sent, now)
@@ -364,7 +364,7 @@
 	require.Equal(t, short, got)
 	never, err := updateOf(feed.message(Update{}, now), now, time.Time{})
 	require.NoError(t, err)
-	require.True(t, never.Contact.IsZero())
+	require.True(t, never.LastContact.IsZero())
 }
 
 // Seen on a grown site: daemons that had listened to seeds in an outage went on to
@@ -375,12 +375,12 @@
 		store.set(true)
 		mirror, stop := followed(t, store)
 		defer stop()
-		mirror.Take(Update{Revision: 1, Whole: true, Events: []kv.Event{put("config", "1", 1)}, Contact: time.Now()})
+		mirror.ApplyUpdate(Update{Revision: 1, Whole: true, Events: []kv.Event{put("config", "1", 1)}, LastContact: time.Now()})
 		require.True(t, mirror.InContact())
 		update, changed := mirror.since(view{revision: 0})
 		require.Len(t, update.Events, 1)
-		require.True(t, update.Contact.IsZero())
-		mirror.Take(Update{Revision: 1, Contact: time.Now()})
+		require.True(t, update.LastContact.IsZero())
+		mirror.ApplyUpdate(Update{Revision: 1, LastContact: time.Now()})
 		select {
 		case <-changed:
 			t.Fatal("a peer's contact is no news for others")
@@ -411,7 +411,7 @@
 		store.put("config", "2")
 		synctest.Wait()
 		require.Equal(t, "1", value(mirror, "config"), "the peer vouches")
-		mirror.Lead(true)
+		mirror.SetLeading(true)
 		synctest.Wait()
 		require.Equal(t, "2", value(mirror, "config"))
 	})
@@ -423,8 +423,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
 		mirror := mirrorOf(t, store)
-		mirror.Urgent("term")
-		mirror.Lead(true)
+		mirror.SetUrgentKey("term")
+		mirror.SetLeading(true)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go func() { _ = mirror.Serve(ctx) }()
@@ -440,11 +440,11 @@
 		store.put("other", "2")
 		time.Sleep(gatherTime / 2)
 		require.Equal(t, "1", value(mirror, "other"), "changes that come together are asked for together")
-		mirror.Hurry() // after a write of this daemon's own
+		mirror.PollNow() // after a write of this daemon's own
 		time.Sleep(time.Millisecond)
 		require.Equal(t, "2", value(mirror, "other"))
 
-		mirror.Lead(false)
+		mirror.SetLeading(false)
 		before := store.asked()
 		store.put("term", "taken again")
 		time.Sleep(gatherTime / 2)
@@ -461,7 +461,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			store, mirror, stop := followedOne(t)
 			mirror.listen(listening)
-			mirror.Lead(leading)
+			mirror.SetLeading(leading)
 			count = store.refuseFor(4 * time.Second)
 			stop()
 			synctest.Wait()
@@ -483,7 +483,7 @@
 	taken, err := updateOf((&Feed{Mirror: source}).message(update, time.Now()), time.Now(), time.Time{})
 	require.NoError(t, err)
 	between := mirrorOf(t, newFakeStore())
-	between.Take(taken)
+	between.ApplyUpdate(taken)
 	passedOn, _ := between.since(view{revision: 63})
 	require.EqualValues(t, 64, passedOn.Revision)
 	require.Len(t, passedOn.Events, 1)
--- a/records/relay.go
+++ b/records/relay.go
@@ -16,11 +16,11 @@
 // hear takes in a peer's own word; the mutex is held.
 func (m *Mirror) hear(update Update, isProof bool) {
 	isNews := false
-	if m.revision > 0 && update.Contact.After(m.heard.contact) {
-		m.heard.contact, isNews = update.Contact, true
+	if m.revision > 0 && update.LastContact.After(m.heard.contact) {
+		m.heard.contact, isNews = update.LastContact, true
 	}
 	if isProof {
-		m.heard.proven, isNews = update.Proven, true
+		m.heard.proven, isNews = update.Verified, true
 	}
 	if isNews && m.bulkWanted {
 		m.notify(true)
@@ -30,11 +30,11 @@
 // passOn makes an update tell what was heard of, where this daemon is a directory and that is newer
 // than its own word; the mutex is held.
 func (m *Mirror) passOn(update *Update) {
-	if !m.bulkWanted || m.leading || !m.heard.contact.After(update.Contact) {
+	if !m.bulkWanted || m.leading || !m.heard.contact.After(update.LastContact) {
 		return
 	}
-	update.Contact, update.SecondHand = m.heard.contact, true
-	if m.heard.proven.After(update.Proven) {
-		update.Proven = m.heard.proven
+	update.LastContact, update.SecondHand = m.heard.contact, true
+	if m.heard.proven.After(update.Verified) {
+		update.Verified = m.heard.proven
 	}
 }
--- a/records/relay_test.go
+++ b/records/relay_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		panic(err)
 	}
-	to.Take(heard)
+	to.ApplyUpdate(heard)
 	return heard
 }
 
@@ -27,22 +27,22 @@
 	holder.replace([]kv.Pair{{Key: "config", Value: []byte("1"), ModRevision: 4}}, 5, true)
 	answered := time.Now().Add(-300 * time.Millisecond)
 	holder.answered(answered, answered)
-	directory.WantBulk(true)
-	other.WantBulk(true) // another directory: it does not pass on what it has from the first
+	directory.RequireReplicaRecords(true)
+	other.RequireReplicaRecords(true) // another directory: it does not pass on what it has from the first
 
 	update := tell(directory, holder, 0)
 	require.False(t, update.SecondHand)
 	update = tell(other, directory, 0)
 	require.True(t, update.SecondHand)
 	require.True(t, other.InContact())
-	require.WithinDuration(t, answered, other.ProvenAt(), 5*time.Millisecond)
-	require.False(t, other.ProvenAt().After(answered), "what is proven never looks newer than it is")
+	require.WithinDuration(t, answered, other.VerifiedAt(), 5*time.Millisecond)
+	require.False(t, other.VerifiedAt().After(answered), "what is proven never looks newer than it is")
 
 	update = tell(third, other, 0)
 	require.Equal(t, "1", value(third, "config"))
-	require.True(t, update.Contact.IsZero())
+	require.True(t, update.LastContact.IsZero())
 	require.False(t, third.InContact(), "the word was passed on once")
-	require.True(t, third.ProvenAt().IsZero())
+	require.True(t, third.VerifiedAt().IsZero())
 }
 
 // Each takes the other for the daemon that follows the service: the moment of an answer would move on
@@ -51,7 +51,7 @@
 	first, second := mirrorOf(t, newFakeStore()), mirrorOf(t, newFakeStore())
 	for _, one := range []*Mirror{first, second} {
 		one.replace([]kv.Pair{{Key: "config", Value: []byte("1"), ModRevision: 4}}, 5, true)
-		one.WantBulk(true)
+		one.RequireReplicaRecords(true)
 	}
 	answered := time.Now().Add(-vouchTime / 2)
 	first.answered(answered, answered)
@@ -63,7 +63,7 @@
 	age, known := second.ContactAge()
 	require.True(t, known)
 	require.Greater(t, age, vouchTime/2+40*time.Millisecond, "it grows old as fast as time goes by")
-	require.False(t, second.ProvenAt().After(answered))
+	require.False(t, second.VerifiedAt().After(answered))
 }
 
 func TestADaemonThatIsNoDirectoryPassesNothingOn(t *testing.T) {
@@ -82,7 +82,7 @@
 	holder, directory := mirrorOf(t, newFakeStore()), mirrorOf(t, newFakeStore())
 	holder.replace(nil, 5, true)
 	directory.answered(time.Now().Add(-time.Minute), time.Now().Add(-time.Minute))
-	directory.WantBulk(true)
+	directory.RequireReplicaRecords(true)
 	answered := time.Now().Add(-2 * time.Second)
 	holder.answered(answered, answered)
 	tell(directory, holder, 0)
--- a/records/subscriber.go
+++ b/records/subscriber.go
@@ -31,7 +31,7 @@
 	Source func() (address string, other bool)
 	// Deputy returns the address of the daemon to listen to while no source is known,
 	// so that not all of them ask the service; empty for the deputies themselves.
-	Deputy func() string
+	Standby func() string
 	// Seeds returns addresses of peers to ask in turn while nobody vouches for the
 	// records.
 	Seeds func() []string
@@ -60,7 +60,7 @@
 	if s.Mirror.InContact() {
 		switch {
 		case source == "":
-			return s.Deputy()
+			return s.Standby()
 		case !other:
 			return "" // this daemon follows the service for all
 		}
@@ -109,7 +109,7 @@
 
 // supervise ends the stream once its peer is no longer the one to listen to.
 func (s *Subscriber) supervise(ctx context.Context, address string, end context.CancelCauseFunc) {
-	vouched, all := time.Now(), s.Mirror.WantsAll()
+	vouched, all := time.Now(), s.Mirror.RequiresAll()
 	for sleep.For(ctx, sourceCheck) {
 		source, _ := s.Source()
 		inContact := s.Mirror.InContact()
--- a/records/subscriber_test.go
+++ b/records/subscriber_test.go
@@ -11,7 +11,7 @@
 	mirror := mirrorOf(t, newFakeStore())
 	source, other, deputy := "", true, "seed:1"
 	subscriber := &Subscriber{
-		Mirror: mirror, Source: func() (string, bool) { return source, other }, Deputy: func() string { return deputy },
+		Mirror: mirror, Source: func() (string, bool) { return source, other }, Standby: func() string { return deputy },
 		Seeds: func() []string { return []string{"seed:1", "seed:2"} },
 	}
 	require.Equal(t, "seed:1", subscriber.next(), "nobody vouches: the seeds in turn")
--- a/records/update.go
+++ b/records/update.go
@@ -12,14 +12,14 @@
 	// Whole tells that the events are all records there are, but for the bulk where it is left
 	// out.
 	Whole bool
-	// WithoutBulk tells that the bulk is left out.
-	WithoutBulk bool
-	Events      []kv.Event
+	// OmitsReplicaRecords tells that the bulk is left out.
+	OmitsReplicaRecords bool
+	Events              []kv.Event
 	// Contact is when the service last answered the peer itself; zero: never.
-	Contact time.Time
+	LastContact time.Time
 	// Proven is a moment at which the peer's records were surely the newest; zero: none is
 	// known.
-	Proven time.Time
+	Verified time.Time
 	// SecondHand tells that contact and proof are what the peer heard of, and not its own.
 	SecondHand bool
 }
@@ -27,7 +27,7 @@
 // Take takes in what a peer passes on. What is older than what is known here is
 // left out. It returns false for an update that does not suit this daemon: the peer must not go on
 // as if its records were known here.
-func (m *Mirror) Take(update Update) (taken bool) {
+func (m *Mirror) ApplyUpdate(update Update) (taken bool) {
 	if !m.takeRecords(update) {
 		return false
 	}
@@ -36,13 +36,13 @@
 	if m.isOfEarlierEra(update) {
 		return true // once the peer hears of the restore, it passes on all records
 	}
-	if m.revision > 0 && update.Contact.After(m.vouched) {
-		m.vouched = update.Contact
+	if m.revision > 0 && update.LastContact.After(m.vouched) {
+		m.vouched = update.LastContact
 		m.regain()
 	}
-	isProof := m.revision >= update.Revision && update.Proven.After(m.provenByPeer)
+	isProof := m.revision >= update.Revision && update.Verified.After(m.provenByPeer)
 	if isProof {
-		m.provenByPeer = update.Proven
+		m.provenByPeer = update.Verified
 	}
 	if !update.SecondHand {
 		m.hear(update, isProof)
@@ -64,7 +64,7 @@
 		return false
 	}
 	newer := update.Revision > known
-	if m.WithoutBulk() && !update.WithoutBulk {
+	if m.OmitsReplicaRecords() && !update.OmitsReplicaRecords {
 		newer = update.Revision >= known // the bulk is news
 	}
 	switch {
@@ -77,7 +77,7 @@
 		for _, event := range update.Events {
 			pairs = append(pairs, event.Pair)
 		}
-		m.replace(pairs, update.Revision, !update.WithoutBulk)
+		m.replace(pairs, update.Revision, !update.OmitsReplicaRecords)
 	case !update.Whole:
 		m.apply(update.Events, update.Revision)
 	}
@@ -96,10 +96,10 @@
 func (m *Mirror) since(peer view) (Update, <-chan struct{}) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	update := Update{Revision: m.revision, Contact: m.contact, Proven: m.provenHere, WithoutBulk: peer.without || m.without}
+	update := Update{Revision: m.revision, LastContact: m.contact, Verified: m.provenHere, OmitsReplicaRecords: peer.without || m.without}
 	m.passOn(&update)
 	recent, changed := &m.recent, m.changed
-	if update.WithoutBulk {
+	if update.OmitsReplicaRecords {
 		recent, changed = &m.recentOthers, m.changedOthers
 	}
 	events, known := recent.since(peer.revision)
@@ -109,7 +109,7 @@
 	}
 	update.Whole = true
 	for key, pair := range m.pairs {
-		if !update.WithoutBulk || !m.inBulk(key) {
+		if !update.OmitsReplicaRecords || !m.inBulk(key) {
 			update.Events = append(update.Events, kv.Event{Pair: pair})
 		}
 	}
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -77,9 +77,9 @@
 	MemoryMB        float64
 	AdapterMemoryMB float64
 	Adapters        []string      // names of the adapters that the model has
-	StoreLoad       time.Duration // load from the weight store
-	MemoryLoad      time.Duration // from the replica's host memory
-	DiskLoad        time.Duration // from the replica's disk
+	StoreLoadTime   time.Duration // load from the weight store
+	MemoryLoadTime  time.Duration // from the replica's host memory
+	DiskLoadTime    time.Duration // from the replica's disk
 }
 
 // Engine describes the replicas of a service that load models.
@@ -88,13 +88,13 @@
 	MemoryMB       float64 // for weights and adapters together, of one replica
 	AdapterSlots   int     // of one replica
 	LoadsPerSecond float64 // from the weight store, over all replicas
-	// LongestLoad is the time of the longest load of a model from the weight store.
-	LongestLoad time.Duration
+	// MaxStoreLoadTime is the time of the longest load of a model from the weight store.
+	MaxStoreLoadTime time.Duration
 }
 
 // Declares tells whether the catalogue has a model, and the adapter of it if one is
 // named.
-func (e *Engine) Declares(model, adapter string) bool {
+func (e *Engine) HasModel(model, adapter string) bool {
 	declared := e.Models[model]
 	return declared != nil && (adapter == "" || slices.Contains(declared.Adapters, adapter))
 }
@@ -203,14 +203,14 @@
 	return nil
 }
 
-// NeedsKeys tells whether requests on routes that are not public need a key.
-func (t *Table) NeedsKeys() bool { return len(t.tenants) > 0 }
+// RequiresKeys tells whether requests on routes that are not public need a key.
+func (t *Table) RequiresKeys() bool { return len(t.tenants) > 0 }
 
 // Tenants lists the tenants in the order of the revision. It is not to be changed.
 func (t *Table) Tenants() []*Tenant { return t.tenants }
 
-// TenantOf returns the tenant that holds a key, or nil.
-func (t *Table) TenantOf(key callers.KeyHash) *Tenant {
+// TenantByKey returns the tenant that holds a key, or nil.
+func (t *Table) TenantByKey(key callers.KeyHash) *Tenant {
 	tenant, _ := t.keys.Owner(key)
 	return tenant
 }
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -54,7 +54,7 @@
 func TestTheStoreNeverGoesBack(t *testing.T) {
 	var store Store
 	seen := []int64{}
-	store.Listen(func(table *Table) { seen = append(seen, table.Version) })
+	store.Subscribe(func(table *Table) { seen = append(seen, table.Version) })
 	for _, version := range []int64{3, 7, 5, 7, 9} {
 		table, err := NewTable(testRevision(version))
 		require.NoError(t, err)
--- a/routing/store.go
+++ b/routing/store.go
@@ -38,7 +38,7 @@
 }
 
 // Listen calls listener, under the store's lock, for each table from now on.
-func (s *Store) Listen(listener func(*Table)) {
+func (s *Store) Subscribe(listener func(*Table)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.listeners = append(s.listeners, listener)
--- a/rpc/replicas.go
+++ b/rpc/replicas.go
@@ -10,7 +10,7 @@
 func LimitMessage(word fleet.ReplicaLimit, now time.Time) *ReplicaLimit {
 	return &ReplicaLimit{
 		Replica:   IncarnationMessage(word.Incarnation),
-		PerSecond: word.PerSecond, AgeMs: max(0, now.Sub(word.HeardAt).Milliseconds()),
+		PerSecond: word.PerSecond, AgeMs: max(0, now.Sub(word.ObservedAt).Milliseconds()),
 	}
 }
 
@@ -18,7 +18,7 @@
 func (m *ReplicaLimit) Word(now time.Time) fleet.ReplicaLimit {
 	return fleet.ReplicaLimit{
 		Incarnation: m.GetReplica().Incarnation(),
-		PerSecond:   max(0, m.GetPerSecond()), HeardAt: now.Add(-time.Duration(m.GetAgeMs()) * time.Millisecond),
+		PerSecond:   max(0, m.GetPerSecond()), ObservedAt: now.Add(-time.Duration(m.GetAgeMs()) * time.Millisecond),
 	}
 }
 
--- a/standin/keyvalue/server.go
+++ b/standin/keyvalue/server.go
@@ -63,7 +63,7 @@
 	server.mux.HandleFunc("POST "+kv.PathTxn, server.transact)
 	server.mux.HandleFunc("POST "+kv.PathLeaseGrant, handle(server, func(ask kv.WireLeaseGrant) any {
 		id := server.store.grant(time.Duration(ask.TTL) * time.Second)
-		return kv.WireLeaseAnswer{ID: kv.Int64(id), TTL: ask.TTL}
+		return kv.WireLeaseGrantResponse{ID: kv.Int64(id), TTL: ask.TTL}
 	}))
 	server.mux.HandleFunc("POST "+kv.PathWatch, server.watch)
 	fault.Register(server.mux, &server.Faults, &server.History)
@@ -152,7 +152,7 @@
 	flusher, _ := writer.(http.Flusher)
 	send := func(result kv.WireWatchResult) bool {
 		result.Header.Revision = kv.Int64(s.store.currentRevision())
-		err := encoder.Encode(kv.WireWatchAnswer{Result: result})
+		err := encoder.Encode(kv.WireWatchResponse{Result: result})
 		flusher.Flush()
 		return err == nil
 	}
--- a/standin/keyvalue/store.go
+++ b/standin/keyvalue/store.go
@@ -48,15 +48,15 @@
 	return key >= string(ask.Key) && (open || key < string(end))
 }
 
-func (s *store) read(ask kv.WireRange) kv.WireRangeAnswer {
+func (s *store) read(ask kv.WireRange) kv.WireRangeResponse {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.expire()
 	return s.readLocked(ask)
 }
 
-func (s *store) readLocked(ask kv.WireRange) kv.WireRangeAnswer {
-	answer := kv.WireRangeAnswer{Header: kv.WireHeader{Revision: kv.Int64(s.revision)}}
+func (s *store) readLocked(ask kv.WireRange) kv.WireRangeResponse {
+	answer := kv.WireRangeResponse{Header: kv.WireHeader{Revision: kv.Int64(s.revision)}}
 	if len(ask.RangeEnd) == 0 {
 		if pair, found := s.pairs[string(ask.Key)]; found {
 			answer.Pairs = []kv.WirePair{pair}
@@ -73,7 +73,7 @@
 	return answer
 }
 
-func (s *store) transact(txn kv.WireTxn) kv.WireTxnAnswer {
+func (s *store) transact(txn kv.WireTxn) kv.WireTxnResponse {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.expire()
@@ -88,7 +88,7 @@
 	if writes(operations) {
 		s.revision++
 	}
-	answer := kv.WireTxnAnswer{Succeeded: succeeded}
+	answer := kv.WireTxnResponse{Succeeded: succeeded}
 	for _, operation := range operations {
 		answer.Responses = append(answer.Responses, s.apply(operation))
 	}
@@ -105,7 +105,7 @@
 	return false
 }
 
-func (s *store) apply(operation kv.WireOperation) kv.WireOperationAnswer {
+func (s *store) apply(operation kv.WireOperation) kv.WireOperationResponse {
 	switch {
 	case operation.Put != nil:
 		s.put(*operation.Put)
@@ -117,9 +117,9 @@
 		}
 	case operation.Range != nil:
 		answer := s.readLocked(*operation.Range)
-		return kv.WireOperationAnswer{Range: &answer}
+		return kv.WireOperationResponse{Range: &answer}
 	}
-	return kv.WireOperationAnswer{}
+	return kv.WireOperationResponse{}
 }
 
 func (s *store) put(put kv.WirePut) {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -95,7 +95,7 @@
 	Body []byte
 	// Mine tells whether an answer belongs to this request; others that arrive in
 	// its place are skipped.
-	Mine func(http.Header) bool
+	Matches func(http.Header) bool
 	// Admit is asked once there is a connection, right before the request is written; an error of it
 	// keeps the request from being sent. nil: it is sent.
 	Admit func() error
@@ -103,7 +103,7 @@
 
 // Do sends a request and returns the head of its answer. The context bounds the
 // whole exchange, the reading of the body included. An error is an *Error.
-func (p *Pool) Do(ctx context.Context, request Request) (*Answer, error) {
+func (p *Pool) Do(ctx context.Context, request Request) (*Response, error) {
 	conn, err := p.get(ctx, request.Address)
 	if err != nil {
 		return nil, &Error{cause: err}
@@ -172,7 +172,7 @@
 }
 
 // Rests tells whether a connection to an address rests here.
-func (p *Pool) Rests(address string) bool {
+func (p *Pool) HasIdle(address string) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	list := p.idle[address]
@@ -282,14 +282,14 @@
 }
 
 // readHead reads answers until one belongs to the request.
-func (e *exchange) readHead(request Request) (*Answer, error) {
+func (e *exchange) readHead(request Request) (*Response, error) {
 	for range maxSurplus + 1 {
 		response, err := e.nextHead(request)
 		if err != nil {
 			return nil, err
 		}
-		if request.Mine == nil || request.Mine(response.Header) {
-			return &Answer{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
+		if request.Matches == nil || request.Matches(response.Header) {
+			return &Response{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
 				response: response, exchange: e}, nil
 		}
 		if response.Close || response.ContentLength < 0 && !chunked(response) {
@@ -344,7 +344,7 @@
 
 // Answer is an answer whose head was read. Its body must be read to its end, or
 // closed.
-type Answer struct {
+type Response struct {
 	Status   int
 	Header   http.Header
 	Length   int64 // of the body; -1 if the answer does not say
@@ -353,7 +353,7 @@
 }
 
 // Read reads the body. io.EOF says that it is whole.
-func (a *Answer) Read(data []byte) (int, error) {
+func (a *Response) Read(data []byte) (int, error) {
 	n, err := a.response.Body.Read(data)
 	if err == io.EOF {
 		a.exchange.endAfter(!a.response.Close, restOf(a.Header))
@@ -364,10 +364,10 @@
 }
 
 // Buffered returns how many bytes are there to read without waiting.
-func (a *Answer) Buffered() int { return a.exchange.conn.reader.Buffered() }
+func (a *Response) Buffered() int { return a.exchange.conn.reader.Buffered() }
 
 // Close drops the connection, unless the body was read to its end.
-func (a *Answer) Close() error {
+func (a *Response) Close() error {
 	a.exchange.end(false)
 	return nil
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -55,7 +55,7 @@
 	made, err := http.NewRequest(method, "http://shop.example/a/b?c=%20d", nil)
 	require.NoError(t, err)
 	made.Header.Set("Id", id)
-	return Request{Address: address, HTTP: made, Body: []byte(body), Mine: func(header http.Header) bool { return header.Get("Id") == id }}
+	return Request{Address: address, HTTP: made, Body: []byte(body), Matches: func(header http.Header) bool { return header.Get("Id") == id }}
 }
 
 func answer(id, body string) string {
