--- a/group/directory.go
+++ b/group/directory.go
@@ -11,8 +11,8 @@
 	"github.com/finchspoke/finchspoke/transport"
 )
 
-// directory finds the views of groups and calls their members.
-type directory struct {
+// groupClient looks up the views of groups, caches them and connects to members.
+type groupClient struct {
 	members func() *membership.View
 	pool    *transport.Pool
 
@@ -20,41 +20,41 @@
 	views map[SlotKey]View
 }
 
-func newDirectory(members func() *membership.View, pool *transport.Pool) directory {
-	return directory{members: members, pool: pool, mutex: &sync.Mutex{}, views: map[SlotKey]View{}}
+func newGroupClient(members func() *membership.View, pool *transport.Pool) groupClient {
+	return groupClient{members: members, pool: pool, mutex: &sync.Mutex{}, views: map[SlotKey]View{}}
 }
 
-func (d *directory) client(ctx context.Context, member GroupMember) rpc.DRPCGroupsClient {
-	return rpc.NewDRPCGroupsClient(d.pool.To(ctx, member.RPCAddress))
+func (c *groupClient) memberClient(ctx context.Context, member ViewMember) rpc.DRPCGroupsClient {
+	return rpc.NewDRPCGroupsClient(c.pool.To(ctx, member.RPCAddress))
 }
 
-func (d *directory) cached(slot SlotKey) (View, bool) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	view, known := d.views[slot]
+func (c *groupClient) cachedView(slot SlotKey) (View, bool) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	view, known := c.views[slot]
 	return view, known
 }
 
-func (d *directory) dropView(slot SlotKey) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	delete(d.views, slot)
+func (c *groupClient) dropView(slot SlotKey) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	delete(c.views, slot)
 }
 
-// view returns a slot's view, asked of the daemons ranked first if not known.
-func (d *directory) view(ctx context.Context, slot SlotKey) (View, error) {
-	if view, known := d.cached(slot); known {
+// view returns the cached view of a slot, or queries the highest-ranked daemons for it.
+func (c *groupClient) view(ctx context.Context, slot SlotKey) (View, error) {
+	if view, known := c.cachedView(slot); known {
 		return view, nil
 	}
-	ranked := candidates(d.members(), slot)
+	ranked := rankedCandidates(c.members(), slot)
 	best := View{}
-	for _, candidate := range ranked[:min(viewAskers, len(ranked))] {
-		client := rpc.NewDRPCGroupsClient(d.pool.To(ctx, candidate.RPCAddress))
-		answer, err := client.View(withTimeout(ctx), &rpc.ViewRequest{Region: slot.Region, Slot: slot.Slot})
+	for _, candidate := range ranked[:min(maxViewQueries, len(ranked))] {
+		client := rpc.NewDRPCGroupsClient(c.pool.To(ctx, candidate.RPCAddress))
+		response, err := client.View(withCallTimeout(ctx), &rpc.ViewRequest{Region: slot.Region, Slot: slot.Slot})
 		if err != nil {
 			continue
 		}
-		if view := viewOf(answer.GetView()); view.Epoch > best.Epoch {
+		if view := viewFromWire(response.GetView()); view.Epoch > best.Epoch {
 			best = view
 		}
 		if best.Epoch > 0 {
@@ -64,8 +64,8 @@
 	if best.Epoch == 0 {
 		return View{}, errors.Errorf("no daemon knows the group of slot %s", slot)
 	}
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.views[slot] = best
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	c.views[slot] = best
 	return best, nil
 }
--- a/group/doc.go
+++ b/group/doc.go
@@ -1,17 +1,12 @@
-// Package group holds small states in the memory of a few daemons in different
-// zones, for what must survive a daemon and must not burden the key-value service.
+// Package group replicates small states in the memory of daemons in different zones.
 //
-// There are two kinds of state. A run-once group holds the claims of idempotency
-// keys of one slot of a region, so that a keyed request runs at most once: a claim
-// counts once a majority has accepted it. The plan group holds the region's
-// placement plan: a revision counts once a majority has accepted it from the
-// proposer with the highest ballot.
+// A claim group stores the idempotency keys of one slot of a region, so that a keyed
+// request runs at most once. The plan group stores the region's placement plan. A
+// claim or a plan revision is committed once a majority of the group accepted it.
 //
-// The key-value service holds only which processes form a group (its view), and is
-// written when they change. A view is changed by sealing a majority of the old one,
-// which then refuses it for ever, and copying what it held. Processes, not daemons,
-// are members: one that restarted has lost its memory and is not a member.
+// The key-value service stores only the view of each group: the processes that form
+// it. Manager changes a view by sealing a majority of the old one and copying its
+// state. A daemon that restarted has lost its state and is no longer a member.
 //
-// Member, tally and merge are pure; Ledger, Register and Manager carry them over
-// drpc.
+// Member and tally do no I/O; Ledger, Register and Manager call members over drpc.
 package group
--- a/group/group_test.go
+++ b/group/group_test.go
@@ -9,45 +9,44 @@
 	"pgregory.net/rapid"
 )
 
-// The machine below interleaves, message by message, the claims of several
-// gateways with view changes, lost messages and answers, crashes that empty a
-// member's memory, and leaders that stop midway. The oracle counts runs: a key
-// runs at most once, whatever happens.
+// The state machine interleaves, message by message, the claims of several gateways with
+// view changes, lost messages and responses, crashes that clear a member's state, and
+// leaders that stop midway. It checks that each key runs at most once.
 
 const testSlot = 7
 
 type groupMachine struct {
 	now       time.Time
-	members   map[string]*Member // by id; replaced when one crashes
+	members   map[string]*Member // by id; a crash replaces the member
 	process   map[string]uint64
-	standing  View // in the key-value service
+	current   View // as committed in the key-value service
 	proposals []*proposal
 	changes   []*viewChange
-	runs      map[string][]string // request ids that ran, by key
+	runs      map[string][]string // ids of requests that ran, by key
 	requests  int
 	writers   int
 }
 
-// proposal is a gateway's claim under way.
+// proposal is a gateway's claim in progress.
 type proposal struct {
 	view   View
 	record Record
-	asked  map[string]bool
-	counts *tally
+	sent   map[string]bool
+	votes  *tally
 	ran    bool
-	over   bool
+	done   bool
 }
 
-// viewChange is a leader's change under way.
+// viewChange is a leader's view change in progress.
 type viewChange struct {
-	old    View
-	sealed map[string]bool
-	held   []State
-	gone   int
-	next   *View
-	state  State
-	ready  map[string]bool
-	over   bool
+	old      View
+	sealed   map[string]bool
+	held     []State
+	gone     int
+	next     *View
+	state    State
+	prepared map[string]bool
+	done     bool
 }
 
 func newGroupMachine() *groupMachine {
@@ -56,187 +55,187 @@
 		m.process[id] = 1
 		m.members[id] = NewMember(1)
 	}
-	m.standing = View{Region: "r", Slot: testSlot, Epoch: 1, Writer: "first", Members: m.group("a", "b", "c")}
-	for _, member := range m.standing.Members {
-		m.members[member.ID].Install(m.standing, State{})
-		m.members[member.ID].Open(m.standing)
+	m.current = View{Region: "r", Slot: testSlot, Epoch: 1, Writer: "first", Members: m.viewMembers("a", "b", "c")}
+	for _, member := range m.current.Members {
+		m.members[member.ID].Install(m.current, State{})
+		m.members[member.ID].Open(m.current)
 	}
 	return m
 }
 
-func (m *groupMachine) group(ids ...string) []GroupMember {
-	var members []GroupMember
+func (m *groupMachine) viewMembers(ids ...string) []ViewMember {
+	var members []ViewMember
 	for _, id := range ids {
-		members = append(members, GroupMember{ID: id, Process: m.process[id]})
+		members = append(members, ViewMember{ID: id, Process: m.process[id]})
 	}
 	return members
 }
 
-// reach returns the member if the process that is meant still runs.
-func (m *groupMachine) reach(member GroupMember) *Member { return m.members[member.ID] }
+// lookupMember returns the current process of a member.
+func (m *groupMachine) lookupMember(member ViewMember) *Member { return m.members[member.ID] }
 
 func (m *groupMachine) propose(t *rapid.T) {
 	m.requests++
 	key := rapid.SampledFrom([]string{"k1", "k2"}).Draw(t, "key")
-	record := Record{Key: key, RequestID: fmt.Sprintf("request-%d", m.requests), ClaimedAt: m.now, SettledBy: m.now.Add(time.Minute)}
-	m.proposals = append(m.proposals, &proposal{view: m.standing, record: record, asked: map[string]bool{}, counts: &tally{view: m.standing}})
+	record := Record{Key: key, RequestID: fmt.Sprintf("request-%d", m.requests), ClaimedAt: m.now, SettleDeadline: m.now.Add(time.Minute)}
+	m.proposals = append(m.proposals, &proposal{view: m.current, record: record, sent: map[string]bool{}, votes: &tally{view: m.current}})
 }
 
-func (m *groupMachine) pickProposal(t *rapid.T, suits func(*proposal) bool) *proposal {
-	var suitable []*proposal
-	for _, one := range m.proposals {
-		if suits(one) {
-			suitable = append(suitable, one)
+func (m *groupMachine) pickProposal(t *rapid.T, matches func(*proposal) bool) *proposal {
+	var matching []*proposal
+	for _, p := range m.proposals {
+		if matches(p) {
+			matching = append(matching, p)
 		}
 	}
-	if len(suitable) == 0 {
-		t.Skip("no proposal suits")
+	if len(matching) == 0 {
+		t.Skip("no matching proposal")
 	}
-	return rapid.SampledFrom(suitable).Draw(t, "proposal")
+	return rapid.SampledFrom(matching).Draw(t, "proposal")
 }
 
-// deliverClaim takes one claim to one member, with its answer or without.
+// deliverClaim delivers one claim to one member; the claim or its response may be lost.
 func (m *groupMachine) deliverClaim(t *rapid.T) {
-	one := m.pickProposal(t, func(p *proposal) bool { return !p.over && len(p.asked) < len(p.view.Members) })
-	for _, member := range one.view.Members {
-		if one.asked[member.ID] {
+	attempt := m.pickProposal(t, func(p *proposal) bool { return !p.done && len(p.sent) < len(p.view.Members) })
+	for _, member := range attempt.view.Members {
+		if attempt.sent[member.ID] {
 			continue
 		}
-		one.asked[member.ID] = true
-		fate := rapid.IntRange(0, 5).Draw(t, "fate")
-		if fate == 0 { // lost on the way
-			one.counts.add(0, Record{}, fmt.Errorf("lost"))
+		attempt.sent[member.ID] = true
+		outcome := rapid.IntRange(0, 5).Draw(t, "delivery")
+		if outcome == 0 { // the claim was lost
+			attempt.votes.add(0, Record{}, fmt.Errorf("lost"))
 			break
 		}
-		verdict, standing := m.reach(member).Claim(m.now, one.view, one.record)
-		if fate == 1 { // the answer was lost
-			one.counts.add(0, Record{}, fmt.Errorf("lost"))
+		verdict, existing := m.lookupMember(member).Claim(m.now, attempt.view, attempt.record)
+		if outcome == 1 { // the response was lost
+			attempt.votes.add(0, Record{}, fmt.Errorf("lost"))
 			break
 		}
-		one.counts.add(verdict, standing, nil)
+		attempt.votes.add(verdict, existing, nil)
 		break
 	}
-	if one.counts.decide() == counted && !one.ran {
-		one.ran, one.over = true, true
-		m.runs[one.record.Key] = append(m.runs[one.record.Key], one.record.RequestID)
-		require.Len(t, m.runs[one.record.Key], 1, "%s ran more than once: %v", one.record.Key, m.runs[one.record.Key])
+	if attempt.votes.decide() == committed && !attempt.ran {
+		attempt.ran, attempt.done = true, true
+		m.runs[attempt.record.Key] = append(m.runs[attempt.record.Key], attempt.record.RequestID)
+		require.Len(t, m.runs[attempt.record.Key], 1, "%s ran more than once: %v", attempt.record.Key, m.runs[attempt.record.Key])
 	}
 }
 
-// retry takes a failed proposal to the standing view, with the same request id.
+// retry repeats a failed proposal in the current view with the same request id.
 func (m *groupMachine) retry(t *rapid.T) {
-	one := m.pickProposal(t, func(p *proposal) bool {
-		decided := p.counts.decide()
-		return !p.over && (decided == stale || decided == unreachable)
+	attempt := m.pickProposal(t, func(p *proposal) bool {
+		decided := p.votes.decide()
+		return !p.done && (decided == staleView || decided == unreachable)
 	})
-	one.view, one.asked, one.counts = m.standing, map[string]bool{}, &tally{view: m.standing}
+	attempt.view, attempt.sent, attempt.votes = m.current, map[string]bool{}, &tally{view: m.current}
 }
 
-// giveUp withdraws a proposal that did not count; some members may not hear.
-func (m *groupMachine) giveUp(t *rapid.T) {
-	one := m.pickProposal(t, func(p *proposal) bool { return !p.over && p.counts.decide() != counted })
-	one.over = true
-	for _, member := range one.view.Members {
-		if rapid.Bool().Draw(t, "hears") {
-			m.reach(member).Withdraw(one.view, one.record.Key, one.record.RequestID)
+// withdraw ends a proposal that is not committed; some members may miss the message.
+func (m *groupMachine) withdraw(t *rapid.T) {
+	attempt := m.pickProposal(t, func(p *proposal) bool { return !p.done && p.votes.decide() != committed })
+	attempt.done = true
+	for _, member := range attempt.view.Members {
+		if rapid.Bool().Draw(t, "delivered") {
+			m.lookupMember(member).Withdraw(attempt.view, attempt.record.Key, attempt.record.RequestID)
 		}
 	}
 }
 
-// settle stores the outcome of a run at some members of the standing view.
+// settle stores the outcome of a run at some members of the current view.
 func (m *groupMachine) settle(t *rapid.T) {
-	one := m.pickProposal(t, func(p *proposal) bool { return p.ran })
-	record := one.record
-	record.State = rapid.SampledFrom([]ClaimState{Unsettled, Completed}).Draw(t, "state")
-	for _, member := range m.standing.Members {
-		if rapid.Bool().Draw(t, "hears") {
-			m.reach(member).Settle(m.now, m.standing, record)
+	attempt := m.pickProposal(t, func(p *proposal) bool { return p.ran })
+	record := attempt.record
+	record.State = rapid.SampledFrom([]ClaimState{Indeterminate, Completed}).Draw(t, "state")
+	for _, member := range m.current.Members {
+		if rapid.Bool().Draw(t, "delivered") {
+			m.lookupMember(member).Settle(m.now, m.current, record)
 		}
 	}
 }
 
 func (m *groupMachine) startChange(*rapid.T) {
-	m.changes = append(m.changes, &viewChange{old: m.standing, sealed: map[string]bool{}, ready: map[string]bool{}})
+	m.changes = append(m.changes, &viewChange{old: m.current, sealed: map[string]bool{}, prepared: map[string]bool{}})
 }
 
-// stepChange takes one view change one message further.
+// stepChange delivers the next message of one view change.
 func (m *groupMachine) stepChange(t *rapid.T) {
 	var open []*viewChange
-	for _, one := range m.changes {
-		if !one.over {
-			open = append(open, one)
+	for _, change := range m.changes {
+		if !change.done {
+			open = append(open, change)
 		}
 	}
 	if len(open) == 0 {
-		t.Skip("no change under way")
+		t.Skip("no view change in progress")
 	}
-	one := rapid.SampledFrom(open).Draw(t, "change")
-	for _, member := range one.old.Members {
-		if one.next == nil && !one.sealed[member.ID] {
-			one.sealed[member.ID] = true
-			if rapid.IntRange(0, 4).Draw(t, "fate") == 0 {
+	change := rapid.SampledFrom(open).Draw(t, "change")
+	for _, member := range change.old.Members {
+		if change.next == nil && !change.sealed[member.ID] {
+			change.sealed[member.ID] = true
+			if rapid.IntRange(0, 4).Draw(t, "delivery") == 0 {
 				return // lost
 			}
-			state, held, gone := m.reach(member).Seal(one.old, member.Process)
+			state, held, gone := m.lookupMember(member).Seal(change.old, member.Process)
 			if held {
-				one.held = append(one.held, state)
+				change.held = append(change.held, state)
 			} else if gone {
-				one.gone++
+				change.gone++
 			}
 			return
 		}
 	}
-	if one.next == nil {
-		m.prepare(t, one)
+	if change.next == nil {
+		m.prepareNext(t, change)
 		return
 	}
-	for _, member := range one.next.Members {
-		if !one.ready[member.ID] {
-			one.ready[member.ID] = m.reach(member).Install(*one.next, one.state)
-			one.over = !one.ready[member.ID]
+	for _, member := range change.next.Members {
+		if !change.prepared[member.ID] {
+			change.prepared[member.ID] = m.lookupMember(member).Install(*change.next, change.state)
+			change.done = !change.prepared[member.ID]
 			return
 		}
 	}
-	m.swap(one)
+	m.commitView(change)
 }
 
-func (m *groupMachine) prepare(t *rapid.T, one *viewChange) {
-	// Losing the memory of a quorum has its own answer (LostAt) and is tested apart.
-	if len(one.held) < one.old.sealQuorum() {
-		one.over = true
+func (m *groupMachine) prepareNext(t *rapid.T, change *viewChange) {
+	// The loss of a quorum's state is handled by LostAt and not covered here.
+	if len(change.held) < change.old.sealQuorum() {
+		change.done = true
 		return
 	}
 	ids := rapid.Permutation([]string{"a", "b", "c", "d"}).Draw(t, "members")[:3]
 	m.writers++
-	next := View{Region: "r", Slot: testSlot, Epoch: one.old.Epoch + 1, Writer: fmt.Sprintf("writer-%d", m.writers), Members: m.group(ids...)}
-	one.next, one.state = &next, mergeStates(one.held)
+	next := View{Region: "r", Slot: testSlot, Epoch: change.old.Epoch + 1, Writer: fmt.Sprintf("writer-%d", m.writers), Members: m.viewMembers(ids...)}
+	change.next, change.state = &next, mergeStates(change.held)
 }
 
-// swap is the compare-and-swap, after which members may open the view.
-func (m *groupMachine) swap(one *viewChange) {
-	one.over = true
-	if !m.standing.same(one.old) {
+// commitView performs the compare-and-swap, after which members may open the view.
+func (m *groupMachine) commitView(change *viewChange) {
+	change.done = true
+	if !m.current.same(change.old) {
 		return
 	}
-	m.standing = *one.next
+	m.current = *change.next
 }
 
 func (m *groupMachine) open(t *rapid.T) {
-	member := rapid.SampledFrom(m.standing.Members).Draw(t, "member")
-	m.reach(member).Open(m.standing)
+	member := rapid.SampledFrom(m.current.Members).Draw(t, "member")
+	m.lookupMember(member).Open(m.current)
 }
 
-// crash empties a member, but never the memory of a whole quorum.
+// crash clears a member's state unless a quorum's state would be lost.
 func (m *groupMachine) crash(t *rapid.T) {
 	id := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "member")
 	lost := 0
-	for _, member := range m.standing.Members {
+	for _, member := range m.current.Members {
 		if member.ID == id || m.process[member.ID] != member.Process {
 			lost++
 		}
 	}
-	if lost > len(m.standing.Members)-m.standing.sealQuorum() {
-		t.Skip("would lose a quorum's memory")
+	if lost > len(m.current.Members)-m.current.sealQuorum() {
+		t.Skip("would lose the state of a quorum")
 	}
 	m.process[id]++
 	m.members[id] = NewMember(m.process[id])
@@ -246,57 +245,57 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newGroupMachine()
 		t.Repeat(map[string]func(*rapid.T){
-			"propose": m.propose, "deliverClaim": m.deliverClaim, "deliverMore": m.deliverClaim, "retry": m.retry, "giveUp": m.giveUp,
+			"propose": m.propose, "deliverClaim": m.deliverClaim, "deliverMore": m.deliverClaim, "retry": m.retry, "giveUp": m.withdraw,
 			"settle": m.settle, "startChange": m.startChange, "stepChange": m.stepChange, "stepMore": m.stepChange, "stepYetMore": m.stepChange,
 			"open": m.open, "crash": m.crash,
 		})
 	})
 }
 
-func TestMergeKeepsTheNewestAndDoubtsTheDisputed(t *testing.T) {
+func TestMergeKeepsNewestStateAndMarksConflictsIndeterminate(t *testing.T) {
 	claimed := Record{Key: "k", RequestID: "one"}
 	completed := claimed
 	completed.State = Completed
 	rival := Record{Key: "k", RequestID: "two"}
-	require.Equal(t, []Record{completed}, merge([][]Record{{claimed}, {completed}}))
-	require.Equal(t, Unsettled, merge([][]Record{{claimed}, {rival}})[0].State)
-	require.Equal(t, []Record{claimed}, merge([][]Record{{claimed}, {claimed}, {}}))
+	require.Equal(t, []Record{completed}, mergeClaims([][]Record{{claimed}, {completed}}))
+	require.Equal(t, Indeterminate, mergeClaims([][]Record{{claimed}, {rival}})[0].State)
+	require.Equal(t, []Record{claimed}, mergeClaims([][]Record{{claimed}, {claimed}, {}}))
 }
 
-func TestClaimTurnsUnsettledAndExpires(t *testing.T) {
+func TestClaimBecomesIndeterminateThenExpires(t *testing.T) {
 	m := newGroupMachine()
 	member := m.members["a"]
-	record := Record{Key: "k", RequestID: "one", ClaimedAt: m.now, SettledBy: m.now.Add(time.Minute)}
-	verdict, _ := member.Claim(m.now, m.standing, record)
+	record := Record{Key: "k", RequestID: "one", ClaimedAt: m.now, SettleDeadline: m.now.Add(time.Minute)}
+	verdict, _ := member.Claim(m.now, m.current, record)
 	require.Equal(t, Accepted, verdict)
-	_, standing := member.Look(m.now.Add(2*time.Minute), m.standing, "k")
-	require.Equal(t, Unsettled, standing.State)
-	verdict, _ = member.Look(m.now.Add(2*time.Minute+Kept), m.standing, "k")
-	require.Equal(t, Accepted, verdict, "forgotten after Kept")
+	_, current := member.Look(m.now.Add(2*time.Minute), m.current, "k")
+	require.Equal(t, Indeterminate, current.State)
+	verdict, _ = member.Look(m.now.Add(2*time.Minute+ClaimRetention), m.current, "k")
+	require.Equal(t, Accepted, verdict, "removed after ClaimRetention")
 }
 
-func TestMemoryIsBounded(t *testing.T) {
+func TestStoredBodiesAreBounded(t *testing.T) {
 	m := newGroupMachine()
 	member := m.members["a"]
 	const body = 200 << 10
 	for number := range 100 {
 		record := Record{Key: fmt.Sprint(number), RequestID: fmt.Sprint(number), State: Completed, ClaimedAt: m.now.Add(time.Duration(number)),
-			SettledBy: m.now, Outcome: Outcome{Body: make([]byte, body)}}
-		require.True(t, member.Settle(m.now, m.standing, record))
-		require.LessOrEqual(t, member.bytes, memoryLimit+body)
+			SettleDeadline: m.now, Outcome: Outcome{Body: make([]byte, body)}}
+		require.True(t, member.Settle(m.now, m.current, record))
+		require.LessOrEqual(t, member.bodyBytes, maxBodyBytes+body)
 	}
-	_, oldest := member.Look(m.now, m.standing, "0")
+	_, oldest := member.Look(m.now, m.current, "0")
 	require.Equal(t, Completed, oldest.State, "the record stays")
 	require.True(t, oldest.Outcome.Dropped)
 }
 
-func TestForgottenKeysAreUnknown(t *testing.T) {
+func TestKeysWithoutRetainedClaimAreRejected(t *testing.T) {
 	view := View{LostAt: time.Now()}
-	require.NotNil(t, forgotten(view, "a key without a time"))
-	require.Nil(t, forgotten(View{}, "a key without a time"))
-	const made2020 = "0176b7b6-5c00-7000-8000-000000000000"
-	made, timed := KeyTime(made2020)
-	require.True(t, timed)
-	require.Equal(t, 2020, made.UTC().Year())
-	require.NotNil(t, forgotten(View{}, made2020), "older than claims are kept")
+	require.NotNil(t, checkClaimHistory(view, "a key without a time"))
+	require.Nil(t, checkClaimHistory(View{}, "a key without a time"))
+	const createdIn2020 = "0176b7b6-5c00-7000-8000-000000000000"
+	createdAt, hasTime := KeyTime(createdIn2020)
+	require.True(t, hasTime)
+	require.Equal(t, 2020, createdAt.UTC().Year())
+	require.NotNil(t, checkClaimHistory(View{}, createdIn2020), "older than ClaimRetention")
 }
--- a/group/ledger.go
+++ b/group/ledger.go
@@ -15,208 +15,211 @@
 )
 
 const (
-	claimTime  = 4 * time.Second // in which a claim must count
-	retryPause = 20 * time.Millisecond
-	// viewAskers is how many ranked daemons are asked for a view.
-	viewAskers = 5
-	retryAfter = time.Second
-	// clockMargin is how far a key's own time may differ from this daemon's.
+	claimTimeout = 4 * time.Second
+	retryDelay   = 20 * time.Millisecond
+	// maxViewQueries limits how many ranked daemons are queried for a view.
+	maxViewQueries = 5
+	retryAfter     = time.Second
+	// clockMargin is the clock difference tolerated between a key's creator and this daemon.
 	clockMargin = 5 * time.Minute
 )
 
-// Ledger claims keys for a gateway.
+// Ledger claims idempotency keys on behalf of a gateway.
 type Ledger struct {
-	directory
+	groupClient
 }
 
-// Claim is a claim that counted.
+// Claim is a committed claim: a write quorum of the key's group accepted it.
 type Claim struct {
 	slot   SlotKey
 	record Record
 }
 
-// NewLedger returns the ledger of a gateway.
+// NewLedger returns a ledger that finds the members of groups through members.
 func NewLedger(members func() *membership.View, pool *transport.Pool) *Ledger {
-	return &Ledger{newDirectory(members, pool)}
+	return &Ledger{newGroupClient(members, pool)}
 }
 
-// Ask names a key: the branch that uses it and the region whose groups hold it.
-type Ask struct {
+// KeyRef identifies an idempotency key by the branch that uses it and the region
+// whose groups store its claim.
+type KeyRef struct {
 	Region string
 	Branch string
 	Key    string
 }
 
-func (a Ask) hashed() string { return HashKey(a.Branch, a.Key) }
+func (k KeyRef) hashedKey() string { return HashKey(k.Branch, k.Key) }
 
-func (a Ask) slot() SlotKey { return SlotOf(a.Region, a.hashed()) }
+func (k KeyRef) slot() SlotKey { return SlotOf(k.Region, k.hashedKey()) }
 
-// Claim claims a key. It returns the claim; or the record that stands if the key
-// was claimed before; or a *failure.Error that is true about execution.
-func (l *Ledger) Claim(ctx context.Context, ask Ask, wanted Record) (*Claim, *Record, error) {
-	ctx, cancel := context.WithTimeout(ctx, claimTime)
+// Claim claims a key. It returns the committed claim, or the existing record if the key
+// was claimed before with the same request content, or a *failure.Error.
+func (l *Ledger) Claim(ctx context.Context, key KeyRef, claim Record) (*Claim, *Record, error) {
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	wanted.Key, wanted.State = ask.hashed(), Claimed
-	slot := ask.slot()
-	reason := errors.New("no daemon answered")
+	claim.Key, claim.State = key.hashedKey(), Claimed
+	slot := key.slot()
+	lastErr := errors.New("no daemon responded")
 	for ctx.Err() == nil {
 		view, err := l.view(ctx, slot)
 		if err != nil {
-			reason = err
-			pause(ctx)
+			lastErr = err
+			waitBeforeRetry(ctx)
 			continue
 		}
-		if failed := forgotten(view, ask.Key); failed != nil {
-			// What a member that was not lost still holds is true all the same.
-			if standing, err := l.Look(ctx, ask); err == nil && standing != nil && standing.Fingerprint == wanted.Fingerprint {
-				return nil, standing, nil
+		if unknown := checkClaimHistory(view, key.Key); unknown != nil {
+			// Members that kept their memory may still hold the earlier record.
+			if existing, err := l.Look(ctx, key); err == nil && existing != nil && existing.Fingerprint == claim.Fingerprint {
+				return nil, existing, nil
 			}
-			return nil, nil, failed
+			return nil, nil, unknown
 		}
-		counts := l.claimOnce(ctx, view, wanted)
-		switch counts.decide() {
-		case counted:
-			return &Claim{slot: slot, record: wanted}, nil, nil
-		case taken:
-			l.withdraw(ctx, view, wanted)
-			standing := counts.strongest()
-			if standing.Fingerprint != wanted.Fingerprint {
+		votes := l.requestVotes(ctx, view, claim)
+		switch votes.decide() {
+		case committed:
+			return &Claim{slot: slot, record: claim}, nil, nil
+		case conflicting:
+			l.withdraw(ctx, view, claim)
+			existing := votes.mostAdvanced()
+			if existing.Fingerprint != claim.Fingerprint {
 				return nil, nil, failure.New(failure.KeyReused, "use a new idempotency key for a new request",
 					"the idempotency key was used for a different request")
 			}
-			return nil, &standing, nil
+			return nil, &existing, nil
 		}
-		reason = errors.Errorf("%d of %d members of the key's group accepted", counts.accepted, len(view.Members))
+		lastErr = errors.Errorf("%d of %d members of the key's group accepted", votes.accepted, len(view.Members))
 		l.dropView(slot)
-		pause(ctx)
+		waitBeforeRetry(ctx)
 	}
-	if view, known := l.cached(slot); known {
-		l.withdraw(context.WithoutCancel(ctx), view, wanted)
+	if view, known := l.cachedView(slot); known {
+		l.withdraw(context.WithoutCancel(ctx), view, claim)
 	}
-	return nil, nil, failure.Wrap(reason, failure.ClaimUnavailable, "repeat the request with the same key",
+	return nil, nil, failure.Wrap(lastErr, failure.ClaimUnavailable, "retry the request with the same key",
 		"the idempotency key could not be claimed").WithRetryAfter(retryAfter)
 }
 
-// forgotten refuses a key whose claim the group may have lost, or no longer keep.
-func forgotten(view View, key string) *failure.Error {
-	made, timed := KeyTime(key)
+// checkClaimHistory rejects a key whose earlier claim may have been lost with the
+// group's memory or may have expired.
+func checkClaimHistory(view View, key string) *failure.Error {
+	createdAt, hasTime := KeyTime(key)
 	now := time.Now()
-	if timed && now.Sub(made) > Kept+clockMargin {
-		return failure.New(failure.OutcomeUnknown, "find out by other means whether it took effect before using a new key",
-			"the idempotency key is older than claims are kept").WithExecution(failure.Unknown)
+	if hasTime && now.Sub(createdAt) > ClaimRetention+clockMargin {
+		return failure.New(failure.OutcomeUnknown, "verify whether the request took effect before using a new key",
+			"the idempotency key is older than the retention period of claims").WithExecution(failure.Unknown)
 	}
-	if view.LostAt.IsZero() || now.After(view.LostAt.Add(Kept)) || (timed && made.After(view.LostAt)) {
+	if view.LostAt.IsZero() || now.After(view.LostAt.Add(ClaimRetention)) || (hasTime && createdAt.After(view.LostAt)) {
 		return nil
 	}
-	return failure.New(failure.OutcomeUnknown, "for a new request use a UUID version 7 as key; for an old one find out by other means",
-		"the group that kept the key's claim lost its memory; an earlier request with this key may have run").WithExecution(failure.Unknown)
+	return failure.New(failure.OutcomeUnknown, "for a new request use a UUID version 7 as the key; for an earlier one verify whether it took effect",
+		"the group that stored the key's claim lost its state; an earlier request with this key may have run").WithExecution(failure.Unknown)
 }
 
-func pause(ctx context.Context) {
-	sleep.For(ctx, retryPause+rand.N(retryPause))
+func waitBeforeRetry(ctx context.Context) {
+	sleep.For(ctx, retryDelay+rand.N(retryDelay))
 }
 
-// claimOnce asks all members of a view and counts.
-func (l *Ledger) claimOnce(ctx context.Context, view View, wanted Record) *tally {
-	counts := &tally{view: view}
-	type answer struct {
+// requestVotes sends a claim to all members of a view and returns once the result is decided.
+func (l *Ledger) requestVotes(ctx context.Context, view View, record Record) *tally {
+	votes := &tally{view: view}
+	type vote struct {
 		verdict  Verdict
-		standing Record
+		existing Record
 		err      error
 	}
-	answers := make(chan answer, len(view.Members))
+	responses := make(chan vote, len(view.Members))
 	for _, member := range view.Members {
 		go func() {
-			told, err := l.client(ctx, member).Claim(withTimeout(ctx), &rpc.ClaimRequest{View: view.wire(), Record: wanted.wire()})
-			answers <- answer{Verdict(told.GetVerdict()), recordOf(told.GetStanding()), err}
+			response, err := l.memberClient(ctx, member).Claim(withCallTimeout(ctx), &rpc.ClaimRequest{View: view.wire(), Record: record.wire()})
+			responses <- vote{Verdict(response.GetVerdict()), recordFromWire(response.GetStanding()), err}
 		}()
 	}
 	for range view.Members {
-		told := <-answers
-		counts.add(told.verdict, told.standing, told.err)
-		if counts.decide() != undecided {
-			return counts
+		response := <-responses
+		votes.add(response.verdict, response.existing, response.err)
+		if votes.decide() != undecided {
+			return votes
 		}
 	}
-	return counts
+	return votes
 }
 
-// withdraw takes back a claim that did not count and never will be used.
+// withdraw removes a claim that was not committed or whose request did not run. It
+// returns how many members removed it.
 func (l *Ledger) withdraw(ctx context.Context, view View, record Record) int {
-	return l.each(ctx, view, func(ctx context.Context, client rpc.DRPCGroupsClient) (*rpc.GroupAnswer, error) {
+	return l.callMembers(ctx, view, func(ctx context.Context, client rpc.DRPCGroupsClient) (*rpc.GroupAnswer, error) {
 		return client.Withdraw(ctx, &rpc.WithdrawRequest{View: view.wire(), Key: record.Key, RequestId: record.RequestID})
 	})
 }
 
-// each calls all members and returns how many agreed.
-func (l *Ledger) each(ctx context.Context, view View, call func(context.Context, rpc.DRPCGroupsClient) (*rpc.GroupAnswer, error)) int {
-	return agreeing(view.Members, func(member GroupMember) bool {
-		answer, err := call(withTimeout(ctx), l.client(ctx, member))
-		return err == nil && answer.GetOk()
+// callMembers calls all members of a view and returns how many responded with ok.
+func (l *Ledger) callMembers(ctx context.Context, view View, call func(context.Context, rpc.DRPCGroupsClient) (*rpc.GroupAnswer, error)) int {
+	return countAgreeing(view.Members, func(member ViewMember) bool {
+		response, err := call(withCallTimeout(ctx), l.memberClient(ctx, member))
+		return err == nil && response.GetOk()
 	})
 }
 
-// Look returns what stands for a key, or nil when nothing does.
-func (l *Ledger) Look(ctx context.Context, ask Ask) (*Record, error) {
-	view, err := l.view(ctx, ask.slot())
+// Look returns the record of a key, or nil if a quorum confirms that there is none.
+func (l *Ledger) Look(ctx context.Context, key KeyRef) (*Record, error) {
+	view, err := l.view(ctx, key.slot())
 	if err != nil {
 		return nil, err
 	}
-	type answer struct {
+	type vote struct {
 		verdict  Verdict
-		standing Record
+		existing Record
 		err      error
 	}
-	counts := &tally{view: view}
-	for _, told := range fanOut(view.Members, func(member GroupMember) answer {
-		message, err := l.client(ctx, member).Look(withTimeout(ctx), &rpc.LookRequest{View: view.wire(), Key: ask.hashed()})
-		return answer{Verdict(message.GetVerdict()), recordOf(message.GetStanding()), err}
+	votes := &tally{view: view}
+	for _, response := range fanOut(view.Members, func(member ViewMember) vote {
+		message, err := l.memberClient(ctx, member).Look(withCallTimeout(ctx), &rpc.LookRequest{View: view.wire(), Key: key.hashedKey()})
+		return vote{Verdict(message.GetVerdict()), recordFromWire(message.GetStanding()), err}
 	}) {
-		counts.add(told.verdict, told.standing, told.err)
+		votes.add(response.verdict, response.existing, response.err)
 	}
 	switch {
-	case len(counts.standing) > 0:
-		standing := counts.strongest()
-		return &standing, nil
-	case counts.accepted >= view.sealQuorum():
+	case len(votes.existing) > 0:
+		existing := votes.mostAdvanced()
+		return &existing, nil
+	case votes.accepted >= view.sealQuorum():
 		return nil, nil
 	}
-	l.dropView(ask.slot())
-	return nil, errors.New("too few members of the key's group answer")
+	l.dropView(key.slot())
+	return nil, errors.New("too few members of the key's group responded")
 }
 
-// Plain returns a record's outcome as it was given.
-func (r Record) Plain() (Outcome, error) { return r.Outcome.plain() }
+// DecodeOutcome returns the record's outcome with its body decompressed.
+func (r Record) DecodeOutcome() (Outcome, error) { return r.Outcome.decompress() }
 
 // Complete stores a claim's outcome with a write quorum.
 func (l *Ledger) Complete(ctx context.Context, claim *Claim, outcome Outcome) error {
 	record := claim.record
-	record.State, record.Outcome = Completed, outcome.compressed()
+	record.State, record.Outcome = Completed, outcome.compress()
 	return l.settle(ctx, claim.slot, record)
 }
 
-// Unsettle stores that a claim's request may have run and its outcome is lost.
-func (l *Ledger) Unsettle(ctx context.Context, claim *Claim) error {
+// MarkIndeterminate records that the claim's request may have run and its outcome is lost.
+func (l *Ledger) MarkIndeterminate(ctx context.Context, claim *Claim) error {
 	record := claim.record
-	record.State = Unsettled
+	record.State = Indeterminate
 	return l.settle(ctx, claim.slot, record)
 }
 
 func (l *Ledger) settle(ctx context.Context, slot SlotKey, record Record) error {
-	return l.atQuorum(ctx, slot, func(view View) int {
-		return l.each(ctx, view, func(ctx context.Context, client rpc.DRPCGroupsClient) (*rpc.GroupAnswer, error) {
+	return l.requireWriteQuorum(ctx, slot, func(view View) int {
+		return l.callMembers(ctx, view, func(ctx context.Context, client rpc.DRPCGroupsClient) (*rpc.GroupAnswer, error) {
 			return client.Settle(ctx, &rpc.SettleRequest{View: view.wire(), Record: record.wire()})
 		})
 	})
 }
 
-// Release gives a claim back after the request certainly did not run.
+// Release withdraws a committed claim whose request did not run.
 func (l *Ledger) Release(ctx context.Context, claim *Claim) error {
-	return l.atQuorum(ctx, claim.slot, func(view View) int { return l.withdraw(ctx, view, claim.record) })
+	return l.requireWriteQuorum(ctx, claim.slot, func(view View) int { return l.withdraw(ctx, view, claim.record) })
 }
 
-// atQuorum fails unless a write quorum of the slot's view agrees.
-func (l *Ledger) atQuorum(ctx context.Context, slot SlotKey, call func(View) int) error {
+// requireWriteQuorum returns an error unless call reports a write quorum of the slot's view.
+func (l *Ledger) requireWriteQuorum(ctx context.Context, slot SlotKey, call func(View) int) error {
 	view, err := l.view(ctx, slot)
 	if err != nil {
 		return err
--- a/group/manager.go
+++ b/group/manager.go
@@ -22,22 +22,22 @@
 	viewPrefix    = "/finchspoke/groups/"
 	checkInterval = 500 * time.Millisecond
 	callTimeout   = time.Second
-	// lossMargin covers the difference of clocks when claims were lost.
-	lossMargin = 5 * time.Second
-	// makeDelay is the time after start in which only views asked for are made, and
-	// makePerCheck how many others are made in one check after it, so that all
-	// groups stand before the key-value service has its next outage.
-	makeDelay    = 2 * time.Second
-	makePerCheck = 4
-	// makersPerCheck is about how many daemons of a region make some in one check.
-	makersPerCheck = 4
-	// expireInterval is how often a member forgets what has expired.
-	expireInterval = time.Minute
+	// lossClockMargin covers clock differences when the time of a loss is recorded.
+	lossClockMargin = 5 * time.Second
+	// createDelay is the time after start in which views are created on request only.
+	// Afterwards each check creates up to maxCreatesPerCheck missing views, so that
+	// all groups exist before an outage of the key-value service.
+	createDelay        = 2 * time.Second
+	maxCreatesPerCheck = 4
+	// creatorsPerCheck is the expected number of daemons of a region that create views in one check.
+	creatorsPerCheck = 4
+	expireInterval   = time.Minute
 )
 
-// Manager changes the views of the slots that this daemon leads: the first in the
-// slot's ranking of running members. Two that both think they lead are kept apart
-// by compare-and-swap. It is a suture service.
+// Manager creates and changes the views of the slots that this daemon leads: those
+// for which it ranks first among the running members. Compare-and-swap in the
+// key-value service resolves conflicts between daemons that both claim to lead.
+// It is a suture service.
 type Manager struct {
 	selfID  string
 	store   kv.Store
@@ -46,23 +46,24 @@
 	pool    *transport.Pool
 	log     logrus.FieldLogger
 
-	mutex sync.Mutex // one change at a time
-	views map[SlotKey]held
+	mutex sync.Mutex // guards views and serializes view changes
+	views map[SlotKey]storedView
 
-	rankedBy *membership.View // for which led was worked out
-	led      []SlotKey
+	ledIn *membership.View // the membership view that led was computed from
+	led   []SlotKey
 }
 
-// held is a view as last seen in the key-value service.
-type held struct {
+// storedView is a view as last read from the key-value service.
+type storedView struct {
 	view     View
-	revision int64 // of its key; zero: none made yet
-	opened   bool  // its members were told to serve
+	revision int64 // of its key; zero if no view exists yet
+	opened   bool  // a write quorum of its members serves it
 }
 
-// NewManager returns the manager of a daemon.
+// NewManager returns the manager of the daemon with id selfID; member is its own part
+// in groups.
 func NewManager(selfID string, store kv.Store, members func() *membership.View, member *Member, pool *transport.Pool, log logrus.FieldLogger) *Manager {
-	return &Manager{selfID: selfID, store: store, members: members, member: member, pool: pool, log: log, views: map[SlotKey]held{}}
+	return &Manager{selfID: selfID, store: store, members: members, member: member, pool: pool, log: log, views: map[SlotKey]storedView{}}
 }
 
 // String names the service in the supervisor's events.
@@ -72,14 +73,14 @@
 func (m *Manager) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
-	makeFrom := time.Now().Add(makeDelay)
+	createFrom := time.Now().Add(createDelay)
 	nextExpiry := time.Now().Add(expireInterval)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-ticker.C:
-			m.check(ctx, now.After(makeFrom))
+			m.check(ctx, now.After(createFrom))
 			if now.After(nextExpiry) {
 				nextExpiry = now.Add(expireInterval)
 				m.member.Expire(now)
@@ -88,46 +89,46 @@
 	}
 }
 
-// leads tells whether this daemon leads a slot.
+// leads reports whether this daemon ranks first for a slot.
 func (m *Manager) leads(slot SlotKey) bool {
 	owner, found := rendezvous.Owner(rankingKey(slot), m.members().RunningIn(slot.Region))
 	return found && owner == m.selfID
 }
 
-// check looks after the slots led: those in memory, and those that came to this
-// daemon with a change of members.
-func (m *Manager) check(ctx context.Context, makeMissing bool) {
+// check repairs the views of all slots that this daemon leads and creates missing
+// ones if createMissing is set.
+func (m *Manager) check(ctx context.Context, createMissing bool) {
 	region := m.members().Self().Region
-	left := 0
-	// Many daemons that start together must not ask the service all at once.
-	if running := len(m.members().RunningIn(region)); makeMissing && rand.IntN(max(1, running)) < makersPerCheck {
-		left = makePerCheck
+	createsLeft := 0
+	// Randomization spreads the load when many daemons start together.
+	if running := len(m.members().RunningIn(region)); createMissing && rand.IntN(max(1, running)) < creatorsPerCheck {
+		createsLeft = maxCreatesPerCheck
 	}
 	for _, slot := range m.ledSlots() {
 		m.mutex.Lock()
-		known, read := m.views[slot]
+		stored, found := m.views[slot]
 		m.mutex.Unlock()
-		missing := read && known.revision == 0
-		if (missing && left == 0) || (known.opened && !needsChange(m.members(), known.view)) {
+		missing := found && stored.revision == 0
+		if (missing && createsLeft == 0) || (stored.opened && !needsChange(m.members(), stored.view)) {
 			continue
 		}
 		if missing {
-			left--
+			createsLeft--
 		}
-		if _, err := m.ensure(ctx, slot, missing); err != nil && ctx.Err() == nil {
-			m.log.WithError(err).WithField("slot", slot.String()).Debug("group is not changed yet")
+		if _, err := m.ensureView(ctx, slot, missing); err != nil && ctx.Err() == nil {
+			m.log.WithError(err).WithField("slot", slot.String()).Debug("group view change failed; retrying")
 		}
 	}
 }
 
-// ledSlots returns the slots that this daemon leads and forgets the views of
-// others. It is worked out anew only when members change.
+// ledSlots returns the slots that this daemon leads and drops the cached views of
+// all others. The result is recomputed only when the members change.
 func (m *Manager) ledSlots() []SlotKey {
 	view := m.members()
-	if view == m.rankedBy {
+	if view == m.ledIn {
 		return m.led
 	}
-	m.rankedBy, m.led = view, nil
+	m.ledIn, m.led = view, nil
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	for number := range uint32(Slots + 1) {
@@ -141,31 +142,31 @@
 	return m.led
 }
 
-// errNotLeader tells a gateway to ask another daemon for a view.
-var errNotLeader = errors.New("this daemon does not know the slot's view")
+// errViewUnknown makes a gateway query another daemon for the view.
+var errViewUnknown = errors.New("this daemon does not know the slot's view")
 
-// View returns a slot's view: made if there is none and this daemon leads the
-// slot; otherwise the one it is a member of.
+// View returns a slot's view. The leader of the slot creates a missing view; any
+// other daemon returns the view that it is a member of.
 func (m *Manager) View(ctx context.Context, slot SlotKey) (View, error) {
 	if m.leads(slot) {
 		m.mutex.Lock()
-		known := m.views[slot]
+		stored := m.views[slot]
 		m.mutex.Unlock()
-		if known.opened {
-			return known.view, nil
+		if stored.opened {
+			return stored.view, nil
 		}
-		if view, err := m.ensure(ctx, slot, true); err == nil {
+		if view, err := m.ensureView(ctx, slot, true); err == nil {
 			return view, nil
 		}
 	}
 	if view := m.member.View(slot); view.Epoch > 0 {
 		return view, nil
 	}
-	return View{}, errNotLeader
+	return View{}, errViewUnknown
 }
 
-// ensure reads a slot's view and brings it to a state in which its group serves.
-func (m *Manager) ensure(ctx context.Context, slot SlotKey, create bool) (View, error) {
+// ensureView reads a slot's view, opens it and replaces it if members are missing.
+func (m *Manager) ensureView(ctx context.Context, slot SlotKey, create bool) (View, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	pair, found, err := m.store.Get(ctx, viewPrefix+slot.String())
@@ -173,78 +174,78 @@
 		return View{}, errors.Wrap(err, "read view")
 	}
 	if !found {
-		m.views[slot] = held{}
+		m.views[slot] = storedView{}
 		if !create {
-			return View{}, errNotLeader
+			return View{}, errViewUnknown
 		}
-		return m.install(ctx, View{Region: slot.Region, Slot: slot.Slot}, State{}, 0)
+		return m.installView(ctx, View{Region: slot.Region, Slot: slot.Slot}, State{}, 0)
 	}
 	var view View
 	if err := json.Unmarshal(pair.Value, &view); err != nil {
 		return View{}, errors.Wrap(err, "read view")
 	}
-	opened := m.open(ctx, view)
-	m.views[slot] = held{view: view, revision: pair.ModRevision, opened: opened >= view.writeQuorum()}
+	opened := m.openView(ctx, view)
+	m.views[slot] = storedView{view: view, revision: pair.ModRevision, opened: opened >= view.writeQuorum()}
 	if !needsChange(m.members(), view) && opened == len(view.Members) {
 		return view, nil
 	}
-	return m.change(ctx, view, pair.ModRevision)
+	return m.replaceView(ctx, view, pair.ModRevision)
 }
 
-// change seals a view and installs its successor.
-func (m *Manager) change(ctx context.Context, old View, revision int64) (View, error) {
-	type sealed struct {
+// replaceView seals a view and installs its successor.
+func (m *Manager) replaceView(ctx context.Context, old View, revision int64) (View, error) {
+	type sealResult struct {
 		state State
 		held  bool
 		gone  bool
 	}
-	answers := fanOut(old.Members, func(member GroupMember) sealed {
-		result := sealed{gone: provenGone(m.members(), member)}
-		answer, err := m.client(ctx, member).Seal(withTimeout(ctx), &rpc.SealRequest{View: old.wire(), Process: member.Process})
+	results := fanOut(old.Members, func(member ViewMember) sealResult {
+		result := sealResult{gone: isReplaced(m.members(), member)}
+		response, err := m.memberClient(ctx, member).Seal(withCallTimeout(ctx), &rpc.SealRequest{View: old.wire(), Process: member.Process})
 		if err != nil {
 			return result
 		}
-		result.held, result.gone = answer.GetHeld(), result.gone || answer.GetGone()
-		result.state = stateOf(answer.GetState())
+		result.held, result.gone = response.GetHeld(), result.gone || response.GetGone()
+		result.state = stateFromWire(response.GetState())
 		return result
 	})
-	heldBy, goneCount := 0, 0
+	sealedCount, goneCount := 0, 0
 	var states []State
-	for _, answer := range answers {
+	for _, response := range results {
 		switch {
-		case answer.held:
-			heldBy++
-			states = append(states, answer.state)
-		case answer.gone:
+		case response.held:
+			sealedCount++
+			states = append(states, response.state)
+		case response.gone:
 			goneCount++
 		}
 	}
-	if heldBy+goneCount < old.sealQuorum() {
-		return View{}, errors.Errorf("%d of %d members answer and %d are proven gone; %d are needed",
-			heldBy, len(old.Members), goneCount, old.sealQuorum())
+	if sealedCount+goneCount < old.sealQuorum() {
+		return View{}, errors.Errorf("%d of %d members sealed and %d restarted; %d are needed",
+			sealedCount, len(old.Members), goneCount, old.sealQuorum())
 	}
 	next := old
-	if heldBy < old.sealQuorum() {
-		next.LostAt = time.Now().Add(lossMargin).UTC()
-		m.log.WithField("slot", old.Key().String()).Error("group lost its memory: older keys are answered as unknown, and a plan is made anew from the engines")
+	if sealedCount < old.sealQuorum() {
+		next.LostAt = time.Now().Add(lossClockMargin).UTC()
+		m.log.WithField("slot", old.Key().String()).Error("group lost its state: outcomes of earlier keys are unknown, and a lost plan is rebuilt from the engines")
 	}
-	return m.install(ctx, next, mergeStates(states), revision)
+	return m.installView(ctx, next, mergeStates(states), revision)
 }
 
-// install prepares the successor of a view, makes it stand by compare-and-swap,
-// and opens it.
-func (m *Manager) install(ctx context.Context, old View, state State, revision int64) (View, error) {
+// installView prepares the members of a view's successor, commits the successor by
+// compare-and-swap and opens it.
+func (m *Manager) installView(ctx context.Context, old View, state State, revision int64) (View, error) {
 	next := old
 	next.Epoch = old.Epoch + 1
 	next.Writer = uuid.NewString()
 	next.Members = nextMembers(m.members(), old.Key(), old.Members)
 	message := state.wire()
-	count := agreeing(next.Members, func(member GroupMember) bool {
-		answer, err := m.client(ctx, member).Install(withTimeout(ctx), &rpc.InstallRequest{View: next.wire(), State: message})
-		return err == nil && answer.GetOk()
+	count := countAgreeing(next.Members, func(member ViewMember) bool {
+		response, err := m.memberClient(ctx, member).Install(withCallTimeout(ctx), &rpc.InstallRequest{View: next.wire(), State: message})
+		return err == nil && response.GetOk()
 	})
 	if count < len(next.Members) || count == 0 {
-		return View{}, errors.Errorf("%d of %d members could be prepared", count, len(next.Members))
+		return View{}, errors.Errorf("%d of %d members were prepared", count, len(next.Members))
 	}
 	value, err := json.Marshal(next)
 	if err != nil {
@@ -260,51 +261,51 @@
 		delete(m.views, old.Key())
 		return View{}, errors.New("another daemon changed the view")
 	}
-	opened := m.open(ctx, next)
-	m.views[old.Key()] = held{view: next, revision: result.Revision, opened: opened >= next.writeQuorum()}
-	m.log.WithFields(logrus.Fields{"slot": old.Key().String(), "epoch": next.Epoch, "members": len(next.Members)}).Info("group changed")
+	opened := m.openView(ctx, next)
+	m.views[old.Key()] = storedView{view: next, revision: result.Revision, opened: opened >= next.writeQuorum()}
+	m.log.WithFields(logrus.Fields{"slot": old.Key().String(), "epoch": next.Epoch, "members": len(next.Members)}).Info("group view changed")
 	return next, nil
 }
 
-// open tells the members of the standing view to serve; it returns how many do.
-func (m *Manager) open(ctx context.Context, view View) int {
-	return agreeing(view.Members, func(member GroupMember) bool {
-		answer, err := m.client(ctx, member).Open(withTimeout(ctx), &rpc.OpenRequest{View: view.wire()})
-		return err == nil && answer.GetOk()
+// openView requests all members of a committed view to serve it and returns how many do.
+func (m *Manager) openView(ctx context.Context, view View) int {
+	return countAgreeing(view.Members, func(member ViewMember) bool {
+		response, err := m.memberClient(ctx, member).Open(withCallTimeout(ctx), &rpc.OpenRequest{View: view.wire()})
+		return err == nil && response.GetOk()
 	})
 }
 
-func (m *Manager) client(ctx context.Context, member GroupMember) rpc.DRPCGroupsClient {
+func (m *Manager) memberClient(ctx context.Context, member ViewMember) rpc.DRPCGroupsClient {
 	return rpc.NewDRPCGroupsClient(m.pool.To(ctx, member.RPCAddress))
 }
 
-// withTimeout bounds one call; the timer ends by itself soon after.
-func withTimeout(ctx context.Context) context.Context {
+// withCallTimeout returns a context that ends after callTimeout and then frees its timer.
+func withCallTimeout(ctx context.Context) context.Context {
 	bounded, cancel := context.WithTimeout(ctx, callTimeout)
 	context.AfterFunc(bounded, cancel)
 	return bounded
 }
 
-// fanOut calls all members side by side and returns their answers in order.
-func fanOut[T any](members []GroupMember, call func(GroupMember) T) []T {
-	answers := make([]T, len(members))
-	var open sync.WaitGroup
+// fanOut calls all members concurrently and returns the results in the order of members.
+func fanOut[T any](members []ViewMember, call func(ViewMember) T) []T {
+	results := make([]T, len(members))
+	var pending sync.WaitGroup
 	for index, member := range members {
-		open.Add(1)
+		pending.Add(1)
 		go func() {
-			defer open.Done()
-			answers[index] = call(member)
+			defer pending.Done()
+			results[index] = call(member)
 		}()
 	}
-	open.Wait()
-	return answers
+	pending.Wait()
+	return results
 }
 
-// agreeing calls all members side by side and counts those that agree.
-func agreeing(members []GroupMember, call func(GroupMember) bool) int {
+// countAgreeing calls all members concurrently and counts the results that are true.
+func countAgreeing(members []ViewMember, call func(ViewMember) bool) int {
 	count := 0
-	for _, agrees := range fanOut(members, call) {
-		if agrees {
+	for _, agreed := range fanOut(members, call) {
+		if agreed {
 			count++
 		}
 	}
--- a/group/member.go
+++ b/group/member.go
@@ -6,264 +6,266 @@
 	"time"
 )
 
-// Verdict is a member's answer to a claim or a look.
+// Verdict is a member's response to a claim or a lookup.
 type Verdict uint32
 
-// The verdicts.
+// Verdicts of claims and lookups.
 const (
-	// Accepted: the claim is held by this member (or, to a look, nothing is).
+	// Accepted means that the member stores the claim; for a lookup, that it has no record.
 	Accepted Verdict = iota
-	// Standing: another claim of the key, or an outcome, is held.
+	// Standing means that the member already stores a claim or an outcome of the key.
 	Standing
-	// WrongView: the member is not in that view, or the view is sealed.
+	// WrongView means that the member is not in that view, or the view is sealed.
 	WrongView
 )
 
-// memoryLimit bounds the bodies held by one daemon; the oldest are dropped first
-// and their records kept.
-const memoryLimit = 12 << 20
+// maxBodyBytes bounds the compressed bodies stored by one daemon. The oldest bodies are
+// dropped first; their records stay.
+const maxBodyBytes = 12 << 20
 
-// Member is the pure core of a daemon's part in groups: time is an argument, and
-// nothing is sent. It is safe for concurrent use.
+// Member stores a daemon's replica of the groups that it belongs to. It does no I/O
+// and receives the time as an argument. It is safe for concurrent use.
 type Member struct {
-	mutex   sync.Mutex
-	process uint64
-	slots   map[SlotKey]*slot
-	bytes   int
+	mutex     sync.Mutex
+	process   uint64
+	slots     map[SlotKey]*slotState
+	bodyBytes int
 }
 
-// slot is a group's state at this member.
-type slot struct {
-	view      View // zero epoch: none yet
-	sealed    bool
-	records   map[string]Record // claims, by key
-	plan      PlanState
-	installed map[string]installed // by writer, until one is opened
+// slotState is the replica of one group.
+type slotState struct {
+	view         View // its epoch is zero if there is none yet
+	sealed       bool
+	records      map[string]Record // by hashed key
+	plan         PlanState
+	preparedView map[string]preparedView // by writer, until one of them is opened
 }
 
-type installed struct {
+type preparedView struct {
 	view  View
 	state State
 }
 
-// State is all that a member holds in a group: claims, or a plan.
+// State is the replicated state of a group: claims or a plan.
 type State struct {
 	Claims []Record
 	Plan   PlanState
 }
 
-// NewMember returns a member that holds nothing yet.
+// NewMember returns an empty member; process identifies this run of the daemon.
 func NewMember(process uint64) *Member {
-	return &Member{process: process, slots: map[SlotKey]*slot{}}
+	return &Member{process: process, slots: map[SlotKey]*slotState{}}
 }
 
-func (m *Member) slot(key SlotKey) *slot {
-	held := m.slots[key]
-	if held == nil {
-		held = &slot{records: map[string]Record{}, installed: map[string]installed{}}
-		m.slots[key] = held
+func (m *Member) slotState(key SlotKey) *slotState {
+	slot := m.slots[key]
+	if slot == nil {
+		slot = &slotState{records: map[string]Record{}, preparedView: map[string]preparedView{}}
+		m.slots[key] = slot
 	}
-	return held
+	return slot
 }
 
-// serving returns the slot if it serves the view.
-func (m *Member) serving(view View) (*slot, bool) {
-	held := m.slot(view.Key())
-	return held, held.view.same(view) && !held.sealed
+// serving returns the state of the view's slot and whether the member serves that view.
+func (m *Member) serving(view View) (*slotState, bool) {
+	slot := m.slotState(view.Key())
+	return slot, slot.view.same(view) && !slot.sealed
 }
 
-// View returns the view this member is in; its epoch is zero if none.
+// View returns the view of a slot that this member opened last; its epoch is zero if
+// there is none.
 func (m *Member) View(key SlotKey) View {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.slot(key).view
+	return m.slotState(key).view
 }
 
-// Serving tells whether this member still serves any view.
+// Serving reports whether this member serves any view.
 func (m *Member) Serving() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	for _, held := range m.slots {
-		if held.view.Epoch > 0 && !held.sealed {
+	for _, slot := range m.slots {
+		if slot.view.Epoch > 0 && !slot.sealed {
 			return true
 		}
 	}
 	return false
 }
 
-// Claim accepts the claim of a key that is free, or already claimed by the same
-// request, and otherwise returns what stands.
+// Claim accepts a claim if the key is free or claimed by the same request. Otherwise it
+// returns the existing record.
 func (m *Member) Claim(now time.Time, view View, record Record) (Verdict, Record) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	held, serves := m.serving(view)
+	slot, serves := m.serving(view)
 	if !serves {
 		return WrongView, Record{}
 	}
-	standing, found := held.find(now, record.Key)
-	if found && (standing.RequestID != record.RequestID || standing.State != Claimed) {
-		return Standing, standing
+	existing, found := slot.lookup(now, record.Key)
+	if found && (existing.RequestID != record.RequestID || existing.State != Claimed) {
+		return Standing, existing
 	}
-	held.records[record.Key] = record
+	slot.records[record.Key] = record
 	return Accepted, Record{}
 }
 
-// find returns a record that has not expired.
-func (s *slot) find(now time.Time, key string) (Record, bool) {
+// lookup returns the record of a key unless it has expired.
+func (s *slotState) lookup(now time.Time, key string) (Record, bool) {
 	record, found := s.records[key]
 	if !found || record.expired(now) {
 		return Record{}, false
 	}
-	return record.settled(now), true
+	return record.asOf(now), true
 }
 
-// Look returns what stands for a key.
+// Look returns the record of a key, if there is one.
 func (m *Member) Look(now time.Time, view View, key string) (Verdict, Record) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	held, serves := m.serving(view)
+	slot, serves := m.serving(view)
 	if !serves {
 		return WrongView, Record{}
 	}
-	if standing, found := held.find(now, key); found {
-		return Standing, standing
+	if existing, found := slot.lookup(now, key); found {
+		return Standing, existing
 	}
 	return Accepted, Record{}
 }
 
-// Withdraw forgets a claim that its request gave up before it ran.
+// Withdraw removes a claim whose request did not run.
 func (m *Member) Withdraw(view View, key, requestID string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	held, serves := m.serving(view)
+	slot, serves := m.serving(view)
 	if !serves {
 		return false
 	}
-	if record, found := held.records[key]; found && record.RequestID == requestID && record.State == Claimed {
-		delete(held.records, key)
+	if record, found := slot.records[key]; found && record.RequestID == requestID && record.State == Claimed {
+		delete(slot.records, key)
 	}
 	return true
 }
 
-// Settle stores the outcome of a claim that counted.
+// Settle stores the outcome of a committed claim.
 func (m *Member) Settle(now time.Time, view View, record Record) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	held, serves := m.serving(view)
+	slot, serves := m.serving(view)
 	if !serves {
 		return false
 	}
-	standing := held.records[record.Key]
-	if standing.RequestID == record.RequestID && standing.State > record.State {
+	existing := slot.records[record.Key]
+	if existing.RequestID == record.RequestID && existing.State > record.State {
 		return true
 	}
-	m.bytes += len(record.Outcome.Body) - len(standing.Outcome.Body)
-	held.records[record.Key] = record
-	m.shrink(now)
+	m.bodyBytes += len(record.Outcome.Body) - len(existing.Outcome.Body)
+	slot.records[record.Key] = record
+	m.limitBodies(now)
 	return true
 }
 
-// shrink forgets what has expired, and drops the oldest bodies beyond the limit.
-func (m *Member) shrink(now time.Time) {
-	if m.bytes <= memoryLimit {
+// limitBodies brings the stored bodies below maxBodyBytes: it removes expired records,
+// then drops the oldest bodies, with some headroom to run rarely.
+func (m *Member) limitBodies(now time.Time) {
+	if m.bodyBytes <= maxBodyBytes {
 		return
 	}
-	type aged struct {
-		slot   *slot
-		record Record
+	type storedBody struct {
+		slotState *slotState
+		record    Record
 	}
-	var all []aged
-	for _, held := range m.slots {
-		for key, record := range held.records {
+	var candidates []storedBody
+	for _, slot := range m.slots {
+		for key, record := range slot.records {
 			if record.expired(now) {
-				m.bytes -= len(record.Outcome.Body)
-				delete(held.records, key)
+				m.bodyBytes -= len(record.Outcome.Body)
+				delete(slot.records, key)
 			} else if len(record.Outcome.Body) > 0 {
-				all = append(all, aged{held, record})
+				candidates = append(candidates, storedBody{slot, record})
 			}
 		}
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].record.ClaimedAt.Before(all[j].record.ClaimedAt) })
-	const target = memoryLimit * 9 / 10
-	for _, one := range all {
-		if m.bytes <= target {
+	sort.Slice(candidates, func(i, j int) bool { return candidates[i].record.ClaimedAt.Before(candidates[j].record.ClaimedAt) })
+	const target = maxBodyBytes * 9 / 10
+	for _, oldest := range candidates {
+		if m.bodyBytes <= target {
 			return
 		}
-		m.bytes -= len(one.record.Outcome.Body)
-		one.record.Outcome.Body, one.record.Outcome.Dropped = nil, true
-		one.slot.records[one.record.Key] = one.record
+		m.bodyBytes -= len(oldest.record.Outcome.Body)
+		oldest.record.Outcome.Body, oldest.record.Outcome.Dropped = nil, true
+		oldest.slotState.records[oldest.record.Key] = oldest.record
 	}
 }
 
-// Expire forgets what is kept no longer.
+// Expire removes records past their retention.
 func (m *Member) Expire(now time.Time) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	for _, held := range m.slots {
-		for key, record := range held.records {
+	for _, slot := range m.slots {
+		for key, record := range slot.records {
 			if record.expired(now) {
-				m.bytes -= len(record.Outcome.Body)
-				delete(held.records, key)
+				m.bodyBytes -= len(record.Outcome.Body)
+				delete(slot.records, key)
 			}
 		}
 	}
 }
 
-// Seal makes the member refuse a view for ever and returns all it held in it.
-// gone says that the process asked for is not this one.
-func (m *Member) Seal(view View, process uint64) (state State, heldIt, gone bool) {
+// Seal makes the member reject a view permanently and returns its state. gone reports
+// that this daemon runs as a later process than the given one.
+func (m *Member) Seal(view View, process uint64) (state State, held, gone bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if process != m.process {
 		return State{}, false, process < m.process
 	}
-	held := m.slot(view.Key())
-	if !held.view.same(view) {
+	slot := m.slotState(view.Key())
+	if !slot.view.same(view) {
 		return State{}, false, false
 	}
-	held.sealed = true
-	state.Plan = held.plan.clone()
-	for _, record := range held.records {
+	slot.sealed = true
+	state.Plan = slot.plan.clone()
+	for _, record := range slot.records {
 		state.Claims = append(state.Claims, record)
 	}
 	return state, true, false
 }
 
-// Install prepares a view with what its predecessor held. It does not serve until
-// it is opened. False means that the member is past that epoch.
+// Install stores the initial state of a view, which is not served until it is opened. It
+// returns false if the member has already opened that epoch or a later one.
 func (m *Member) Install(view View, state State) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	held := m.slot(view.Key())
-	if held.view.Epoch >= view.Epoch {
-		return held.view.same(view)
+	slot := m.slotState(view.Key())
+	if slot.view.Epoch >= view.Epoch {
+		return slot.view.same(view)
 	}
-	held.installed[view.Writer] = installed{view: view, state: state}
+	slot.preparedView[view.Writer] = preparedView{view: view, state: state}
 	return true
 }
 
-// Open makes a view serve that the key-value service holds now. False means that
-// the member was not prepared for it.
+// Open starts to serve a view that is committed in the key-value service. It returns
+// false if the view was not installed here.
 func (m *Member) Open(view View) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	held := m.slot(view.Key())
-	if held.view.same(view) {
+	slot := m.slotState(view.Key())
+	if slot.view.same(view) {
 		return true
 	}
-	prepared, found := held.installed[view.Writer]
-	if !found || held.view.Epoch >= view.Epoch {
+	prepared, found := slot.preparedView[view.Writer]
+	if !found || slot.view.Epoch >= view.Epoch {
 		return false
 	}
-	for _, record := range held.records {
-		m.bytes -= len(record.Outcome.Body)
+	for _, record := range slot.records {
+		m.bodyBytes -= len(record.Outcome.Body)
 	}
-	held.records = make(map[string]Record, len(prepared.state.Claims))
+	slot.records = make(map[string]Record, len(prepared.state.Claims))
 	for _, record := range prepared.state.Claims {
-		held.records[record.Key] = record
-		m.bytes += len(record.Outcome.Body)
+		slot.records[record.Key] = record
+		m.bodyBytes += len(record.Outcome.Body)
 	}
-	held.view, held.sealed, held.plan = prepared.view, false, prepared.state.Plan.clone()
-	held.installed = map[string]installed{}
+	slot.view, slot.sealed, slot.plan = prepared.view, false, prepared.state.Plan.clone()
+	slot.preparedView = map[string]preparedView{}
 	return true
 }
--- a/group/plan.go
+++ b/group/plan.go
@@ -6,27 +6,27 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// PlanVerdict is a member's answer about a region's plan.
+// PlanVerdict is a member's response to a promise or accept request.
 type PlanVerdict uint32
 
-// The verdicts.
+// Verdicts of promise and accept requests.
 const (
 	PlanAccepted PlanVerdict = iota
-	// PlanOutbid: a higher ballot was promised, or this one to another proposer.
-	PlanOutbid
-	// PlanGap: the member lacks the revision before; send the whole plan.
+	// PlanPreempted means that a higher ballot, or this one by another proposer, was promised.
+	PlanPreempted
+	// PlanGap means that the member lacks the previous revision and needs the full plan.
 	PlanGap
-	// PlanWrongView: the member is not in that view, or the view is sealed.
+	// PlanWrongView means that the member is not in that view, or the view is sealed.
 	PlanWrongView
 )
 
-// PlanState is a region's plan as one member holds it. Proposers are told apart by
-// ballots: a member that promised one takes nothing lower, and one ballot is
-// promised to one proposer. A revision counts once a write quorum accepted it.
+// PlanState is one member's replica of a region's plan. A member that promised a ballot
+// rejects lower ones, and it promises each ballot to one proposer only. A revision is
+// committed once a write quorum accepted it.
 type PlanState struct {
 	Promised uint64
 	Proposer string
-	Ballot   uint64 // of what is accepted
+	Ballot   uint64 // of the accepted revision
 	Revision uint64
 	Entries  map[string][]byte // by engine id
 }
@@ -36,7 +36,7 @@
 	return p
 }
 
-// newer tells whether p holds a later plan than other.
+// newer reports whether p is a later plan than other.
 func (p PlanState) newer(other PlanState) bool {
 	if p.Ballot != other.Ballot {
 		return p.Ballot > other.Ballot
@@ -44,8 +44,8 @@
 	return p.Revision > other.Revision
 }
 
-// mergePlans returns the newest plan of a sealed or promising quorum, which holds
-// every revision that counted, and the highest promise.
+// mergePlans returns the newest plan and the highest promise of a quorum that is sealed
+// or has promised. The newest plan contains every committed revision.
 func mergePlans(states []PlanState) PlanState {
 	var newest PlanState
 	promised, proposer := uint64(0), ""
@@ -61,27 +61,27 @@
 	return newest.clone()
 }
 
-// PlanUpdate is a revision of the plan to accept.
+// PlanUpdate is a proposed revision of the plan.
 type PlanUpdate struct {
 	Ballot   uint64
 	Proposer string
 	Revision uint64
-	Full     bool              // entries are the whole plan
-	Entries  map[string][]byte // by engine id; empty: removed
+	Full     bool              // Entries are the full plan
+	Entries  map[string][]byte // by engine id; an empty value removes the entry
 }
 
-// Promise makes a member take nothing below a ballot and returns what it holds.
+// Promise makes the member reject lower ballots and returns its plan.
 func (m *Member) Promise(view View, ballot uint64, proposer string) (PlanVerdict, PlanState) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	held, serves := m.serving(view)
+	slot, serves := m.serving(view)
 	if !serves {
 		return PlanWrongView, PlanState{}
 	}
-	if !held.plan.promise(ballot, proposer) {
-		return PlanOutbid, held.plan.clone()
+	if !slot.plan.promise(ballot, proposer) {
+		return PlanPreempted, slot.plan.clone()
 	}
-	return PlanAccepted, held.plan.clone()
+	return PlanAccepted, slot.plan.clone()
 }
 
 func (p *PlanState) promise(ballot uint64, proposer string) bool {
@@ -92,17 +92,17 @@
 	return true
 }
 
-// Accept takes a revision of the plan in. Accepting one again changes nothing.
+// Accept applies a revision of the plan and returns the promised ballot. It is idempotent.
 func (m *Member) Accept(view View, update PlanUpdate) (PlanVerdict, uint64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	held, serves := m.serving(view)
+	slot, serves := m.serving(view)
 	if !serves {
 		return PlanWrongView, 0
 	}
-	plan := &held.plan
+	plan := &slot.plan
 	if !plan.promise(update.Ballot, update.Proposer) {
-		return PlanOutbid, plan.Promised
+		return PlanPreempted, plan.Promised
 	}
 	sameBallot := plan.Ballot == update.Ballot
 	switch {
@@ -138,12 +138,12 @@
 	return messages
 }
 
-func planOf(message *rpc.PlanState) PlanState {
+func planFromWire(message *rpc.PlanState) PlanState {
 	return PlanState{Promised: message.GetPromised(), Proposer: message.GetProposer(), Ballot: message.GetBallot(),
-		Revision: message.GetRevision(), Entries: entriesOf(message.GetEntries())}
+		Revision: message.GetRevision(), Entries: entriesFromWire(message.GetEntries())}
 }
 
-func entriesOf(messages []*rpc.PlanEntry) map[string][]byte {
+func entriesFromWire(messages []*rpc.PlanEntry) map[string][]byte {
 	entries := make(map[string][]byte, len(messages))
 	for _, message := range messages {
 		entries[message.GetEngineId()] = message.GetEnginePlan()
@@ -159,21 +159,21 @@
 	return message
 }
 
-func stateOf(message *rpc.GroupState) State {
-	state := State{Plan: planOf(message.GetPlan())}
+func stateFromWire(message *rpc.GroupState) State {
+	state := State{Plan: planFromWire(message.GetPlan())}
 	for _, claim := range message.GetClaims() {
-		state.Claims = append(state.Claims, recordOf(claim))
+		state.Claims = append(state.Claims, recordFromWire(claim))
 	}
 	return state
 }
 
-// mergeStates joins what the members of a sealed quorum held.
+// mergeStates merges the states of a sealed quorum.
 func mergeStates(states []State) State {
-	claims := make([][]Record, 0, len(states))
+	claimSets := make([][]Record, 0, len(states))
 	plans := make([]PlanState, 0, len(states))
 	for _, state := range states {
-		claims = append(claims, state.Claims)
+		claimSets = append(claimSets, state.Claims)
 		plans = append(plans, state.Plan)
 	}
-	return State{Claims: merge(claims), Plan: mergePlans(plans)}
+	return State{Claims: mergeClaims(claimSets), Plan: mergePlans(plans)}
 }
--- a/group/plan_test.go
+++ b/group/plan_test.go
@@ -8,106 +8,107 @@
 	"pgregory.net/rapid"
 )
 
-// planMachine interleaves proposers, message by message, with view changes and
-// crashes. The oracle holds every revision that counted: a proposer that takes over
-// must see the newest of them, and nothing may count behind its back.
+// planMachine interleaves proposers, message by message, with view changes and crashes. It
+// checks that a proposer that takes over sees the newest committed revision, and that
+// proposers with lower ballots commit nothing afterwards that it has not seen.
 type planMachine struct {
 	*groupMachine
-	proposers []*planProposer
-	newest    PlanState // of those that counted
-	names     int
+	proposers     []*simulatedProposer
+	newest        PlanState // the newest committed plan
+	proposerCount int
 }
 
-type planProposer struct {
-	name     string
-	view     View
-	ballot   uint64
-	asked    map[string]bool
-	promises []PlanState
-	leads    bool
-	seen     PlanState // at the take-over
-	revision uint64
-	accepted int
-	over     bool
+type simulatedProposer struct {
+	name        string
+	view        View
+	ballot      uint64
+	sent        map[string]bool
+	promises    []PlanState
+	established bool
+	inherited   PlanState // plan at the take-over
+	revision    uint64
+	accepted    int
+	done        bool
 }
 
 func newPlanMachine() *planMachine {
 	return &planMachine{groupMachine: newGroupMachine()}
 }
 
-func (m *planMachine) start(t *rapid.T) {
-	m.names++
-	m.proposers = append(m.proposers, &planProposer{name: fmt.Sprintf("p%d", m.names), view: m.standing,
-		ballot: uint64(rapid.IntRange(1, 6).Draw(t, "ballot")), asked: map[string]bool{}})
+func (m *planMachine) startProposer(t *rapid.T) {
+	m.proposerCount++
+	m.proposers = append(m.proposers, &simulatedProposer{name: fmt.Sprintf("p%d", m.proposerCount), view: m.current,
+		ballot: uint64(rapid.IntRange(1, 6).Draw(t, "ballot")), sent: map[string]bool{}})
 }
 
-// step takes one proposer one message further.
-func (m *planMachine) step(t *rapid.T) {
-	var open []*planProposer
-	for _, one := range m.proposers {
-		if !one.over {
-			open = append(open, one)
+// stepProposer delivers the next message of one proposer.
+func (m *planMachine) stepProposer(t *rapid.T) {
+	var open []*simulatedProposer
+	for _, p := range m.proposers {
+		if !p.done {
+			open = append(open, p)
 		}
 	}
 	if len(open) == 0 {
 		t.Skip("no proposer")
 	}
-	one := rapid.SampledFrom(open).Draw(t, "proposer")
-	for _, member := range one.view.Members {
-		if one.asked[member.ID] {
+	p := rapid.SampledFrom(open).Draw(t, "proposer")
+	for _, member := range p.view.Members {
+		if p.sent[member.ID] {
 			continue
 		}
-		one.asked[member.ID] = true
-		if rapid.IntRange(0, 5).Draw(t, "fate") == 0 {
+		p.sent[member.ID] = true
+		if rapid.IntRange(0, 5).Draw(t, "delivery") == 0 {
 			return // lost
 		}
-		if one.leads {
-			m.accept(t, one, member)
+		if p.established {
+			m.deliverAccept(t, p, member)
 		} else {
-			m.promise(t, one, member)
+			m.deliverPromise(t, p, member)
 		}
 		return
 	}
-	// All were asked: a leader goes on to its next revision, others give up.
-	if !one.leads || one.accepted < one.view.writeQuorum() {
-		one.over = true
+	// After messages to all members an established proposer starts its next revision;
+	// others stop.
+	if !p.established || p.accepted < p.view.writeQuorum() {
+		p.done = true
 		return
 	}
-	m.next(one)
+	m.nextRevision(p)
 }
 
-func (m *planMachine) next(one *planProposer) {
-	one.revision++
-	one.accepted, one.asked = 0, map[string]bool{}
+func (m *planMachine) nextRevision(p *simulatedProposer) {
+	p.revision++
+	p.accepted, p.sent = 0, map[string]bool{}
 }
 
-func (m *planMachine) promise(t *rapid.T, one *planProposer, member GroupMember) {
-	verdict, state := m.reach(member).Promise(one.view, one.ballot, one.name)
+func (m *planMachine) deliverPromise(t *rapid.T, p *simulatedProposer, member ViewMember) {
+	verdict, state := m.lookupMember(member).Promise(p.view, p.ballot, p.name)
 	if verdict != PlanAccepted {
 		return
 	}
-	one.promises = append(one.promises, state)
-	if len(one.promises) < one.view.writeQuorum() {
+	p.promises = append(p.promises, state)
+	if len(p.promises) < p.view.writeQuorum() {
 		return
 	}
-	seen := mergePlans(one.promises)
-	require.False(t, m.newest.newer(seen), "%s took over and missed revision %d of ballot %d", one.name, m.newest.Revision, m.newest.Ballot)
-	one.leads, one.seen = true, seen
-	m.next(one)
+	inherited := mergePlans(p.promises)
+	require.False(t, m.newest.newer(inherited), "%s took over and missed revision %d of ballot %d", p.name, m.newest.Revision, m.newest.Ballot)
+	p.established, p.inherited = true, inherited
+	m.nextRevision(p)
 }
 
-func (m *planMachine) accept(t *rapid.T, one *planProposer, member GroupMember) {
-	update := PlanUpdate{Ballot: one.ballot, Proposer: one.name, Revision: one.revision, Full: true,
-		Entries: map[string][]byte{"engine": []byte(one.name)}}
-	if verdict, _ := m.reach(member).Accept(one.view, update); verdict != PlanAccepted {
+func (m *planMachine) deliverAccept(t *rapid.T, p *simulatedProposer, member ViewMember) {
+	update := PlanUpdate{Ballot: p.ballot, Proposer: p.name, Revision: p.revision, Full: true,
+		Entries: map[string][]byte{"engine": []byte(p.name)}}
+	if verdict, _ := m.lookupMember(member).Accept(p.view, update); verdict != PlanAccepted {
 		return
 	}
-	one.accepted++
-	if one.accepted == one.view.writeQuorum() {
-		state := PlanState{Ballot: one.ballot, Revision: one.revision, Entries: update.Entries, Proposer: one.name}
+	p.accepted++
+	if p.accepted == p.view.writeQuorum() {
+		state := PlanState{Ballot: p.ballot, Revision: p.revision, Entries: update.Entries, Proposer: p.name}
 		for _, later := range m.proposers {
-			missed := later.leads && later.ballot > one.ballot && state.newer(later.seen)
-			require.False(t, missed, "%s made revision %d of ballot %d count behind the back of %s", one.name, one.revision, one.ballot, later.name)
+			missed := later.established && later.ballot > p.ballot && state.newer(later.inherited)
+			require.False(t, missed, "%s committed revision %d of ballot %d unseen by %s", p.name, p.revision, p.ballot, later.name)
 		}
 		if state.newer(m.newest) {
 			m.newest = state
@@ -115,29 +116,29 @@
 	}
 }
 
-func TestPlanIsNeverLostNorForked(t *testing.T) {
+func TestCommittedPlanIsNeitherLostNorForked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newPlanMachine()
 		t.Repeat(map[string]func(*rapid.T){
-			"start": m.start, "step": m.step, "stepMore": m.step, "stepYetMore": m.step,
+			"start": m.startProposer, "step": m.stepProposer, "stepMore": m.stepProposer, "stepYetMore": m.stepProposer,
 			"startChange": m.startChange, "stepChange": m.stepChange, "changeMore": m.stepChange, "open": m.open, "crash": m.crash,
 		})
 	})
 }
 
-func TestMemberWithAGapAsksForTheWholePlan(t *testing.T) {
+func TestMemberWithMissingRevisionRequiresFullPlan(t *testing.T) {
 	m := newGroupMachine()
 	member := m.members["a"]
 	update := PlanUpdate{Ballot: 1, Proposer: "p", Revision: 2, Entries: map[string][]byte{"e2": []byte("two")}}
-	verdict, _ := member.Accept(m.standing, update)
+	verdict, _ := member.Accept(m.current, update)
 	require.Equal(t, PlanGap, verdict)
 	update.Full = true
-	verdict, _ = member.Accept(m.standing, update)
+	verdict, _ = member.Accept(m.current, update)
 	require.Equal(t, PlanAccepted, verdict)
-	verdict, _ = member.Accept(m.standing, PlanUpdate{Ballot: 1, Proposer: "p", Revision: 3, Entries: map[string][]byte{"e2": nil, "e3": []byte("three")}})
+	verdict, _ = member.Accept(m.current, PlanUpdate{Ballot: 1, Proposer: "p", Revision: 3, Entries: map[string][]byte{"e2": nil, "e3": []byte("three")}})
 	require.Equal(t, PlanAccepted, verdict)
-	_, state := member.Promise(m.standing, 1, "p")
+	_, state := member.Promise(m.current, 1, "p")
 	require.Equal(t, map[string][]byte{"e3": []byte("three")}, state.Entries)
-	verdict, _ = member.Accept(m.standing, PlanUpdate{Ballot: 1, Proposer: "q", Revision: 4})
-	require.Equal(t, PlanOutbid, verdict, "a ballot belongs to one proposer")
+	verdict, _ = member.Accept(m.current, PlanUpdate{Ballot: 1, Proposer: "q", Revision: 4})
+	require.Equal(t, PlanPreempted, verdict, "a ballot belongs to one proposer")
 }
--- a/group/quorum.go
+++ b/group/quorum.go
@@ -1,102 +1,102 @@
 package group
 
-// tally counts the members' answers to one claim. It is pure.
+// tally counts the members' responses to one claim or lookup.
 type tally struct {
 	view      View
 	accepted  int
-	standing  []Record
+	existing  []Record
 	wrongView int
-	failed    int // no answer: the member may hold the claim or not
+	failed    int // calls without a response: the member may or may not have stored the claim
 }
 
-// decision is what a tally says so far.
+// decision is the result of a tally.
 type decision int
 
 const (
 	undecided decision = iota
-	// counted: a write quorum holds the claim; no other can count.
-	counted
-	// taken: it can no longer count because another claim stands.
-	taken
-	// stale: the view is not served any more.
-	stale
-	// unreachable: too few members answer.
+	// committed means that a write quorum stores the claim; no other can be committed.
+	committed
+	// conflicting means that another record of the key prevents the claim.
+	conflicting
+	// staleView means that members no longer serve the view.
+	staleView
+	// unreachable means that too few members responded.
 	unreachable
 )
 
-func (t *tally) add(verdict Verdict, standing Record, err error) {
+func (t *tally) add(verdict Verdict, existing Record, err error) {
 	switch {
 	case err != nil:
 		t.failed++
 	case verdict == Accepted:
 		t.accepted++
 	case verdict == Standing:
-		t.standing = append(t.standing, standing)
+		t.existing = append(t.existing, existing)
 	default:
 		t.wrongView++
 	}
 }
 
-// decide tells as soon as the answers still missing cannot change it.
+// decide returns the result as soon as outstanding responses cannot change it.
 func (t *tally) decide() decision {
 	quorum := t.view.writeQuorum()
 	if t.accepted >= quorum {
-		return counted
+		return committed
 	}
-	answered := t.accepted + len(t.standing) + t.wrongView + t.failed
-	missing := len(t.view.Members) - answered
-	if t.accepted+missing >= quorum {
+	answered := t.accepted + len(t.existing) + t.wrongView + t.failed
+	outstanding := len(t.view.Members) - answered
+	if t.accepted+outstanding >= quorum {
 		return undecided
 	}
 	switch {
-	case missing > 0:
-		return undecided // the reason is clearer with all answers
-	case len(t.standing) > 0:
-		return taken
+	case outstanding > 0:
+		return undecided // the remaining responses determine the reason
+	case len(t.existing) > 0:
+		return conflicting
 	case t.wrongView > 0:
-		return stale
+		return staleView
 	}
 	return unreachable
 }
 
-// strongest returns the standing record that says most.
-func (t *tally) strongest() Record {
-	best := t.standing[0]
-	for _, record := range t.standing[1:] {
-		if record.State > best.State {
-			best = record
+// mostAdvanced returns the existing record with the highest state.
+func (t *tally) mostAdvanced() Record {
+	latest := t.existing[0]
+	for _, record := range t.existing[1:] {
+		if record.State > latest.State {
+			latest = record
 		}
 	}
-	return best
+	return latest
 }
 
-// merge joins what the members of a sealed quorum held. Of one claim the newest
-// state is kept. Where two claims of one key met, either may have counted with a
-// member that was not reached: the key is unsettled.
-func merge(held [][]Record) []Record {
+// mergeClaims merges the records of a sealed quorum and keeps the newest state of each
+// claim. If two requests claimed a key, either may have been committed with a member
+// that did not respond, so the key becomes Indeterminate.
+func mergeClaims(recordSets [][]Record) []Record {
 	merged := map[string]Record{}
 	var order []string
-	for _, records := range held {
+	for _, records := range recordSets {
 		for _, record := range records {
-			known, found := merged[record.Key]
+			existing, found := merged[record.Key]
 			switch {
 			case !found:
 				merged[record.Key] = record
 				order = append(order, record.Key)
-			case known.State == Completed:
+			case existing.State == Completed:
 			case record.State == Completed:
 				merged[record.Key] = record
-			case known.RequestID != record.RequestID:
-				known.State = Unsettled
-				merged[record.Key] = known
-			case record.State > known.State:
+			case existing.RequestID != record.RequestID:
+				existing.State = Indeterminate
+				merged[record.Key] = existing
+			case record.State > existing.State:
 				merged[record.Key] = record
 			}
 		}
 	}
-	all := make([]Record, 0, len(order))
+	claims := make([]Record, 0, len(order))
 	for _, key := range order {
-		all = append(all, merged[key])
+		claims = append(claims, merged[key])
 	}
-	return all
+	return claims
 }
--- a/group/record.go
+++ b/group/record.go
@@ -12,60 +12,61 @@
 )
 
 const (
-	// Kept is how long a claim and its outcome are kept after the claim had to be
-	// settled.
-	Kept = time.Hour
-	// maxOutcomeBytes bounds a stored answer; of a longer one only the fact that
-	// it completed is kept.
-	maxOutcomeBytes = 256 << 10
+	// ClaimRetention is how long a claim and its outcome are stored after its settle
+	// deadline.
+	ClaimRetention = time.Hour
+	// maxStoredBodyBytes bounds the body of a stored response before compression; a longer
+	// body is dropped.
+	maxStoredBodyBytes = 256 << 10
 )
 
-// ClaimState is the state of a claim.
+// ClaimState is the progress of a claim. Of two records of one claim, the one with the
+// higher state is newer.
 type ClaimState uint32
 
-// The states. Of two records of one claim the higher state is the newer.
+// States of claims.
 const (
 	Claimed ClaimState = iota
-	// Unsettled means that the request may have run and its outcome is not known.
-	Unsettled
+	// Indeterminate means that the request may have run and its outcome is unknown.
+	Indeterminate
 	Completed
 )
 
-// Outcome is an answer as it was given.
+// Outcome is the response to a keyed request.
 type Outcome struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// Dropped says that the body was too long, or too much with others, to keep.
+	// Dropped reports that the body is not stored because of a size limit.
 	Dropped bool
 }
 
-// Record is a claim with what is known of its outcome.
+// Record is a claim and its outcome, if known.
 type Record struct {
-	Key         string // as hashed by HashKey
+	Key         string // result of HashKey
 	State       ClaimState
 	RequestID   string // unique to the claim
-	Fingerprint string // of what was asked
+	Fingerprint string // of the request's content
 	ClaimedAt   time.Time
-	// SettledBy is when the outcome is stored at the latest; a claim without one
-	// after that is unsettled.
-	SettledBy time.Time
-	Outcome   Outcome
+	// SettleDeadline is the latest time to store the outcome; a claim without one is
+	// Indeterminate after it.
+	SettleDeadline time.Time
+	Outcome        Outcome
 }
 
-// settled returns the record as it stands at a time.
-func (r Record) settled(now time.Time) Record {
-	if r.State == Claimed && now.After(r.SettledBy) {
-		r.State = Unsettled
+// asOf returns the record with its state at the given time.
+func (r Record) asOf(now time.Time) Record {
+	if r.State == Claimed && now.After(r.SettleDeadline) {
+		r.State = Indeterminate
 	}
 	return r
 }
 
-// expired tells whether the record need not be kept any more.
-func (r Record) expired(now time.Time) bool { return now.Sub(r.SettledBy) > Kept }
+// expired reports whether the record is past its retention.
+func (r Record) expired(now time.Time) bool { return now.Sub(r.SettleDeadline) > ClaimRetention }
 
-// Fingerprint identifies what a request asks, so that a key cannot be used for
-// something else.
+// Fingerprint hashes the content of a request. It detects the reuse of a key for a
+// different request.
 func Fingerprint(parts ...[]byte) string {
 	hash := sha256.New()
 	for _, part := range parts {
@@ -75,10 +76,10 @@
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// HashKey returns the form in which a branch's key is held.
+// HashKey returns the hash under which a branch's key is stored.
 func HashKey(branch, key string) string { return Fingerprint([]byte(branch), []byte(key)) }
 
-// KeyTime returns when a key was made, if it carries that (UUID version 7).
+// KeyTime returns the creation time of a key that contains it (UUID version 7).
 func KeyTime(key string) (time.Time, bool) {
 	const timeOrdered = 7
 	parsed, err := uuid.Parse(key)
@@ -86,8 +87,8 @@
 		return time.Time{}, false
 	}
 	milliseconds := int64(0)
-	for _, octet := range parsed[:6] {
-		milliseconds = milliseconds<<8 | int64(octet)
+	for _, b := range parsed[:6] {
+		milliseconds = milliseconds<<8 | int64(b)
 	}
 	return time.UnixMilli(milliseconds), true
 }
@@ -95,7 +96,7 @@
 func (r Record) wire() *rpc.ClaimRecord {
 	message := &rpc.ClaimRecord{
 		Key: r.Key, State: uint32(r.State), RequestId: r.RequestID, Fingerprint: r.Fingerprint,
-		ClaimedUnixMs: r.ClaimedAt.UnixMilli(), SettledByUnixMs: r.SettledBy.UnixMilli(),
+		ClaimedUnixMs: r.ClaimedAt.UnixMilli(), SettledByUnixMs: r.SettleDeadline.UnixMilli(),
 	}
 	if r.State == Completed {
 		message.Status, message.ContentType, message.BodyDropped = int32(r.Outcome.Status), r.Outcome.ContentType, r.Outcome.Dropped
@@ -106,19 +107,20 @@
 	return message
 }
 
-// recordOf reads a message; bodies stay compressed in records.
-func recordOf(message *rpc.ClaimRecord) Record {
+// recordFromWire converts a message to a record, whose body stays compressed.
+func recordFromWire(message *rpc.ClaimRecord) Record {
 	return Record{
 		Key: message.GetKey(), State: ClaimState(message.GetState()), RequestID: message.GetRequestId(), Fingerprint: message.GetFingerprint(),
-		ClaimedAt: time.UnixMilli(message.GetClaimedUnixMs()), SettledBy: time.UnixMilli(message.GetSettledByUnixMs()),
+		ClaimedAt: time.UnixMilli(message.GetClaimedUnixMs()), SettleDeadline: time.UnixMilli(message.GetSettledByUnixMs()),
 		Outcome: Outcome{Status: int(message.GetStatus()), ContentType: message.GetContentType(), Body: message.GetBodyGzip(),
 			Dropped: message.GetBodyDropped()},
 	}
 }
 
-// compressed returns the outcome as it is held.
-func (o Outcome) compressed() Outcome {
-	if len(o.Body) > maxOutcomeBytes {
+// compress returns the outcome as it is stored: the body compressed, or dropped if too
+// long.
+func (o Outcome) compress() Outcome {
+	if len(o.Body) > maxStoredBodyBytes {
 		o.Body, o.Dropped = nil, true
 		return o
 	}
@@ -126,12 +128,12 @@
 	return o
 }
 
-// plain is the reverse of compressed.
-func (o Outcome) plain() (Outcome, error) {
+// decompress is the reverse of compress.
+func (o Outcome) decompress() (Outcome, error) {
 	if o.Dropped {
 		return o, nil
 	}
-	body, err := gzipped.Decompress(o.Body, maxOutcomeBytes)
+	body, err := gzipped.Decompress(o.Body, maxStoredBodyBytes)
 	o.Body = body
 	return o, err
 }
--- a/group/register.go
+++ b/group/register.go
@@ -10,113 +10,114 @@
 	"github.com/finchspoke/finchspoke/transport"
 )
 
-// ErrOutbid means that another proposer has taken the plan over, or the group has
-// changed: this proposer's term is over.
-var ErrOutbid = errors.New("another proposer has taken the plan over, or its group has changed")
+// ErrPreempted means that another proposer has taken over the plan or the group's view
+// has changed. The term of this proposer has ended.
+var ErrPreempted = errors.New("another proposer has taken over the plan, or the view of its group has changed")
 
-// ErrNoQuorum means that too few members answered: it is not known whether the
-// revision counts. The same revision may be proposed again.
-var ErrNoQuorum = errors.New("too few members of the plan's group answer")
+// ErrNoQuorum means that too few members responded, so the revision may or may not be
+// committed. The same revision may be proposed again.
+var ErrNoQuorum = errors.New("too few members of the plan's group responded")
 
-// Register is a proposer's hold on a region's plan, for one term. It is used by
-// one goroutine at a time.
+// Register proposes revisions of a region's plan to its group during one term. It is
+// not safe for concurrent use.
 type Register struct {
-	directory
+	groupClient
 	slot     SlotKey
 	proposer string
 	view     View
 	ballot   uint64
 }
 
-// NewRegister returns a register that has not been taken over yet. proposer is
+// NewRegister returns a register without a term; TakeOver begins one. proposer must be
 // unique to the process.
 func NewRegister(members func() *membership.View, pool *transport.Pool, region, proposer string) *Register {
-	return &Register{directory: newDirectory(members, pool), slot: PlanKey(region), proposer: proposer}
+	return &Register{groupClient: newGroupClient(members, pool), slot: PlanKey(region), proposer: proposer}
 }
 
-// TakeOver begins a term: a write quorum promises a new ballot, at least floor, and
-// hands over what it holds. The result's Ballot is zero where there was no plan.
-// Every revision that ever counted in the group's memory is in it.
-func (r *Register) TakeOver(ctx context.Context, floor uint64) (ballot uint64, plan PlanState, err error) {
-	r.dropView(r.slot)
-	r.view, err = r.directory.view(ctx, r.slot)
+// TakeOver begins a term with a new ballot of at least floor. It returns the ballot and
+// the latest plan of a write quorum that promised it, which contains every committed
+// revision; the plan's Ballot is zero if there is no plan.
+func (p *Register) TakeOver(ctx context.Context, floor uint64) (ballot uint64, plan PlanState, err error) {
+	p.dropView(p.slot)
+	p.view, err = p.groupClient.view(ctx, p.slot)
 	if err != nil {
 		return 0, PlanState{}, err
 	}
-	r.ballot = max(r.ballot+1, floor)
-	const tries = 3
-	for range tries {
-		states, highest := r.promise(ctx)
-		if len(states) >= r.view.writeQuorum() {
-			return r.ballot, mergePlans(states), nil
+	p.ballot = max(p.ballot+1, floor)
+	const attempts = 3
+	for range attempts {
+		states, highestPromised := p.requestPromises(ctx)
+		if len(states) >= p.view.writeQuorum() {
+			return p.ballot, mergePlans(states), nil
 		}
-		if highest < r.ballot {
-			return 0, PlanState{}, errors.Wrapf(ErrNoQuorum, "%d of %d promised", len(states), len(r.view.Members))
+		if highestPromised < p.ballot {
+			return 0, PlanState{}, errors.Wrapf(ErrNoQuorum, "%d of %d members promised", len(states), len(p.view.Members))
 		}
-		r.ballot = highest + 1
+		p.ballot = highestPromised + 1
 	}
-	return 0, PlanState{}, ErrOutbid
+	return 0, PlanState{}, ErrPreempted
 }
 
-// promise asks all members to promise the ballot.
-func (r *Register) promise(ctx context.Context) (promised []PlanState, highest uint64) {
-	for _, answer := range fanOut(r.view.Members, func(member GroupMember) *rpc.PlanAnswer {
-		answer, err := r.client(ctx, member).Promise(withTimeout(ctx), &rpc.PromiseRequest{
-			View: r.view.wire(), Ballot: r.ballot, Proposer: r.proposer})
+// requestPromises requests a promise of the ballot from all members. It returns the
+// plans of those that promised and the highest ballot promised by any.
+func (p *Register) requestPromises(ctx context.Context) (promised []PlanState, highestPromised uint64) {
+	for _, response := range fanOut(p.view.Members, func(member ViewMember) *rpc.PlanAnswer {
+		response, err := p.memberClient(ctx, member).Promise(withCallTimeout(ctx), &rpc.PromiseRequest{
+			View: p.view.wire(), Ballot: p.ballot, Proposer: p.proposer})
 		if err != nil {
 			return nil
 		}
-		return answer
+		return response
 	}) {
-		if answer == nil {
+		if response == nil {
 			continue
 		}
-		state := planOf(answer.GetState())
-		highest = max(highest, state.Promised)
-		if PlanVerdict(answer.GetVerdict()) == PlanAccepted {
+		state := planFromWire(response.GetState())
+		highestPromised = max(highestPromised, state.Promised)
+		if PlanVerdict(response.GetVerdict()) == PlanAccepted {
 			promised = append(promised, state)
 		}
 	}
-	return promised, highest
+	return promised, highestPromised
 }
 
-// Propose makes a revision of the plan count. changes are against the revision
-// before; whole is the whole plan, for members that lack that revision. After
-// ErrNoQuorum the same revision, and no other, may be proposed again.
-func (r *Register) Propose(ctx context.Context, revision uint64, changes, whole map[string][]byte) error {
-	verdicts := fanOut(r.view.Members, func(member GroupMember) PlanVerdict {
-		verdict, err := r.accept(ctx, member, revision, false, changes)
+// Propose commits a revision of the plan. changes holds the difference from the previous
+// revision, full the complete plan for members that lack it. After ErrNoQuorum only the
+// same revision may be proposed again.
+func (p *Register) Propose(ctx context.Context, revision uint64, changes, full map[string][]byte) error {
+	verdicts := fanOut(p.view.Members, func(member ViewMember) PlanVerdict {
+		verdict, err := p.requestAccept(ctx, member, revision, false, changes)
 		if err == nil && verdict == PlanGap {
-			verdict, err = r.accept(ctx, member, revision, true, whole)
+			verdict, err = p.requestAccept(ctx, member, revision, true, full)
 		}
 		if err != nil {
 			return noAnswer
 		}
 		return verdict
 	})
-	accepted, silent := 0, 0
+	accepted, unanswered := 0, 0
 	for _, verdict := range verdicts {
 		switch verdict {
 		case PlanAccepted:
 			accepted++
 		case noAnswer:
-			silent++
+			unanswered++
 		}
 	}
 	switch {
-	case accepted >= r.view.writeQuorum():
+	case accepted >= p.view.writeQuorum():
 		return nil
-	case accepted+silent >= r.view.writeQuorum():
-		return errors.Wrapf(ErrNoQuorum, "%d of %d accepted", accepted, len(r.view.Members))
+	case accepted+unanswered >= p.view.writeQuorum():
+		return errors.Wrapf(ErrNoQuorum, "%d of %d members accepted", accepted, len(p.view.Members))
 	}
-	return ErrOutbid
+	return ErrPreempted
 }
 
-// noAnswer stands for a call that failed.
+// noAnswer represents a call that failed.
 const noAnswer = PlanVerdict(^uint32(0))
 
-func (r *Register) accept(ctx context.Context, member GroupMember, revision uint64, full bool, entries map[string][]byte) (PlanVerdict, error) {
-	answer, err := r.client(ctx, member).Accept(withTimeout(ctx), &rpc.AcceptRequest{
-		View: r.view.wire(), Ballot: r.ballot, Proposer: r.proposer, Revision: revision, Full: full, Entries: wireEntries(entries)})
-	return PlanVerdict(answer.GetVerdict()), err
+func (p *Register) requestAccept(ctx context.Context, member ViewMember, revision uint64, full bool, entries map[string][]byte) (PlanVerdict, error) {
+	response, err := p.memberClient(ctx, member).Accept(withCallTimeout(ctx), &rpc.AcceptRequest{
+		View: p.view.wire(), Ballot: p.ballot, Proposer: p.proposer, Revision: revision, Full: full, Entries: wireEntries(entries)})
+	return PlanVerdict(response.GetVerdict()), err
 }
--- a/group/service.go
+++ b/group/service.go
@@ -7,88 +7,87 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// Service serves the Groups rpc of a daemon: its part as a member, and the views
-// of the slots that it leads.
+// Service implements the Groups rpc of a daemon with its Member and its Manager.
 type Service struct {
 	member  *Member
 	manager *Manager
 }
 
-// NewService returns the service of a daemon's member and manager.
+// NewService returns the service for a daemon's member and manager.
 func NewService(member *Member, manager *Manager) *Service {
 	return &Service{member: member, manager: manager}
 }
 
 // Claim implements the Groups rpc.
-func (s *Service) Claim(_ context.Context, ask *rpc.ClaimRequest) (*rpc.ClaimAnswer, error) {
-	view := viewOf(ask.GetView())
-	verdict, standing := s.member.Claim(time.Now(), view, recordOf(ask.GetRecord()))
-	return claimAnswer(verdict, standing), nil
+func (s *Service) Claim(_ context.Context, request *rpc.ClaimRequest) (*rpc.ClaimAnswer, error) {
+	view := viewFromWire(request.GetView())
+	verdict, existing := s.member.Claim(time.Now(), view, recordFromWire(request.GetRecord()))
+	return claimResponse(verdict, existing), nil
 }
 
 // Look implements the Groups rpc.
-func (s *Service) Look(_ context.Context, ask *rpc.LookRequest) (*rpc.ClaimAnswer, error) {
-	view := viewOf(ask.GetView())
-	verdict, standing := s.member.Look(time.Now(), view, ask.GetKey())
-	return claimAnswer(verdict, standing), nil
+func (s *Service) Look(_ context.Context, request *rpc.LookRequest) (*rpc.ClaimAnswer, error) {
+	view := viewFromWire(request.GetView())
+	verdict, existing := s.member.Look(time.Now(), view, request.GetKey())
+	return claimResponse(verdict, existing), nil
 }
 
-func claimAnswer(verdict Verdict, standing Record) *rpc.ClaimAnswer {
-	answer := &rpc.ClaimAnswer{Verdict: uint32(verdict)}
+func claimResponse(verdict Verdict, existing Record) *rpc.ClaimAnswer {
+	response := &rpc.ClaimAnswer{Verdict: uint32(verdict)}
 	if verdict == Standing {
-		answer.Standing = standing.wire()
+		response.Standing = existing.wire()
 	}
-	return answer
+	return response
 }
 
 // Withdraw implements the Groups rpc.
-func (s *Service) Withdraw(_ context.Context, ask *rpc.WithdrawRequest) (*rpc.GroupAnswer, error) {
-	return &rpc.GroupAnswer{Ok: s.member.Withdraw(viewOf(ask.GetView()), ask.GetKey(), ask.GetRequestId())}, nil
+func (s *Service) Withdraw(_ context.Context, request *rpc.WithdrawRequest) (*rpc.GroupAnswer, error) {
+	return &rpc.GroupAnswer{Ok: s.member.Withdraw(viewFromWire(request.GetView()), request.GetKey(), request.GetRequestId())}, nil
 }
 
 // Settle implements the Groups rpc.
-func (s *Service) Settle(_ context.Context, ask *rpc.SettleRequest) (*rpc.GroupAnswer, error) {
-	return &rpc.GroupAnswer{Ok: s.member.Settle(time.Now(), viewOf(ask.GetView()), recordOf(ask.GetRecord()))}, nil
+func (s *Service) Settle(_ context.Context, request *rpc.SettleRequest) (*rpc.GroupAnswer, error) {
+	return &rpc.GroupAnswer{Ok: s.member.Settle(time.Now(), viewFromWire(request.GetView()), recordFromWire(request.GetRecord()))}, nil
 }
 
 // Promise implements the Groups rpc.
-func (s *Service) Promise(_ context.Context, ask *rpc.PromiseRequest) (*rpc.PlanAnswer, error) {
-	view := viewOf(ask.GetView())
-	verdict, state := s.member.Promise(view, ask.GetBallot(), ask.GetProposer())
+func (s *Service) Promise(_ context.Context, request *rpc.PromiseRequest) (*rpc.PlanAnswer, error) {
+	view := viewFromWire(request.GetView())
+	verdict, state := s.member.Promise(view, request.GetBallot(), request.GetProposer())
 	return &rpc.PlanAnswer{Verdict: uint32(verdict), State: state.wire()}, nil
 }
 
 // Accept implements the Groups rpc.
-func (s *Service) Accept(_ context.Context, ask *rpc.AcceptRequest) (*rpc.PlanAnswer, error) {
-	view := viewOf(ask.GetView())
-	verdict, promised := s.member.Accept(view, PlanUpdate{Ballot: ask.GetBallot(), Proposer: ask.GetProposer(),
-		Revision: ask.GetRevision(), Full: ask.GetFull(), Entries: entriesOf(ask.GetEntries())})
+func (s *Service) Accept(_ context.Context, request *rpc.AcceptRequest) (*rpc.PlanAnswer, error) {
+	view := viewFromWire(request.GetView())
+	verdict, promised := s.member.Accept(view, PlanUpdate{Ballot: request.GetBallot(), Proposer: request.GetProposer(),
+		Revision: request.GetRevision(), Full: request.GetFull(), Entries: entriesFromWire(request.GetEntries())})
 	return &rpc.PlanAnswer{Verdict: uint32(verdict), State: &rpc.PlanState{Promised: promised}}, nil
 }
 
 // Seal implements the Groups rpc.
-func (s *Service) Seal(_ context.Context, ask *rpc.SealRequest) (*rpc.SealAnswer, error) {
-	state, held, gone := s.member.Seal(viewOf(ask.GetView()), ask.GetProcess())
-	answer := &rpc.SealAnswer{Held: held, Gone: gone}
+func (s *Service) Seal(_ context.Context, request *rpc.SealRequest) (*rpc.SealAnswer, error) {
+	state, held, gone := s.member.Seal(viewFromWire(request.GetView()), request.GetProcess())
+	response := &rpc.SealAnswer{Held: held, Gone: gone}
 	if held {
-		answer.State = state.wire()
+		response.State = state.wire()
 	}
-	return answer, nil
+	return response, nil
 }
 
 // Install implements the Groups rpc.
-func (s *Service) Install(_ context.Context, ask *rpc.InstallRequest) (*rpc.GroupAnswer, error) {
-	return &rpc.GroupAnswer{Ok: s.member.Install(viewOf(ask.GetView()), stateOf(ask.GetState()))}, nil
+func (s *Service) Install(_ context.Context, request *rpc.InstallRequest) (*rpc.GroupAnswer, error) {
+	return &rpc.GroupAnswer{Ok: s.member.Install(viewFromWire(request.GetView()), stateFromWire(request.GetState()))}, nil
 }
 
 // Open implements the Groups rpc.
-func (s *Service) Open(_ context.Context, ask *rpc.OpenRequest) (*rpc.GroupAnswer, error) {
-	return &rpc.GroupAnswer{Ok: s.member.Open(viewOf(ask.GetView()))}, nil
+func (s *Service) Open(_ context.Context, request *rpc.OpenRequest) (*rpc.GroupAnswer, error) {
+	return &rpc.GroupAnswer{Ok: s.member.Open(viewFromWire(request.GetView()))}, nil
 }
 
 // View implements the Groups rpc.
-func (s *Service) View(ctx context.Context, ask *rpc.ViewRequest) (*rpc.ViewAnswer, error) {
-	view, err := s.manager.View(ctx, SlotKey{ask.GetRegion(), ask.GetSlot()})
+func (s *Service) View(ctx context.Context, request *rpc.ViewRequest) (*rpc.ViewAnswer, error) {
+	view, err := s.manager.View(ctx, SlotKey{request.GetRegion(), request.GetSlot()})
 	if err != nil {
 		return nil, err
 	}
