--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -143,7 +143,7 @@
 	}
 	sort.Slice(status.Queues, func(i, j int) bool { return status.Queues[i].Model < status.Queues[j].Model })
 	for _, member := range d.members.View().Members {
-		heard := d.members.HeardRevision(member.ID)
+		heard := d.members.MemberRevision(member.ID)
 		if member.ID == self.ID {
 			heard = d.settings.Number()
 		}
--- a/membership/core.go
+++ b/membership/core.go
@@ -1,10 +1,9 @@
-// Package membership keeps each daemon's view of which daemons are alive, by
-// probing over UDP in the manner of SWIM: each interval a daemon probes one
-// member, asks others to probe it before suspecting it, and spreads what it
-// learns on the packets it sends anyway. The cost of an interval does not grow
-// with the number of members.
+// Package membership detects which daemons are alive with the SWIM protocol over UDP.
+// In each interval a daemon probes one member, directly and then through others, and
+// piggybacks membership updates on its packets. The cost of an interval does not depend
+// on the number of members.
 //
-// Core is the pure state machine; Service runs it on sockets and a clock.
+// Core is the state machine without I/O; Service runs it on a socket and a clock.
 package membership
 
 import (
@@ -17,10 +16,11 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// Status of a member. Of two claims with one incarnation the higher wins.
+// Status is the state of a member. Of two reports with the same incarnation, the one
+// with the higher status takes precedence.
 type Status uint32
 
-// The statuses.
+// Statuses of members.
 const (
 	Alive Status = iota
 	Suspect
@@ -33,46 +33,46 @@
 	return [...]string{"alive", "suspect", "dead", "left"}[min(s, Left)]
 }
 
-// PacketKind is the kind of a packet.
+// PacketKind is the type of a gossip packet.
 type PacketKind uint32
 
-// The kinds of packets.
+// Kinds of packets.
 const (
 	Ping PacketKind = iota + 1
 	Ack
 	PingRequest
-	// Announce carries news without asking for an answer.
+	// Announce carries updates and is not acknowledged.
 	Announce
 )
 
-// Member is a daemon as others know it.
+// Member describes a daemon to the other members.
 type Member struct {
 	ID            string
 	RPCAddress    string // host:port, TCP
 	GossipAddress string // host:port, UDP
 	Region        string
 	Zone          string
-	Process       uint64 // start of the process; a restart has a higher one
-	Incarnation   uint64 // only the member itself raises it
+	Process       uint64 // start time in Unix milliseconds; identifies one run of the daemon
+	Incarnation   uint64 // raised only by the member itself
 	Status        Status
-	Since         time.Time // of the status, by this daemon's clock
+	StatusSince   time.Time // by this daemon's clock
 }
 
-// Running tells whether the member can be given work.
+// Running reports whether the member is considered to be up.
 func (m Member) Running() bool { return m.Status == Alive || m.Status == Suspect }
 
-// Config is the timing of the protocol.
+// Config holds the parameters of the protocol.
 type Config struct {
 	ProbeInterval    time.Duration
-	ProbeTimeout     time.Duration // before others are asked to probe
-	SuspicionTimeout time.Duration // before a suspect is dead
-	IndirectProbes   int           // members asked to probe
-	// ForgetAfter is how long the dead are remembered, so that old news of them
-	// alive is not believed.
+	ProbeTimeout     time.Duration // until indirect probes are sent
+	SuspicionTimeout time.Duration // until a suspect is declared dead
+	IndirectProbes   int           // members that probe on this daemon's behalf
+	// ForgetAfter is how long dead members are retained, so that outdated updates do not
+	// revive them.
 	ForgetAfter time.Duration
 }
 
-// DefaultConfig is for a production network.
+// DefaultConfig returns the parameters for a production network.
 func DefaultConfig() Config {
 	return Config{
 		ProbeInterval:    time.Second,
@@ -83,40 +83,40 @@
 	}
 }
 
-// Envelope is a packet to send.
+// Envelope is a packet and the address to send it to.
 type Envelope struct {
 	Address string
 	Packet  *rpc.Packet
 }
 
 const (
-	// updatesPerPacket keeps a packet within one datagram.
+	// updatesPerPacket keeps a packet within one unfragmented datagram.
 	updatesPerPacket = 6
-	// spreadFactor times log2 of the members is how often news is passed on.
-	spreadFactor = 3
-	// announceFanout is how many members hear urgent news at once.
+	// retransmitFactor times log2 of the number of members is how often an update is sent.
+	retransmitFactor = 3
+	// announceFanout is how many random members receive an announcement.
 	announceFanout = 3
-	// announceTicks is for how many ticks it is repeated to others.
-	announceTicks = 3
+	// announceRepeats is how many ticks repeat an announcement to other random members.
+	announceRepeats = 3
 )
 
 // Core is the state machine. It is not safe for concurrent use.
 type Core struct {
-	config   Config
-	random   *rand.Rand
-	self     Member
-	members  map[string]*Member // others, by id
-	order    []string           // probe order, reshuffled each round
-	sequence uint64
-	probes   map[uint64]*probe
-	relays   map[uint64]relay // probes made for others, by own sequence
-	news     map[string]*update
-	nextTick time.Time
-	revision uint64 // of the settings in force here
-	heard    map[string]uint64
-	changed  bool
-	// announcements are the ticks in which urgent news is still repeated.
-	announcements int
+	config          Config
+	rng             *rand.Rand
+	self            Member
+	members         map[string]*Member // others, by id
+	order           []string           // probe order, reshuffled each round
+	sequence        uint64
+	probes          map[uint64]*probe
+	relays          map[uint64]relay // probes on behalf of others, by own sequence
+	updateQueue     map[string]*queuedUpdate
+	nextTick        time.Time
+	revision        uint64 // of the settings in effect here
+	memberRevisions map[string]uint64
+	changed         bool
+	// announcementsLeft counts the ticks that still repeat the announcement.
+	announcementsLeft int
 }
 
 type probe struct {
@@ -131,28 +131,28 @@
 	sentAt   time.Time
 }
 
-type update struct {
-	member Member
-	sent   int
+type queuedUpdate struct {
+	member    Member
+	sendCount int
 }
 
-// NewCore returns a core for a daemon; self's incarnation must be higher than in
-// any earlier process of the same id.
-func NewCore(config Config, self Member, random *rand.Rand) *Core {
+// NewCore returns a core for the daemon self, whose incarnation must be higher than in any
+// earlier process with the same id.
+func NewCore(config Config, self Member, rng *rand.Rand) *Core {
 	self.Status = Alive
 	core := &Core{
-		config: config, random: random, self: self, members: map[string]*Member{},
-		probes: map[uint64]*probe{}, relays: map[uint64]relay{}, news: map[string]*update{},
-		heard: map[string]uint64{}, changed: true,
+		config: config, rng: rng, self: self, members: map[string]*Member{},
+		probes: map[uint64]*probe{}, relays: map[uint64]relay{}, updateQueue: map[string]*queuedUpdate{},
+		memberRevisions: map[string]uint64{}, changed: true,
 	}
-	core.spread(self)
+	core.enqueueUpdate(self)
 	return core
 }
 
 // Self returns this daemon as a member.
 func (c *Core) Self() Member { return c.self }
 
-// Members returns all members known, this daemon included, sorted by id.
+// Members returns all known members including this daemon, sorted by id.
 func (c *Core) Members() []Member {
 	members := []Member{c.self}
 	for _, member := range c.members {
@@ -162,53 +162,54 @@
 	return members
 }
 
-// TakeChanged tells whether the members changed since it was last asked.
+// TakeChanged reports whether the members changed since the last call.
 func (c *Core) TakeChanged() bool {
 	changed := c.changed
 	c.changed = false
 	return changed
 }
 
-// HeardRevision is the settings revision last heard from a member.
-func (c *Core) HeardRevision(memberID string) uint64 { return c.heard[memberID] }
+// MemberRevision returns the highest settings revision received from a member.
+func (c *Core) MemberRevision(memberID string) uint64 { return c.memberRevisions[memberID] }
 
-// SetRevision tells the members, a few at once, of new settings in force here.
+// SetRevision records the settings revision in effect here and announces a newer one to
+// random members.
 func (c *Core) SetRevision(revision uint64) []Envelope {
 	if revision <= c.revision {
 		return nil
 	}
 	c.revision = revision
-	c.announcements = announceTicks
+	c.announcementsLeft = announceRepeats
 	return c.announce()
 }
 
-// announce sends news to a few random members without waiting for the interval.
+// announce sends pending updates to random members without waiting for the next probe.
 func (c *Core) announce() []Envelope {
 	var envelopes []Envelope
-	for _, member := range c.pick(announceFanout, "") {
-		envelopes = append(envelopes, c.envelope(member.GossipAddress, &rpc.Packet{Kind: uint32(Announce)}))
+	for _, member := range c.pickRandom(announceFanout, "") {
+		envelopes = append(envelopes, c.newEnvelope(member.GossipAddress, &rpc.Packet{Kind: uint32(Announce)}))
 	}
 	return envelopes
 }
 
-// Leave makes this daemon say that it leaves, and returns the news to send.
+// Leave marks this daemon as left and returns the announcements to send.
 func (c *Core) Leave(now time.Time) []Envelope {
 	c.self.Incarnation++
 	c.self.Status = Left
-	c.self.Since = now
+	c.self.StatusSince = now
 	c.changed = true
-	c.spread(c.self)
-	c.announcements = announceTicks
+	c.enqueueUpdate(c.self)
+	c.announcementsLeft = announceRepeats
 	return c.announce()
 }
 
-// Tick drives time on: probes that are late, suspects that are overdue, and the
-// next probe.
+// Tick processes probe and suspicion timeouts, repeats announcements and sends the next
+// probe when the interval has passed.
 func (c *Core) Tick(now time.Time) []Envelope {
-	envelopes := c.lateProbes(now)
-	c.overdue(now)
-	if c.announcements > 0 {
-		c.announcements--
+	envelopes := c.handleLateProbes(now)
+	c.expireMembers(now)
+	if c.announcementsLeft > 0 {
+		c.announcementsLeft--
 		envelopes = append(envelopes, c.announce()...)
 	}
 	if now.Before(c.nextTick) {
@@ -218,15 +219,15 @@
 	if c.self.Status == Left {
 		return envelopes
 	}
-	if target := c.nextTarget(); target != nil {
+	if target := c.nextProbeTarget(); target != nil {
 		c.sequence++
 		c.probes[c.sequence] = &probe{memberID: target.ID, sentAt: now}
-		envelopes = append(envelopes, c.envelope(target.GossipAddress, &rpc.Packet{Kind: uint32(Ping), Sequence: c.sequence}))
+		envelopes = append(envelopes, c.newEnvelope(target.GossipAddress, &rpc.Packet{Kind: uint32(Ping), Sequence: c.sequence}))
 	}
 	return envelopes
 }
 
-func (c *Core) lateProbes(now time.Time) []Envelope {
+func (c *Core) handleLateProbes(now time.Time) []Envelope {
 	var envelopes []Envelope
 	for _, sequence := range sortedKeys(c.probes) {
 		pending := c.probes[sequence]
@@ -238,12 +239,12 @@
 		case age >= c.config.ProbeInterval:
 			delete(c.probes, sequence)
 			if target.Status == Alive {
-				c.adopt(target, Suspect, target.Incarnation, now)
+				c.setStatus(target, Suspect, target.Incarnation, now)
 			}
 		case age >= c.config.ProbeTimeout && !pending.indirect:
 			pending.indirect = true
-			for _, helper := range c.pick(c.config.IndirectProbes, target.ID) {
-				envelopes = append(envelopes, c.envelope(helper.GossipAddress,
+			for _, helper := range c.pickRandom(c.config.IndirectProbes, target.ID) {
+				envelopes = append(envelopes, c.newEnvelope(helper.GossipAddress,
 					&rpc.Packet{Kind: uint32(PingRequest), Sequence: sequence, TargetAddress: target.GossipAddress}))
 			}
 		}
@@ -256,7 +257,7 @@
 	return envelopes
 }
 
-// sortedKeys keeps the order of maps out of what is sent and drawn.
+// sortedKeys makes packets and random choices independent of map order.
 func sortedKeys[K cmp.Ordered, V any](values map[K]V) []K {
 	keys := make([]K, 0, len(values))
 	for key := range values {
@@ -266,31 +267,31 @@
 	return keys
 }
 
-// overdue declares suspects dead and forgets the long dead.
-func (c *Core) overdue(now time.Time) {
-	var due []string
+// expireMembers declares overdue suspects dead and removes members that stopped long ago.
+func (c *Core) expireMembers(now time.Time) {
+	var expired []string
 	for id, member := range c.members {
-		age := now.Sub(member.Since)
+		age := now.Sub(member.StatusSince)
 		if (member.Status == Suspect && age >= c.config.SuspicionTimeout) || (!member.Running() && age >= c.config.ForgetAfter) {
-			due = append(due, id)
+			expired = append(expired, id)
 		}
 	}
-	slices.Sort(due)
-	for _, id := range due {
+	slices.Sort(expired)
+	for _, id := range expired {
 		member := c.members[id]
 		if member.Status == Suspect {
-			c.adopt(member, Dead, member.Incarnation, now)
+			c.setStatus(member, Dead, member.Incarnation, now)
 			continue
 		}
 		delete(c.members, id)
-		delete(c.heard, id)
+		delete(c.memberRevisions, id)
 		c.changed = true
 	}
 }
 
-// nextTarget goes round the members in a random order, so that each is probed
-// within a bounded time.
-func (c *Core) nextTarget() *Member {
+// nextProbeTarget iterates over the running members in a random order that is reshuffled
+// after each round, which bounds the time until each member is probed.
+func (c *Core) nextProbeTarget() *Member {
 	for range 2 {
 		for len(c.order) > 0 {
 			id := c.order[0]
@@ -300,7 +301,7 @@
 			}
 		}
 		c.order = c.runningIDs()
-		c.random.Shuffle(len(c.order), func(i, j int) { c.order[i], c.order[j] = c.order[j], c.order[i] })
+		c.rng.Shuffle(len(c.order), func(i, j int) { c.order[i], c.order[j] = c.order[j], c.order[i] })
 	}
 	return nil
 }
@@ -312,43 +313,43 @@
 			ids = append(ids, id)
 		}
 	}
-	slices.Sort(ids) // map order must not leak into the random order
+	slices.Sort(ids) // makes the shuffle deterministic for a given seed
 	return ids
 }
 
-// pick returns up to count random running members other than one.
-func (c *Core) pick(count int, except string) []*Member {
+// pickRandom returns up to count random running members, without excludedID.
+func (c *Core) pickRandom(count int, excludedID string) []*Member {
 	ids := c.runningIDs()
-	c.random.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
+	c.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	var picked []*Member
 	for _, id := range ids {
-		if id != except && len(picked) < count {
+		if id != excludedID && len(picked) < count {
 			picked = append(picked, c.members[id])
 		}
 	}
 	return picked
 }
 
-// Handle takes a packet in and returns the packets to send.
+// Handle processes a received packet and returns the packets to send.
 func (c *Core) Handle(now time.Time, packet *rpc.Packet) []Envelope {
-	for _, claimed := range packet.GetUpdates() {
-		c.Learn(now, claimed)
+	for _, reported := range packet.GetUpdates() {
+		c.ApplyUpdate(now, reported)
 	}
-	if packet.GetSettingsRevision() > c.heard[packet.GetFromId()] {
-		c.heard[packet.GetFromId()] = packet.GetSettingsRevision()
+	if packet.GetSettingsRevision() > c.memberRevisions[packet.GetFromId()] {
+		c.memberRevisions[packet.GetFromId()] = packet.GetSettingsRevision()
 	}
 	switch PacketKind(packet.GetKind()) {
 	case Ping:
-		// One that was taken for dead, and woke, hears of it with the answer and
-		// refutes it.
+		// The ack tells a sender that is considered suspect or dead its status, so that
+		// it can refute it.
 		if sender := c.members[packet.GetFromId()]; sender != nil && sender.Status != Alive {
-			c.spread(*sender)
+			c.enqueueUpdate(*sender)
 		}
-		return []Envelope{c.envelope(packet.GetFromAddress(), &rpc.Packet{Kind: uint32(Ack), Sequence: packet.GetSequence()})}
+		return []Envelope{c.newEnvelope(packet.GetFromAddress(), &rpc.Packet{Kind: uint32(Ack), Sequence: packet.GetSequence()})}
 	case PingRequest:
 		c.sequence++
 		c.relays[c.sequence] = relay{packet.GetFromAddress(), packet.GetSequence(), now}
-		return []Envelope{c.envelope(packet.GetTargetAddress(), &rpc.Packet{Kind: uint32(Ping), Sequence: c.sequence})}
+		return []Envelope{c.newEnvelope(packet.GetTargetAddress(), &rpc.Packet{Kind: uint32(Ping), Sequence: c.sequence})}
 	case Ack:
 		return c.handleAck(now, packet.GetSequence())
 	}
@@ -356,19 +357,19 @@
 }
 
 func (c *Core) handleAck(now time.Time, sequence uint64) []Envelope {
-	if asked, found := c.relays[sequence]; found {
+	if relayed, found := c.relays[sequence]; found {
 		delete(c.relays, sequence)
-		return []Envelope{c.envelope(asked.address, &rpc.Packet{Kind: uint32(Ack), Sequence: asked.sequence})}
+		return []Envelope{c.newEnvelope(relayed.address, &rpc.Packet{Kind: uint32(Ack), Sequence: relayed.sequence})}
 	}
 	pending, found := c.probes[sequence]
 	if !found {
 		return nil
 	}
 	delete(c.probes, sequence)
-	// A suspect that answers still has to refute with a higher incarnation, so
-	// that all hear of it in one way; it is sent the suspicion to refute.
+	// An ack does not clear a suspicion: the suspect refutes it with a higher
+	// incarnation, which reaches all members. The update notifies the suspect.
 	if member := c.members[pending.memberID]; member != nil && member.Status == Suspect {
-		c.spread(*member)
+		c.enqueueUpdate(*member)
 	}
 	return nil
 }
--- a/membership/core_test.go
+++ b/membership/core_test.go
@@ -12,20 +12,20 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// network is a simulated network of cores with one clock. Packets take a while,
-// may be lost, and never pass between the two sides of a cut.
+// network simulates a network of cores that share a clock. Packets are delayed, may be
+// lost and do not cross partitions.
 type network struct {
-	now     time.Time
-	cores   map[string]*Core // by address, which is the id
-	down    map[string]bool  // crashed or paused: neither ticks nor receives
-	side    map[string]int
-	loss    float64
-	random  *rand.Rand
-	flying  []flight
-	packets int
+	now       time.Time
+	cores     map[string]*Core // by address, which equals the id
+	down      map[string]bool  // crashed or paused: no ticks and no packets
+	partition map[string]int
+	loss      float64
+	random    *rand.Rand
+	inFlight  []datagram
+	packets   int
 }
 
-type flight struct {
+type datagram struct {
 	due      time.Time
 	from, to string
 	packet   *rpc.Packet
@@ -37,23 +37,23 @@
 )
 
 func newNetwork(count int, seed uint64) *network {
-	n := &network{now: time.Unix(1_000_000, 0), cores: map[string]*Core{}, down: map[string]bool{}, side: map[string]int{},
+	n := &network{now: time.Unix(1_000_000, 0), cores: map[string]*Core{}, down: map[string]bool{}, partition: map[string]int{},
 		random: rand.New(rand.NewPCG(seed, seed))}
 	for number := range count {
-		n.start(fmt.Sprintf("m%03d", number), 1)
+		n.startMember(fmt.Sprintf("m%03d", number), 1)
 	}
 	return n
 }
 
-// start starts a member that knows the first one, as after a sync with a seed.
-func (n *network) start(id string, incarnation uint64) {
+// startMember starts a member that knows the first one, as after a sync with a seed.
+func (n *network) startMember(id string, incarnation uint64) {
 	self := Member{ID: id, RPCAddress: id, GossipAddress: id, Region: "r", Zone: "z", Incarnation: incarnation}
 	core := NewCore(DefaultConfig(), self, rand.New(rand.NewPCG(n.random.Uint64(), 1)))
 	if peer := n.cores["m000"]; peer != nil {
 		for _, member := range peer.Members() {
-			core.Learn(n.now, member.Wire())
+			core.ApplyUpdate(n.now, member.Wire())
 		}
-		peer.Learn(n.now, self.Wire())
+		peer.ApplyUpdate(n.now, self.Wire())
 	}
 	n.cores[id] = core
 	delete(n.down, id)
@@ -62,21 +62,21 @@
 func (n *network) send(from string, envelopes []Envelope) {
 	for _, envelope := range envelopes {
 		n.packets++
-		if n.random.Float64() >= n.loss && n.side[from] == n.side[envelope.Address] {
-			n.flying = append(n.flying, flight{n.now.Add(networkDelay), from, envelope.Address, envelope.Packet})
+		if n.random.Float64() >= n.loss && n.partition[from] == n.partition[envelope.Address] {
+			n.inFlight = append(n.inFlight, datagram{n.now.Add(networkDelay), from, envelope.Address, envelope.Packet})
 		}
 	}
 }
 
 func (n *network) run(duration time.Duration) {
 	for end := n.now.Add(duration); n.now.Before(end); n.now = n.now.Add(networkStep) {
-		arriving := n.flying
-		n.flying = nil
-		for _, one := range arriving {
-			if one.due.After(n.now) {
-				n.flying = append(n.flying, one)
-			} else if core := n.cores[one.to]; core != nil && !n.down[one.to] && n.side[one.from] == n.side[one.to] {
-				n.send(one.to, core.Handle(n.now, one.packet))
+		pending := n.inFlight
+		n.inFlight = nil
+		for _, d := range pending {
+			if d.due.After(n.now) {
+				n.inFlight = append(n.inFlight, d)
+			} else if core := n.cores[d.to]; core != nil && !n.down[d.to] && n.partition[d.from] == n.partition[d.to] {
+				n.send(d.to, core.Handle(n.now, d.packet))
 			}
 		}
 		for _, id := range n.ids() {
@@ -95,8 +95,8 @@
 	return ids
 }
 
-// seen returns how one member sees another.
-func (n *network) seen(by, id string) Status {
+// statusSeenBy returns the status of a member as known to another; Dead if unknown.
+func (n *network) statusSeenBy(by, id string) Status {
 	for _, member := range n.cores[by].Members() {
 		if member.ID == id {
 			return member.Status
@@ -105,47 +105,47 @@
 	return Dead
 }
 
-// agree fails unless every member that is up sees all as they are.
-func (n *network) agree(t require.TestingT, context string) {
+// requireAgreement fails unless each running member knows which members are down.
+func (n *network) requireAgreement(t require.TestingT, phase string) {
 	for _, by := range n.ids() {
 		if n.down[by] {
 			continue
 		}
 		for _, id := range n.ids() {
-			require.Equal(t, n.down[id], n.seen(by, id) == Dead, "%s: %s sees %s as %s", context, by, id, n.seen(by, id))
+			require.Equal(t, n.down[id], n.statusSeenBy(by, id) == Dead, "%s: %s considers %s to be %s", phase, by, id, n.statusSeenBy(by, id))
 		}
 	}
 }
 
-func TestMembersFindTheDeadAndTheReturned(t *testing.T) {
+func TestMembersDetectCrashesAndReturns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := newNetwork(rapid.IntRange(3, 12).Draw(t, "members"), rapid.Uint64().Draw(t, "seed"))
 		n.run(15 * time.Second)
-		n.agree(t, "after start")
+		n.requireAgreement(t, "after start")
 		n.loss = rapid.SampledFrom([]float64{0, 0.1}).Draw(t, "loss")
 		for _, id := range n.ids()[1:] {
-			if rapid.IntRange(0, 3).Draw(t, "fate of "+id) == 0 {
+			if rapid.IntRange(0, 3).Draw(t, "crash of "+id) == 0 {
 				n.down[id] = true
 			}
 		}
 		n.run(20 * time.Second)
 		n.loss = 0
 		n.run(30 * time.Second)
-		n.agree(t, "after crashes")
-		// A paused member wakes with its old state; a crashed one restarts.
+		n.requireAgreement(t, "after crashes")
+		// A paused member resumes with its old state; a crashed one restarts.
 		for _, id := range n.ids() {
-			if n.down[id] && rapid.Bool().Draw(t, "wakes "+id) {
+			if n.down[id] && rapid.Bool().Draw(t, "resumes "+id) {
 				delete(n.down, id)
 			} else if n.down[id] {
-				n.start(id, n.cores[id].Self().Incarnation+1000)
+				n.startMember(id, n.cores[id].Self().Incarnation+1000)
 			}
 		}
 		n.run(40 * time.Second)
-		n.agree(t, "after return")
+		n.requireAgreement(t, "after return")
 	})
 }
 
-func TestLeavingIsKnownSoonAndIsNotDeath(t *testing.T) {
+func TestLeaveSpreadsQuicklyAndIsNotDead(t *testing.T) {
 	n := newNetwork(20, 1)
 	n.run(15 * time.Second)
 	n.send("m007", n.cores["m007"].Leave(n.now))
@@ -154,12 +154,12 @@
 	n.run(4 * time.Second)
 	for _, id := range n.ids() {
 		if id != "m007" {
-			require.Equal(t, Left, n.seen(id, "m007"), "seen by %s", id)
+			require.Equal(t, Left, n.statusSeenBy(id, "m007"), "status known to %s", id)
 		}
 	}
 }
 
-func TestRevisionSpreadsToAll(t *testing.T) {
+func TestSettingsRevisionReachesAllMembers(t *testing.T) {
 	n := newNetwork(40, 1)
 	n.run(15 * time.Second)
 	n.send("m000", n.cores["m000"].SetRevision(7))
@@ -168,13 +168,13 @@
 		n.run(networkStep)
 		behind = 0
 		for _, id := range n.ids() {
-			// A member that hears of a revision fetches it and tells others in turn.
-			heard := uint64(0)
+			// A member that receives a newer revision fetches it and announces it.
+			newest := uint64(0)
 			for _, other := range n.ids() {
-				heard = max(heard, n.cores[id].HeardRevision(other))
+				newest = max(newest, n.cores[id].MemberRevision(other))
 			}
-			n.send(id, n.cores[id].SetRevision(heard))
-			if heard < 7 && id != "m000" {
+			n.send(id, n.cores[id].SetRevision(newest))
+			if newest < 7 && id != "m000" {
 				behind++
 			}
 		}
@@ -182,44 +182,44 @@
 	require.Zero(t, behind)
 }
 
-// TestCostDoesNotGrowWithMembers counts packets a member and second: a probe and
-// its answer, however many members there are.
-func TestCostDoesNotGrowWithMembers(t *testing.T) {
-	const perSecond = 2.2
+// TestPacketRatePerMemberIsConstant checks that a member sends about one probe and one
+// ack per second, regardless of the number of members.
+func TestPacketRatePerMemberIsConstant(t *testing.T) {
+	const maxPacketsPerSecond = 2.2
 	for _, count := range []int{10, 40, 160} {
 		n := newNetwork(count, 1)
 		n.run(20 * time.Second)
 		n.packets = 0
 		n.run(20 * time.Second)
-		require.Less(t, float64(n.packets)/20/float64(count), perSecond, "with %d members", count)
+		require.Less(t, float64(n.packets)/20/float64(count), maxPacketsPerSecond, "with %d members", count)
 	}
 }
 
-func (n *network) list(id string) []*rpc.Member {
-	var list []*rpc.Member
+func (n *network) memberList(id string) []*rpc.Member {
+	var memberList []*rpc.Member
 	for _, member := range n.cores[id].Members() {
-		list = append(list, member.Wire())
+		memberList = append(memberList, member.Wire())
 	}
-	return list
+	return memberList
 }
 
-// TestSidesOfALongCutFindEachOther cuts the members in two for longer than the dead
-// are remembered. After it one member exchanges lists with one on the other side, as
-// the service does with its seeds.
-func TestSidesOfALongCutFindEachOther(t *testing.T) {
+// TestPartitionsMergeAfterDeadMembersAreForgotten partitions the members for longer than
+// dead members are retained. Then one member exchanges its list with a member of the
+// other side, as Service does with its seeds.
+func TestPartitionsMergeAfterDeadMembersAreForgotten(t *testing.T) {
 	n := newNetwork(10, 1)
 	n.run(15 * time.Second)
 	for number := range 5 {
-		n.side[fmt.Sprintf("m%03d", number)] = 1
+		n.partition[fmt.Sprintf("m%03d", number)] = 1
 	}
 	n.run(DefaultConfig().ForgetAfter + time.Minute)
-	require.Len(t, n.cores["m000"].Members(), 5, "the other side is forgotten")
-	n.side = map[string]int{}
-	asked, told := n.list("m000"), n.list("m009")
-	n.cores["m000"].LearnList(n.now, told)
-	for _, member := range asked {
-		n.cores["m009"].Learn(n.now, member)
+	require.Len(t, n.cores["m000"].Members(), 5, "members of the other side are removed")
+	n.partition = map[string]int{}
+	nearList, farList := n.memberList("m000"), n.memberList("m009")
+	n.cores["m000"].ApplyMemberList(n.now, farList)
+	for _, member := range nearList {
+		n.cores["m009"].ApplyUpdate(n.now, member)
 	}
 	n.run(time.Minute)
-	n.agree(t, "after the cut")
+	n.requireAgreement(t, "after the partition")
 }
--- a/membership/learn.go
+++ b/membership/learn.go
@@ -8,101 +8,101 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// LearnList takes in a peer's whole list that this daemon asked for. To one that
-// knew nobody yet it is no news worth passing on: others have lists of their own. To
-// others it is, as after a cut that parted the members for long.
-func (c *Core) LearnList(now time.Time, members []*rpc.Member) {
+// ApplyMemberList applies the full member list of a peer. A daemon that knew no other
+// member does not forward its entries, because the other members know them already.
+// Otherwise they are forwarded, which merges the sides of a healed partition.
+func (c *Core) ApplyMemberList(now time.Time, members []*rpc.Member) {
 	joining := len(c.members) == 0
-	for _, claimed := range members {
-		c.Learn(now, claimed)
-		if joining && claimed.GetId() != c.self.ID {
-			delete(c.news, claimed.GetId())
+	for _, reported := range members {
+		c.ApplyUpdate(now, reported)
+		if joining && reported.GetId() != c.self.ID {
+			delete(c.updateQueue, reported.GetId())
 		}
 	}
 }
 
-// Learn takes in a claim about a member.
-func (c *Core) Learn(now time.Time, claimed *rpc.Member) {
-	if claimed.GetId() == "" {
+// ApplyUpdate applies a report about a member unless a newer one is known.
+func (c *Core) ApplyUpdate(now time.Time, reported *rpc.Member) {
+	if reported.GetId() == "" {
 		return
 	}
-	status := Status(min(claimed.GetStatus(), uint32(Left)))
-	if claimed.GetId() == c.self.ID {
-		c.refute(status, claimed.GetIncarnation())
+	status := Status(min(reported.GetStatus(), uint32(Left)))
+	if reported.GetId() == c.self.ID {
+		c.refute(status, reported.GetIncarnation())
 		return
 	}
-	known := c.members[claimed.GetId()]
+	known := c.members[reported.GetId()]
 	if known == nil {
-		known = &Member{ID: claimed.GetId(), Status: status, Incarnation: claimed.GetIncarnation(), Since: now}
+		known = &Member{ID: reported.GetId(), Status: status, Incarnation: reported.GetIncarnation(), StatusSince: now}
 		c.members[known.ID] = known
-		c.describe(known, claimed)
+		c.copyAttributes(known, reported)
 		c.changed = true
-		c.spread(*known)
+		c.enqueueUpdate(*known)
 		return
 	}
-	newer := claimed.GetIncarnation() > known.Incarnation
-	stronger := claimed.GetIncarnation() == known.Incarnation && status > known.Status
+	newer := reported.GetIncarnation() > known.Incarnation
+	stronger := reported.GetIncarnation() == known.Incarnation && status > known.Status
 	if newer || stronger {
-		c.describe(known, claimed)
-		c.adopt(known, status, claimed.GetIncarnation(), now)
+		c.copyAttributes(known, reported)
+		c.setStatus(known, status, reported.GetIncarnation(), now)
 	}
 }
 
-func (c *Core) describe(member *Member, claimed *rpc.Member) {
-	member.RPCAddress = claimed.GetRpcAddress()
-	member.GossipAddress = claimed.GetGossipAddress()
-	member.Region = claimed.GetRegion()
-	member.Zone = claimed.GetZone()
-	member.Process = claimed.GetProcess()
+func (c *Core) copyAttributes(member *Member, reported *rpc.Member) {
+	member.RPCAddress = reported.GetRpcAddress()
+	member.GossipAddress = reported.GetGossipAddress()
+	member.Region = reported.GetRegion()
+	member.Zone = reported.GetZone()
+	member.Process = reported.GetProcess()
 }
 
-// refute answers a claim that this daemon is not alive.
+// refute counters a report that this daemon is not alive with a higher incarnation.
 func (c *Core) refute(status Status, incarnation uint64) {
 	if c.self.Status == Left || status == Alive || incarnation < c.self.Incarnation {
 		return
 	}
 	c.self.Incarnation = incarnation + 1
-	c.spread(c.self)
+	c.enqueueUpdate(c.self)
 }
 
-func (c *Core) adopt(member *Member, status Status, incarnation uint64, now time.Time) {
+func (c *Core) setStatus(member *Member, status Status, incarnation uint64, now time.Time) {
 	if member.Status != status {
-		member.Since = now
+		member.StatusSince = now
 	}
 	member.Status = status
 	member.Incarnation = incarnation
 	c.changed = true
-	c.spread(*member)
+	c.enqueueUpdate(*member)
 }
 
-func (c *Core) spread(member Member) { c.news[member.ID] = &update{member: member} }
+func (c *Core) enqueueUpdate(member Member) { c.updateQueue[member.ID] = &queuedUpdate{member: member} }
 
-// envelope addresses a packet and loads it with the news sent least often.
-func (c *Core) envelope(address string, packet *rpc.Packet) Envelope {
+// newEnvelope addresses a packet and adds the queued updates that were sent least often.
+func (c *Core) newEnvelope(address string, packet *rpc.Packet) Envelope {
 	packet.FromAddress = c.self.GossipAddress
 	packet.FromId = c.self.ID
 	packet.SettingsRevision = c.revision
-	limit := spreadFactor * bits.Len(uint(len(c.members)+1))
-	ids := make([]string, 0, len(c.news))
-	for id := range c.news {
+	maxSends := retransmitFactor * bits.Len(uint(len(c.members)+1))
+	ids := make([]string, 0, len(c.updateQueue))
+	for id := range c.updateQueue {
 		ids = append(ids, id)
 	}
 	sort.Slice(ids, func(i, j int) bool {
-		a, b := c.news[ids[i]], c.news[ids[j]]
-		return a.sent < b.sent || (a.sent == b.sent && ids[i] < ids[j])
+		a, b := c.updateQueue[ids[i]], c.updateQueue[ids[j]]
+		return a.sendCount < b.sendCount || (a.sendCount == b.sendCount && ids[i] < ids[j])
 	})
 	for _, id := range ids[:min(len(ids), updatesPerPacket)] {
-		item := c.news[id]
-		packet.Updates = append(packet.Updates, item.member.Wire())
-		item.sent++
-		if item.sent >= limit {
-			delete(c.news, id)
+		queued := c.updateQueue[id]
+		packet.Updates = append(packet.Updates, queued.member.Wire())
+		queued.sendCount++
+		if queued.sendCount >= maxSends {
+			delete(c.updateQueue, id)
 		}
 	}
 	return Envelope{Address: address, Packet: packet}
 }
 
-// Wire returns the member as a message.
+// Wire converts the member to a message. StatusSince is local and not sent.
 func (m Member) Wire() *rpc.Member {
 	return &rpc.Member{
 		Id: m.ID, RpcAddress: m.RPCAddress, GossipAddress: m.GossipAddress, Region: m.Region,
--- a/membership/main_test.go
+++ b/membership/main_test.go
@@ -6,7 +6,8 @@
 	"github.com/finchspoke/finchspoke/testseed"
 )
 
-// Enough to catch each deliberate bug of docs/MUTATIONS.md.
+// Examples and steps per property test, sufficient to detect every fault listed in
+// docs/MUTATIONS.md.
 const (
 	checks = 100
 	steps  = 30
--- a/membership/service.go
+++ b/membership/service.go
@@ -23,15 +23,18 @@
 const (
 	maxPacketBytes = 4096
 	signatureBytes = 16
-	// ticksPerInterval is how finely the probe interval is divided.
+	// ticksPerInterval is the number of ticks in a probe interval.
 	ticksPerInterval = 5
-	// joinPause is the wait between tries to find a first peer.
-	joinPause = 300 * time.Millisecond
-	// repairInterval is how often whole member lists are exchanged.
-	repairInterval = 5 * time.Minute
-	firstRepair    = 500 * time.Millisecond
-	// rejoinInterval is how often seeds that are not known as running are tried,
-	// which joins the two sides of a healed partition.
+	// joinInterval is the delay between attempts to reach a seed at start, and the polling
+	// interval for later synchronizations.
+	joinInterval = 300 * time.Millisecond
+	// maxSyncInterval is the interval for exchanging full member lists. It is reached by
+	// doubling initialSyncInterval, because many daemons that start together would find
+	// each other slowly through gossip alone.
+	maxSyncInterval     = 5 * time.Minute
+	initialSyncInterval = 500 * time.Millisecond
+	// rejoinInterval is how often seeds that are not known to run are contacted, which
+	// merges the sides of a healed partition.
 	rejoinInterval = 5 * time.Second
 	syncTimeout    = 2 * time.Second
 )
@@ -40,27 +43,28 @@
 // Membership rpc.
 type Service struct {
 	config Config
-	seeds  []string // rpc addresses
-	keys   [][]byte // the first signs; any verifies; none: unsigned
+	seeds  []string // RPC addresses
+	keys   [][]byte // the first signs, any verifies; unsigned if empty
 	socket net.PacketConn
 	log    logrus.FieldLogger
 
-	mutex     sync.Mutex
-	core      *Core
-	listeners []func(*View)
-	onHeard   func(memberID string, revision uint64)
-	view      atomic.Pointer[View]
+	mutex           sync.Mutex
+	core            *Core
+	listeners       []func(*View)
+	revisionHandler func(memberID string, revision uint64)
+	view            atomic.Pointer[View]
 
 	bytesSent     atomic.Uint64
 	bytesReceived atomic.Uint64
 }
 
-// NewService returns a service for a daemon on a socket.
+// NewService returns a service for the daemon self on a UDP socket. It sets the process,
+// incarnation and status time of self.
 func NewService(config Config, self Member, seeds []string, keys [][]byte, socket net.PacketConn, log logrus.FieldLogger) *Service {
 	now := time.Now()
 	self.Process = uint64(now.UnixMilli())
 	self.Incarnation = self.Process
-	self.Since = now
+	self.StatusSince = now
 	random := rand.New(rand.NewPCG(uint64(now.UnixNano()), xxhash.Sum64String(self.ID)))
 	service := &Service{config: config, seeds: seeds, keys: keys, socket: socket, log: log,
 		core: NewCore(config, self, random)}
@@ -71,26 +75,26 @@
 // String names the service in the supervisor's events.
 func (s *Service) String() string { return "membership" }
 
-// View returns the members as known now.
+// View returns the current view of the members.
 func (s *Service) View() *View { return s.view.Load() }
 
-// Listen registers a function to call after each change of the members. It is
-// called with the service's lock not held, in order.
-func (s *Service) Listen(listener func(*View)) {
+// Subscribe registers a function to call after each change of the members. Listeners are
+// called in order of registration, without the service's lock.
+func (s *Service) Subscribe(listener func(*View)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.listeners = append(s.listeners, listener)
 }
 
-// OnRevisionHeard sets the function to call when a member tells of settings newer
-// than those announced here.
-func (s *Service) OnRevisionHeard(heard func(memberID string, revision uint64)) {
+// SetRevisionHandler sets the function to call when a member reports a settings revision
+// newer than the one announced here.
+func (s *Service) SetRevisionHandler(handler func(memberID string, revision uint64)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.onHeard = heard
+	s.revisionHandler = handler
 }
 
-// Announce tells members of the settings revision in force here.
+// Announce announces the settings revision in effect here to the members.
 func (s *Service) Announce(revision uint64) {
 	s.mutex.Lock()
 	envelopes := s.core.SetRevision(revision)
@@ -98,51 +102,52 @@
 	s.send(envelopes)
 }
 
-// HeardRevision is the settings revision last heard from a member.
-func (s *Service) HeardRevision(memberID string) uint64 {
+// MemberRevision returns the highest settings revision received from a member.
+func (s *Service) MemberRevision(memberID string) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.core.HeardRevision(memberID)
+	return s.core.MemberRevision(memberID)
 }
 
-// Traffic returns the bytes sent and received on the socket so far.
+// Traffic returns the total bytes sent and received on the socket.
 func (s *Service) Traffic() (sent, received uint64) {
 	return s.bytesSent.Load(), s.bytesReceived.Load()
 }
 
-// Leave tells the members that this daemon leaves.
+// Leave announces to the members that this daemon leaves.
 func (s *Service) Leave() {
-	s.update(func(now time.Time) []Envelope { return s.core.Leave(now) })
+	s.runStep(func(now time.Time) []Envelope { return s.core.Leave(now) })
 }
 
 // Serve implements suture.Service.
 func (s *Service) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.socket.SetReadDeadline(time.Now()) })
 	defer stop()
-	failed := make(chan error, 1)
-	go func() { failed <- s.receive() }()
-	go s.keepInTouch(ctx)
+	receiveErr := make(chan error, 1)
+	go func() { receiveErr <- s.receive() }()
+	go s.joinAndSync(ctx)
 	ticker := time.NewTicker(s.config.ProbeInterval / ticksPerInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			<-failed
+			<-receiveErr
 			return ctx.Err()
-		case err := <-failed:
-			failed <- err
+		case err := <-receiveErr:
+			receiveErr <- err
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
 			return err
 		case <-ticker.C:
-			s.update(func(now time.Time) []Envelope { return s.core.Tick(now) })
+			s.runStep(func(now time.Time) []Envelope { return s.core.Tick(now) })
 		}
 	}
 }
 
-// update runs a step of the core, then publishes what changed and sends.
-func (s *Service) update(step func(now time.Time) []Envelope) {
+// runStep runs a step of the core, publishes a changed view, sends packets and calls
+// listeners.
+func (s *Service) runStep(step func(now time.Time) []Envelope) {
 	s.mutex.Lock()
 	envelopes := step(time.Now())
 	changed := s.core.TakeChanged()
@@ -169,22 +174,22 @@
 			return errors.Wrap(err, "receive gossip")
 		}
 		s.bytesReceived.Add(uint64(size))
-		packet, ok := s.open(buffer[:size])
+		packet, ok := s.decode(buffer[:size])
 		if !ok {
 			continue
 		}
-		s.update(func(now time.Time) []Envelope { return s.core.Handle(now, packet) })
-		s.tellRevision(packet)
+		s.runStep(func(now time.Time) []Envelope { return s.core.Handle(now, packet) })
+		s.notifyRevision(packet)
 	}
 }
 
-func (s *Service) tellRevision(packet *rpc.Packet) {
+func (s *Service) notifyRevision(packet *rpc.Packet) {
 	s.mutex.Lock()
 	newer := packet.GetSettingsRevision() > s.core.revision
-	heard := s.onHeard
+	handler := s.revisionHandler
 	s.mutex.Unlock()
-	if newer && heard != nil {
-		heard(packet.GetFromId(), packet.GetSettingsRevision())
+	if newer && handler != nil {
+		handler(packet.GetFromId(), packet.GetSettingsRevision())
 	}
 }
 
@@ -194,20 +199,20 @@
 		if err != nil {
 			continue
 		}
-		data, err := s.seal(envelope.Packet)
+		data, err := s.encode(envelope.Packet)
 		if err != nil {
-			s.log.WithError(err).Warn("gossip packet not sent")
+			s.log.WithError(err).Warn("failed to encode gossip packet")
 			continue
 		}
-		// A packet that is not sent is as one lost on the way.
+		// The protocol tolerates packets that are not sent like lost packets.
 		if size, err := s.socket.WriteTo(data, address); err == nil {
 			s.bytesSent.Add(uint64(size))
 		}
 	}
 }
 
-// seal encodes a packet, after its signature when there are keys.
-func (s *Service) seal(packet *rpc.Packet) ([]byte, error) {
+// encode serializes a packet, preceded by a signature if keys are configured.
+func (s *Service) encode(packet *rpc.Packet) ([]byte, error) {
 	body, err := proto.Marshal(packet)
 	if err != nil || len(s.keys) == 0 {
 		return body, errors.Wrap(err, "encode gossip")
@@ -215,9 +220,9 @@
 	return append(sign(s.keys[0], body), body...), nil
 }
 
-func (s *Service) open(data []byte) (*rpc.Packet, bool) {
+func (s *Service) decode(data []byte) (*rpc.Packet, bool) {
 	if len(s.keys) > 0 {
-		if len(data) < signatureBytes || !s.verified(data[:signatureBytes], data[signatureBytes:]) {
+		if len(data) < signatureBytes || !s.verify(data[:signatureBytes], data[signatureBytes:]) {
 			return nil, false
 		}
 		data = data[signatureBytes:]
@@ -229,7 +234,7 @@
 	return &packet, true
 }
 
-func (s *Service) verified(signature, body []byte) bool {
+func (s *Service) verify(signature, body []byte) bool {
 	for _, key := range s.keys {
 		if hmac.Equal(signature, sign(key, body)) {
 			return true
@@ -244,31 +249,29 @@
 	return hash.Sum(nil)[:signatureBytes]
 }
 
-// keepInTouch joins through a seed, then exchanges whole lists now and then.
-func (s *Service) keepInTouch(ctx context.Context) {
+// joinAndSync joins through a seed, then exchanges full member lists periodically.
+func (s *Service) joinAndSync(ctx context.Context) {
 	for ctx.Err() == nil && !s.joined() {
 		for _, seed := range s.seeds {
-			_ = s.syncWith(ctx, seed) // the next round tries again
+			_ = s.syncWith(ctx, seed) // retried in the next iteration
 		}
-		sleep.For(ctx, joinPause)
+		sleep.For(ctx, joinInterval)
 	}
-	// At first whole lists are exchanged often: many that start together would
-	// take long to find each other by news alone.
-	interval := firstRepair
-	nextRepair := time.Now().Add(interval)
+	interval := initialSyncInterval
+	nextSync := time.Now().Add(interval)
 	nextRejoin := time.Now().Add(rejoinInterval)
 	for ctx.Err() == nil {
-		sleep.For(ctx, joinPause)
+		sleep.For(ctx, joinInterval)
 		now := time.Now()
 		if now.After(nextRejoin) {
 			nextRejoin = now.Add(rejoinInterval)
-			for _, seed := range s.lostSeeds() {
+			for _, seed := range s.missingSeeds() {
 				_ = s.syncWith(ctx, seed)
 			}
 		}
-		if now.After(nextRepair) {
-			interval = min(2*interval, repairInterval)
-			nextRepair = now.Add(interval)
+		if now.After(nextSync) {
+			interval = min(2*interval, maxSyncInterval)
+			nextSync = now.Add(interval)
 			if peer := s.randomPeer(); peer != "" {
 				_ = s.syncWith(ctx, peer)
 			}
@@ -276,32 +279,32 @@
 	}
 }
 
-// joined tells whether another member was found, or there is none to find.
+// joined reports whether another member is known or all seeds are this daemon.
 func (s *Service) joined() bool {
-	return len(s.lostSeeds()) == 0 || len(s.View().Members) > 1
+	return len(s.missingSeeds()) == 0 || len(s.View().Members) > 1
 }
 
-// lostSeeds returns the seeds that are not the address of a running member.
-func (s *Service) lostSeeds() []string {
+// missingSeeds returns the seeds whose address belongs to no running member.
+func (s *Service) missingSeeds() []string {
 	running := map[string]bool{}
 	for _, member := range s.View().Members {
 		if member.Running() {
 			running[member.RPCAddress] = true
 		}
 	}
-	var lost []string
+	var missing []string
 	for _, seed := range s.seeds {
 		if !running[seed] {
-			lost = append(lost, seed)
+			missing = append(missing, seed)
 		}
 	}
-	return lost
+	return missing
 }
 
 func (s *Service) randomPeer() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, member := range s.core.pick(1, "") {
+	for _, member := range s.core.pickRandom(1, "") {
 		return member.RPCAddress
 	}
 	return ""
@@ -315,34 +318,34 @@
 		return err
 	}
 	defer func() { _ = connection.Close() }()
-	answer, err := rpc.NewDRPCMembershipClient(connection).Sync(ctx, s.list())
+	response, err := rpc.NewDRPCMembershipClient(connection).Sync(ctx, s.memberList())
 	if err != nil {
 		return errors.Wrap(err, "exchange members")
 	}
-	s.update(func(now time.Time) []Envelope {
-		s.core.LearnList(now, answer.GetMembers())
+	s.runStep(func(now time.Time) []Envelope {
+		s.core.ApplyMemberList(now, response.GetMembers())
 		return nil
 	})
 	return nil
 }
 
 // Sync implements the Membership rpc.
-func (s *Service) Sync(_ context.Context, list *rpc.MemberList) (*rpc.MemberList, error) {
-	s.update(func(now time.Time) []Envelope {
-		for _, member := range list.GetMembers() {
-			s.core.Learn(now, member)
+func (s *Service) Sync(_ context.Context, memberList *rpc.MemberList) (*rpc.MemberList, error) {
+	s.runStep(func(now time.Time) []Envelope {
+		for _, member := range memberList.GetMembers() {
+			s.core.ApplyUpdate(now, member)
 		}
 		return nil
 	})
-	return s.list(), nil
+	return s.memberList(), nil
 }
 
-func (s *Service) list() *rpc.MemberList {
+func (s *Service) memberList() *rpc.MemberList {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	list := &rpc.MemberList{}
+	memberList := &rpc.MemberList{}
 	for _, member := range s.core.Members() {
-		list.Members = append(list.Members, member.Wire())
+		memberList.Members = append(memberList.Members, member.Wire())
 	}
-	return list
+	return memberList
 }
--- a/membership/view.go
+++ b/membership/view.go
@@ -4,13 +4,13 @@
 	"github.com/finchspoke/finchspoke/rendezvous"
 )
 
-// View is what a daemon knows of the members at one moment. It is read-only.
+// View is an immutable snapshot of the members as known to a daemon.
 type View struct {
 	SelfID  string
-	Members []Member // sorted by id, this daemon included
+	Members []Member // sorted by id, including this daemon
 }
 
-// Member returns a member by id.
+// Member returns the member with an id, if it is known.
 func (v *View) Member(id string) (Member, bool) {
 	for _, member := range v.Members {
 		if member.ID == id {
@@ -20,13 +20,13 @@
 	return Member{}, false
 }
 
-// Self returns this daemon.
+// Self returns the member that is this daemon.
 func (v *View) Self() Member {
 	self, _ := v.Member(v.SelfID)
 	return self
 }
 
-// RunningIn returns the ids of running members in a region; all where the region
+// RunningIn returns the ids of running members in a region, or in all regions if region
 // is empty.
 func (v *View) RunningIn(region string) []string {
 	var ids []string
@@ -38,14 +38,14 @@
 	return ids
 }
 
-// Home returns the home of a base model: the owner by rendezvous hashing in this
-// daemon's region if the model is served there, and otherwise in the first of
-// its regions that has running members.
+// Home returns the daemon that queues requests for a base model. Rendezvous hashing
+// selects it in this daemon's region if the model is served there, otherwise in the
+// first of the model's regions that has running members.
 func (v *View) Home(model string, regions []string) (Member, bool) {
-	own := v.Self().Region
+	ownRegion := v.Self().Region
 	ordered := make([]string, 0, len(regions))
 	for _, region := range regions {
-		if region == own {
+		if region == ownRegion {
 			ordered = append([]string{region}, ordered...)
 		} else {
 			ordered = append(ordered, region)
@@ -59,7 +59,7 @@
 	return Member{}, false
 }
 
-// Placer returns the member that should place for a region.
+// Placer returns the member that is responsible for placement in a region.
 func (v *View) Placer(region string) (Member, bool) {
 	owner, found := rendezvous.Owner("placer/"+region, v.RunningIn(region))
 	if !found {
@@ -68,17 +68,17 @@
 	return v.Member(owner)
 }
 
-// IsSettingsWatcher tells whether this daemon is one of the first count members
-// of its zone that follow the key-value service for the others.
+// IsSettingsWatcher reports whether this daemon is one of the count members of its zone
+// that watch the key-value service for settings on behalf of the others.
 func (v *View) IsSettingsWatcher(count int) bool {
 	self := v.Self()
-	var zone []string
+	var zoneIDs []string
 	for _, member := range v.Members {
 		if member.Running() && member.Zone == self.Zone {
-			zone = append(zone, member.ID)
+			zoneIDs = append(zoneIDs, member.ID)
 		}
 	}
-	ranked := rendezvous.Ranked("settings/"+self.Zone, zone)
+	ranked := rendezvous.Ranked("settings/"+self.Zone, zoneIDs)
 	for _, id := range ranked[:min(count, len(ranked))] {
 		if id == v.SelfID {
 			return true
--- a/settings/bench_test.go
+++ b/settings/bench_test.go
@@ -10,10 +10,10 @@
 	"github.com/finchspoke/finchspoke/settings"
 )
 
-// largeTree is a tree of many models, four adapters on each.
+// largeTree returns the YAML of a tree of models with four adapters each.
 func largeTree(models int) []byte {
 	var text strings.Builder
-	head, _, _ := strings.Cut(base, "branches:")
+	head, _, _ := strings.Cut(baseYAML, "branches:")
 	text.WriteString(head + "branches:\n  - name: root\n    models:\n")
 	for number := range models {
 		fmt.Fprintf(&text, "      - name: model-%04d\n        service: lm\n        version: \"1\"\n        accelerators: 1\n        memory: 6GiB\n        adapters:\n", number)
@@ -24,8 +24,8 @@
 	return []byte(text.String())
 }
 
-// BenchmarkDecodeRevision measures what a daemon does with a fetched revision: 880
-// models and 3,520 adapters are the design size.
+// BenchmarkDecodeRevision measures the decoding of a fetched revision up to the design
+// size.
 func BenchmarkDecodeRevision(b *testing.B) {
 	for _, models := range []int{110, 220, 440, 880} {
 		b.Run(fmt.Sprintf("models=%d", models), func(b *testing.B) {
--- a/settings/check_branch.go
+++ b/settings/check_branch.go
@@ -9,8 +9,8 @@
 	"github.com/finchspoke/finchspoke/request"
 )
 
-// branch resolves one branch from its parent and goes on to its children.
-func (c *checker) branch(at place, parent *Branch, document BranchDocument) {
+// branch resolves a branch from its parent, then its models and child branches.
+func (c *checker) branch(at location, parent *Branch, document BranchDocument) {
 	branch := &Branch{Path: document.Name, Values: defaultValues(), Origins: map[string]Origin{}}
 	if parent != nil {
 		branch.Path = parent.Path + "/" + document.Name
@@ -22,11 +22,11 @@
 	}
 	branch.chain = append(branch.chain, branch.Path)
 	if !namePattern.MatchString(document.Name) {
-		c.fail(at.child("name"), "branches", "use 1 to 63 of a-z, 0-9, dot, dash and underscore", "branch name %q is not valid", document.Name)
+		c.report(at.child("name"), "branches", "use 1 to 63 of a-z, 0-9, dot, dash and underscore", "branch name %q is not valid", document.Name)
 	}
-	c.unique(at.child("name"), "branch", branch.Path)
-	c.keysOf(at, branch, document)
-	c.override(at, branch, document)
+	c.requireUnique(at.child("name"), "branch", branch.Path)
+	c.checkKeys(at, branch, document)
+	c.applyOverrides(at, branch, document)
 	c.tree.Branches[branch.Path] = branch
 	for index, model := range document.Models {
 		c.model(at.item("models", index), branch, model)
@@ -36,44 +36,44 @@
 	}
 }
 
-func (c *checker) keysOf(at place, branch *Branch, document BranchDocument) {
+func (c *checker) checkKeys(at location, branch *Branch, document BranchDocument) {
 	for index, key := range document.Keys {
 		where := at.item("keys", index)
 		digits, prefixed := strings.CutPrefix(key, keyPrefix)
 		hash, valid := callers.ParseHash(digits)
 		if !prefixed || !valid {
-			c.fail(where, "branches."+branch.Path+".keys", "write sha256: and the 64 hexadecimal digits that `finchspoke settings hash-key` prints",
+			c.report(where, "branches."+branch.Path+".keys", "write sha256: and the 64 hexadecimal digits that `finchspoke settings hash-key` prints",
 				"a key must be given as its SHA-256 hash")
 			continue
 		}
-		c.unique(where, "key", hash.String())
+		c.requireUnique(where, "key", hash.String())
 		c.tree.keys.Add(hash, branch.Path)
 	}
 }
 
-// override applies what the branch sets itself and records where it stands.
-func (c *checker) override(at place, branch *Branch, document BranchDocument) {
+// applyOverrides applies the values that the branch itself sets and records their origins.
+func (c *checker) applyOverrides(at location, branch *Branch, document BranchDocument) {
 	label := "branches." + branch.Path + "."
-	set := func(name string) place {
+	recordOrigin := func(name string) location {
 		where := at.child(name)
 		branch.Origins[name] = Origin{Branch: branch.Path, at: where}
 		return where
 	}
 	values := &branch.Values
 	if len(document.Allow) > 0 {
-		where := set("allow")
+		where := recordOrigin("allow")
 		values.Allow = document.Allow
 		for _, pattern := range document.Allow {
 			if _, err := path.Match(pattern, ""); err != nil {
-				c.fail(where, label+"allow", "use * and ? as wildcards", "pattern %q is not valid", pattern)
+				c.report(where, label+"allow", "use * and ? as wildcards", "pattern %q is not valid", pattern)
 			}
 		}
 	}
 	if document.Class != "" {
-		where := set("class")
+		where := recordOrigin("class")
 		class, err := request.ParseClass(document.Class)
 		if err != nil {
-			c.fail(where, label+"class", "use interactive, standard or bulk", "%v", err)
+			c.report(where, label+"class", "use interactive, standard or bulk", "%v", err)
 		}
 		values.Class = class
 	}
@@ -84,80 +84,80 @@
 				continue
 			}
 			name := "deadlines." + request.Class(class).String()
-			values.Deadlines[class] = c.duration(set(name), label+name, text)
+			values.Deadlines[class] = c.duration(recordOrigin(name), label+name, text)
 		}
 	}
 	if document.Limits != nil {
-		c.limits(at.child("limits"), label+"limits.", document.Limits, &values.Limits, func(name string) { set("limits." + name) })
+		c.applyLimits(at.child("limits"), label+"limits.", document.Limits, &values.Limits, func(name string) { recordOrigin("limits." + name) })
 	}
 	if document.Share != nil {
-		c.atLeast(set("share"), label+"share", *document.Share, 1)
+		c.requireAtLeast(recordOrigin("share"), label+"share", *document.Share, 1)
 		values.Share = *document.Share
 	}
 	if document.MaxBody != "" {
-		values.MaxBody = c.size(set("max_body"), label+"max_body", document.MaxBody)
+		values.MaxBody = c.size(recordOrigin("max_body"), label+"max_body", document.MaxBody)
 	}
 	if document.Placement != nil {
-		c.placement(at.child("placement"), label+"placement.", document.Placement, values, func(name string) {
-			set("placement." + name)
+		c.applyPlacement(at.child("placement"), label+"placement.", document.Placement, values, func(name string) {
+			recordOrigin("placement." + name)
 		})
 	}
 }
 
-// limits applies overrides of limits.
-func (c *checker) limits(at place, label string, document *LimitsDocument, values *Limits, set func(string)) {
-	whole := func(name string, given *int, least int, into *int) {
-		if given != nil {
-			set(name)
-			c.atLeast(at.child(name), label+name, *given, least)
-			*into = *given
+// applyLimits applies the limits that a branch sets.
+func (c *checker) applyLimits(at location, label string, document *LimitsDocument, values *Limits, recordOrigin func(string)) {
+	integer := func(name string, value *int, minimum int, target *int) {
+		if value != nil {
+			recordOrigin(name)
+			c.requireAtLeast(at.child(name), label+name, *value, minimum)
+			*target = *value
 		}
 	}
-	whole("max_waiting", document.MaxWaiting, 1, &values.MaxWaiting)
-	whole("max_running", document.MaxRunning, 0, &values.MaxRunning)
-	whole("tokens_per_minute", document.TokensPerMinute, 0, &values.TokensPerMinute)
+	integer("max_waiting", document.MaxWaiting, 1, &values.MaxWaiting)
+	integer("max_running", document.MaxRunning, 0, &values.MaxRunning)
+	integer("tokens_per_minute", document.TokensPerMinute, 0, &values.TokensPerMinute)
 	if document.RequestsPerSecond != nil {
-		set("requests_per_second")
+		recordOrigin("requests_per_second")
 		if *document.RequestsPerSecond < 0 {
-			c.fail(at.child("requests_per_second"), label+"requests_per_second", "use 0 for no limit, or more", "%v is below 0", *document.RequestsPerSecond)
+			c.report(at.child("requests_per_second"), label+"requests_per_second", "use 0 for no limit, or more", "%v is below 0", *document.RequestsPerSecond)
 		}
 		values.RequestsPerSecond = *document.RequestsPerSecond
 	}
 }
 
-// placement applies placement overrides to values.
-func (c *checker) placement(at place, label string, document *PlacementDocument, values *Values, set func(string)) {
+// applyPlacement applies the placement values that a branch or model sets.
+func (c *checker) applyPlacement(at location, label string, document *PlacementDocument, values *Values, recordOrigin func(string)) {
 	if document.MinReplicas != nil {
-		set("min_replicas")
-		c.atLeast(at.child("min_replicas"), label+"min_replicas", *document.MinReplicas, 0)
+		recordOrigin("min_replicas")
+		c.requireAtLeast(at.child("min_replicas"), label+"min_replicas", *document.MinReplicas, 0)
 		values.MinReplicas = *document.MinReplicas
 	}
 	if document.MaxReplicas != nil {
-		set("max_replicas")
-		c.atLeast(at.child("max_replicas"), label+"max_replicas", *document.MaxReplicas, 1)
+		recordOrigin("max_replicas")
+		c.requireAtLeast(at.child("max_replicas"), label+"max_replicas", *document.MaxReplicas, 1)
 		values.MaxReplicas = *document.MaxReplicas
 	}
 	if document.IdleAfter != "" {
-		set("idle_after")
+		recordOrigin("idle_after")
 		values.IdleAfter = c.duration(at.child("idle_after"), label+"idle_after", document.IdleAfter)
 	}
 	if document.Concurrency != nil {
-		set("concurrency")
-		c.atLeast(at.child("concurrency"), label+"concurrency", *document.Concurrency, 1)
+		recordOrigin("concurrency")
+		c.requireAtLeast(at.child("concurrency"), label+"concurrency", *document.Concurrency, 1)
 		values.Concurrency = *document.Concurrency
 	}
 	if values.MinReplicas > values.MaxReplicas {
-		c.fail(at, label+"min_replicas", "lower min_replicas or raise max_replicas",
+		c.report(at, label+"min_replicas", "lower min_replicas or raise max_replicas",
 			"min_replicas %d is above max_replicas %d", values.MinReplicas, values.MaxReplicas)
 	}
 }
 
-func (c *checker) model(at place, branch *Branch, document ModelDocument) {
+func (c *checker) model(at location, branch *Branch, document ModelDocument) {
 	c.name(at, "model", document.Name)
 	label := "branches." + branch.Path + ".models." + document.Name
 	values := branch.Values
 	if document.Placement != nil {
-		c.placement(at.child("placement"), label+".placement.", document.Placement, &values, func(string) {})
+		c.applyPlacement(at.child("placement"), label+".placement.", document.Placement, &values, func(string) {})
 	}
 	model := &Model{
 		Name: document.Name, Branch: branch.Path, Service: document.Service, Version: document.Version,
@@ -168,14 +168,14 @@
 		IdleAfter: values.IdleAfter, Concurrency: values.Concurrency,
 	}
 	if document.AdapterSlots != nil {
-		c.atLeast(at.child("adapter_slots"), label+".adapter_slots", *document.AdapterSlots, 1)
+		c.requireAtLeast(at.child("adapter_slots"), label+".adapter_slots", *document.AdapterSlots, 1)
 		model.AdapterSlots = *document.AdapterSlots
 	}
 	if document.Version == "" {
-		c.fail(at, label+".version", `give a version such as "1"`, "the model has no version")
+		c.report(at, label+".version", `give a version such as "1"`, "the model has no version")
 	}
-	c.atLeast(at.child("accelerators"), label+".accelerators", document.Accelerators, 1)
-	c.fits(at, label, model)
+	c.requireAtLeast(at.child("accelerators"), label+".accelerators", document.Accelerators, 1)
+	c.checkCapacity(at, label, model)
 	c.tree.Models[model.Name] = model
 	c.tree.Targets[model.Name] = Target{Name: model.Name, Model: model.Name}
 	for index, adapter := range document.Adapters {
@@ -185,21 +185,21 @@
 	}
 }
 
-// fits checks that an empty engine of the service could hold the model.
-func (c *checker) fits(at place, label string, model *Model) {
+// checkCapacity reports a model that does not fit on an empty engine of its service.
+func (c *checker) checkCapacity(at location, label string, model *Model) {
 	service, known := c.tree.Services[model.Service]
 	if !known {
-		c.fail(at.child("service"), label+".service", "declare it under services or mend the name", "service %q is not declared", model.Service)
+		c.report(at.child("service"), label+".service", "declare it under services or correct the name", "service %q is not declared", model.Service)
 		return
 	}
 	model.ServiceRegions = service.Regions
 	if model.Accelerators > service.Accelerators {
-		c.fail(at.child("accelerators"), label+".accelerators", "lower it or use another service",
-			"the model needs %d accelerators and engines of %s have %d", model.Accelerators, service.Name, service.Accelerators)
+		c.report(at.child("accelerators"), label+".accelerators", "lower it or use another service",
+			"the model needs %d accelerators but engines of %s have %d", model.Accelerators, service.Name, service.Accelerators)
 	}
 	if model.MemoryBytes > service.AcceleratorMemoryBytes {
-		c.fail(at.child("memory"), label+".memory", "spread the model over more accelerators or use another service",
-			"the model needs %s on an accelerator and those of %s have %s",
+		c.report(at.child("memory"), label+".memory", "spread the model over more accelerators or use another service",
+			"the model needs %s per accelerator and those of %s have %s",
 			FormatSize(model.MemoryBytes), service.Name, FormatSize(service.AcceleratorMemoryBytes))
 	}
 }
--- a/settings/check_test.go
+++ b/settings/check_test.go
@@ -12,7 +12,7 @@
 	"github.com/finchspoke/finchspoke/settings"
 )
 
-const base = `regions:
+const baseYAML = `regions:
   - name: sk-west
     zones: [nitra-a]
     weight_store: {loads_per_second: 2, concurrent_loads: 8}
@@ -47,18 +47,18 @@
         allow: ["shared.*"]
 `
 
-func tree(text string) string {
+func treeYAML(text string) string {
 	return strings.Replace(text, "%KEY%", settings.HashKey("secret"), 1)
 }
 
 func parse(t *testing.T, text string) *settings.Tree {
 	t.Helper()
-	parsed, err := settings.Parse(settings.Source{Name: "tree.yaml", Data: []byte(tree(text))})
+	parsed, err := settings.Parse(settings.Source{Name: "tree.yaml", Data: []byte(treeYAML(text))})
 	require.NoError(t, err)
 	return parsed
 }
 
-func TestCheckNamesPlaceAndRemedy(t *testing.T) {
+func TestCheckReportsLocationAndRemedy(t *testing.T) {
 	for _, test := range []struct {
 		name, old, new string
 		line, column   int
@@ -68,19 +68,19 @@
 		{"class", "class: bulk", "class: quick", 13, 12, "unknown class"},
 		{"size without unit", "accelerator_memory: 24GiB", "accelerator_memory: 24", 10, 25, "no unit"},
 		{"unknown service", "service: lm\n        version", "service: ml\n        version", 16, 18, "not declared"},
-		{"too large a model", "memory: 6GiB\n        adapters", "memory: 60GiB\n        adapters", 19, 17, "needs 60GiB"},
+		{"model too large", "memory: 6GiB\n        adapters", "memory: 60GiB\n        adapters", 19, 17, "needs 60GiB"},
 		{"too many accelerators", "accelerators: 1\n        memory", "accelerators: 3\n        memory", 18, 23, "have 2"},
-		{"name twice", "name: private", "name: shared", 27, 19, "already declared at tree.yaml:15"},
+		{"duplicate name", "name: private", "name: shared", 27, 19, "already declared at tree.yaml:15"},
 		{"duration", "interactive: 5s", "interactive: 5", 25, 34, "not valid"},
 		{"unknown region", "regions: [sk-west]", "regions: [sk-east]", 7, 15, "not declared"},
-		{"no loads", "concurrent_loads: 8", "concurrent_loads: 0", 4, 59, "never load"},
-		{"plain key", "%KEY%", "secret", 24, 16, "hash"},
-		{"key twice in YAML", "    class: bulk", "    class: bulk\n    class: bulk", 14, 5, "class"},
+		{"no concurrent loads", "concurrent_loads: 8", "concurrent_loads: 0", 4, 59, "never load"},
+		{"unhashed key", "%KEY%", "secret", 24, 16, "hash"},
+		{"duplicate key in YAML", "    class: bulk", "    class: bulk\n    class: bulk", 14, 5, "class"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			text := strings.Replace(base, test.old, test.new, 1)
-			require.NotEqual(t, base, text)
-			_, problems := settings.Check(settings.Source{Name: "tree.yaml", Data: []byte(tree(text))})
+			text := strings.Replace(baseYAML, test.old, test.new, 1)
+			require.NotEqual(t, baseYAML, text)
+			_, problems := settings.Check(settings.Source{Name: "tree.yaml", Data: []byte(treeYAML(text))})
 			require.NotEmpty(t, problems)
 			problem := problems[0]
 			require.Contains(t, problem.Message, test.message)
@@ -93,7 +93,7 @@
 }
 
 func TestBranchesInheritAndOverride(t *testing.T) {
-	parsed := parse(t, base)
+	parsed := parse(t, baseYAML)
 	child, found := parsed.BranchForKey("secret")
 	require.True(t, found)
 	require.Equal(t, "root/child", child.Path)
@@ -114,18 +114,18 @@
 	require.False(t, found)
 }
 
-func TestAllowedFollowsDeclarationAndPatterns(t *testing.T) {
-	parsed := parse(t, base)
+func TestAllowedChecksDeclarationAndPatterns(t *testing.T) {
+	parsed := parse(t, baseYAML)
 	for _, test := range []struct {
 		branch, model string
 		allowed       bool
 	}{
 		{"root", "shared", true},
-		{"root", "private", false}, // declared below
+		{"root", "private", false}, // declared on a child branch
 		{"root/child", "private", true},
 		{"root/child", "shared.dairy", true},
 		{"root/narrow", "shared.dairy", true},
-		{"root/narrow", "shared", false}, // not matched
+		{"root/narrow", "shared", false}, // no matching pattern
 		{"root/child", "absent", false},
 	} {
 		_, _, allowed := parsed.Allowed(parsed.Branches[test.branch], test.model)
@@ -133,15 +133,15 @@
 	}
 }
 
-func TestDiffTellsListItemsByName(t *testing.T) {
-	before := parse(t, base).Document()
-	after := parse(t, strings.Replace(base, "interactive: 5s", "interactive: 6s", 1)).Document()
+func TestDiffMatchesListItemsByName(t *testing.T) {
+	before := parse(t, baseYAML).Document()
+	after := parse(t, strings.Replace(baseYAML, "interactive: 5s", "interactive: 6s", 1)).Document()
 	require.Empty(t, settings.Diff(before, before))
 	require.Equal(t, []settings.Change{{Path: "branches.root.branches.child.deadlines.interactive", Before: "5s", After: "6s"}},
 		settings.Diff(before, after))
 }
 
-func TestExamplesAreValidAtTheirTrueSize(t *testing.T) {
+func TestExamplesAreValidAtFullSize(t *testing.T) {
 	parsed, err := settings.Parse(examples.Sources()...)
 	require.NoError(t, err)
 	require.Len(t, parsed.Models, 50+65)
@@ -150,12 +150,12 @@
 	require.NoError(t, err)
 	again, err := settings.Parse(settings.Source{Name: "again", Data: text})
 	require.NoError(t, err)
-	require.Empty(t, settings.Diff(parsed.Document(), again.Document()), "canonical YAML loses nothing")
+	require.Empty(t, settings.Diff(parsed.Document(), again.Document()), "canonical YAML is lossless")
 }
 
-// FuzzCheck looks for input that breaks the checker rather than being refused.
+// FuzzCheck verifies that invalid input is reported as a problem and causes no panic.
 func FuzzCheck(f *testing.F) {
-	f.Add(tree(base))
+	f.Add(treeYAML(baseYAML))
 	f.Add("branches: [{name: a, branches: [{name: b}]}]")
 	f.Fuzz(func(_ *testing.T, text string) {
 		settings.Check(settings.Source{Name: "fuzz", Data: []byte(text)})
--- a/settings/diff.go
+++ b/settings/diff.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Change is one path whose value differs between two documents.
+// Change is a path whose value differs between two documents.
 type Change struct {
 	Path   string `json:"path"`
 	Before string `json:"before"` // empty when added
 	After  string `json:"after"`  // empty when removed
 }
 
-// String returns the change as a line of a diff.
+// String formats the change as a line of a diff.
 func (c Change) String() string {
 	switch {
 	case c.Before == "":
@@ -25,18 +25,18 @@
 	return fmt.Sprintf("~ %s: %s -> %s", c.Path, c.Before, c.After)
 }
 
-// Diff lists the changes from before to after, sorted by path. List items are
-// told apart by name, so that reordering is no change.
+// Diff lists the changes from before to after, sorted by path. List items are matched by
+// name, so their order does not matter.
 func Diff(before, after Document) []Change {
-	old, fresh := flatten(before), flatten(after)
+	previous, updated := flatten(before), flatten(after)
 	var changes []Change
-	for path, value := range old {
-		if fresh[path] != value {
-			changes = append(changes, Change{Path: path, Before: value, After: fresh[path]})
+	for path, value := range previous {
+		if updated[path] != value {
+			changes = append(changes, Change{Path: path, Before: value, After: updated[path]})
 		}
 	}
-	for path, value := range fresh {
-		if _, existed := old[path]; !existed {
+	for path, value := range updated {
+		if _, existed := previous[path]; !existed {
 			changes = append(changes, Change{Path: path, After: value})
 		}
 	}
@@ -44,7 +44,7 @@
 	return changes
 }
 
-// flatten lists every set value of a document by its path.
+// flatten maps the path of each set value of a document to the value.
 func flatten(document Document) map[string]string {
 	entries := map[string]string{}
 	flattenValue("", reflect.ValueOf(document), entries)
@@ -73,7 +73,7 @@
 func flattenStruct(path string, value reflect.Value, entries map[string]string) {
 	for index := range value.NumField() {
 		key, _, _ := strings.Cut(value.Type().Field(index).Tag.Get("yaml"), ",")
-		flattenValue(join(path, key), value.Field(index), entries)
+		flattenValue(joinPath(path, key), value.Field(index), entries)
 	}
 }
 
@@ -86,11 +86,11 @@
 	}
 	for index := range value.Len() {
 		item := value.Index(index)
-		flattenValue(join(path, item.FieldByName("Name").String()), item, entries)
+		flattenValue(joinPath(path, item.FieldByName("Name").String()), item, entries)
 	}
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
--- a/settings/problem.go
+++ b/settings/problem.go
@@ -7,12 +7,12 @@
 	"github.com/finchspoke/finchspoke/failure"
 )
 
-// Problem is one thing wrong with a settings source.
+// Problem is an error found in a settings source.
 type Problem struct {
 	File    string `json:"file"`
-	Line    int    `json:"line"`   // from 1; 0 when no place is known
+	Line    int    `json:"line"`   // from 1; 0 if unknown
 	Column  int    `json:"column"` // from 1
-	Path    string `json:"path"`   // for example branches.andina.models.pick-next.memory
+	Path    string `json:"path"`   // such as branches.andina.models.pick-next.memory
 	Message string `json:"message"`
 	Remedy  string `json:"remedy"`
 }
@@ -22,12 +22,12 @@
 	return fmt.Sprintf("%s:%d:%d: %s: %s (remedy: %s)", p.File, p.Line, p.Column, p.Path, p.Message, p.Remedy)
 }
 
-// problemsError joins problems into one failure.
+// problemsError combines problems into one error.
 func problemsError(problems []Problem) error {
 	lines := make([]string, 0, len(problems))
 	for _, problem := range problems {
 		lines = append(lines, problem.String())
 	}
-	return failure.New(failure.InvalidSettings, "mend the places named and check again",
+	return failure.New(failure.InvalidSettings, "correct the reported lines and check again",
 		"%d problem(s):\n%s", len(problems), strings.Join(lines, "\n"))
 }
--- a/settings/registry.go
+++ b/settings/registry.go
@@ -15,22 +15,21 @@
 	"github.com/finchspoke/finchspoke/kv"
 )
 
-// Keys in the key-value service. The current revision's whole record stands
-// under currentKey; each accepted revision also stands under its history key,
-// which is written once.
+// Keys in the key-value service. Each accepted revision is stored under its history
+// key, which is written once, and the current one also under currentKey.
 const (
 	KeyPrefix     = "/finchspoke/settings/"
 	currentKey    = KeyPrefix + "current"
 	historyPrefix = KeyPrefix + "history/"
-	// operationPrefix holds, for each operation id, the revision it made.
+	// operationPrefix maps each operation id to the revision it created.
 	operationPrefix = KeyPrefix + "operation/"
-	// historyKept is how many revisions the history holds.
-	historyKept = 100
-	maxYAML     = 64 * MiB
+	// historyLimit is how many revisions the history retains.
+	historyLimit = 100
+	maxYAMLBytes = 64 * MiB
 )
 
-// Record is a revision as stored. YAML is gzip-compressed: 880 models and 3,500
-// adapters change 1,300 times a day, and every daemon fetches each change.
+// Record is a revision as stored. Its YAML is gzip-compressed, because every daemon
+// fetches each revision.
 type Record struct {
 	Number      uint64    `json:"revision"`
 	OperationID string    `json:"operation_id"`
@@ -39,106 +38,107 @@
 	Compressed  []byte    `json:"yaml_gzip"`
 }
 
-// Registry is the record of accepted revisions in the key-value service.
+// Registry stores accepted revisions in the key-value service.
 type Registry struct {
 	store kv.Store
 	now   func() time.Time
 }
 
-// NewRegistry returns a registry that stamps revisions with now.
+// NewRegistry returns a registry that takes the time of revisions from now.
 func NewRegistry(store kv.Store, now func() time.Time) *Registry {
 	return &Registry{store: store, now: now}
 }
 
-// Application is an operator's wish to put a tree in force.
+// Application is an operator's request to make a tree the next revision.
 type Application struct {
-	BaseRevision uint64 // the revision the tree was diffed against
-	OperationID  string // makes a repeat safe when an answer was lost
+	BaseRevision uint64 // revision that the tree was diffed against
+	OperationID  string // makes a retry after a lost response idempotent
 	Author       string
 	Tree         *Tree
 }
 
-// Apply accepts a tree as the next revision. It refuses one whose base is no
-// longer current, naming the paths that changed since; a repeat of an accepted
-// operation returns the revision it made.
-func (r *Registry) Apply(ctx context.Context, application Application) (*Revision, error) {
+// Apply accepts a tree as the next revision. If the base revision is no longer current,
+// the error lists the paths changed since. A retry of an accepted operation returns the
+// revision that the operation created.
+func (r *Registry) Apply(ctx context.Context, request Application) (*Revision, error) {
 	current, modRevision, err := r.current(ctx)
 	if err != nil {
-		return nil, unavailable(err)
+		return nil, unavailableError(err)
 	}
-	if accepted, err := r.findOperation(ctx, application.OperationID); err != nil {
-		return nil, unavailable(err)
+	if accepted, err := r.findOperation(ctx, request.OperationID); err != nil {
+		return nil, unavailableError(err)
 	} else if accepted != nil {
-		return sameOperation(accepted, application)
+		return repeatedOperation(accepted, request)
 	}
-	if application.BaseRevision != current.Number {
-		return nil, r.conflict(ctx, application, current)
+	if request.BaseRevision != current.Number {
+		return nil, r.conflictError(ctx, request, current)
 	}
-	return r.commit(ctx, application, current.Number+1, modRevision)
+	return r.commit(ctx, request, current.Number+1, modRevision)
 }
 
-// sameOperation answers a repeat, and refuses an id used for something else.
-func sameOperation(accepted *Record, application Application) (*Revision, error) {
+// repeatedOperation returns the revision of a retried operation, or an error if the id was
+// used for different content.
+func repeatedOperation(accepted *Record, request Application) (*Revision, error) {
 	revision, err := Decode(*accepted)
 	if err != nil {
 		return nil, err
 	}
-	if changes := Diff(revision.Tree.Document(), application.Tree.Document()); len(changes) > 0 {
+	if changes := Diff(revision.Tree.Document(), request.Tree.Document()); len(changes) > 0 {
 		return nil, failure.New(failure.SettingsConflict, "use a new operation id for a new change",
-			"operation %s was already accepted as revision %d with other content", application.OperationID, accepted.Number)
+			"operation %s was already accepted as revision %d with different content", request.OperationID, accepted.Number)
 	}
 	return revision, nil
 }
 
-func (r *Registry) commit(ctx context.Context, application Application, number uint64, modRevision int64) (*Revision, error) {
-	text, err := Marshal(application.Tree.Document())
+func (r *Registry) commit(ctx context.Context, request Application, number uint64, modRevision int64) (*Revision, error) {
+	text, err := Marshal(request.Tree.Document())
 	if err != nil {
 		return nil, err
 	}
 	record := Record{
-		Number: number, OperationID: application.OperationID, Author: application.Author,
+		Number: number, OperationID: request.OperationID, Author: request.Author,
 		AppliedAt: r.now().UTC(), Compressed: gzipped.Compress(text),
 	}
 	value, err := json.Marshal(record)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode settings record")
 	}
-	// The history key comes first: it is written once, so it proves whether a
-	// commit whose answer was lost took effect even when others followed.
-	operationKey := operationPrefix + application.OperationID
+	// CommitResolved checks the first key to find out whether a commit without a response
+	// took effect. The history key is written once, so later revisions do not change it.
+	operationKey := operationPrefix + request.OperationID
 	txn := kv.Txn{
 		Conditions: []kv.Condition{{Key: historyKey(number)}, {Key: currentKey, ModRevision: modRevision}, {Key: operationKey}},
 		Puts: []kv.Put{{Key: historyKey(number), Value: value}, {Key: currentKey, Value: value},
 			{Key: operationKey, Value: []byte(strconv.FormatUint(number, 10))}},
-		Deletes: r.expired(ctx, number),
+		Deletes: r.expiredKeys(ctx, number),
 	}
 	result, err := kv.CommitResolved(ctx, r.store, txn)
 	if errors.Is(err, kv.ErrUncertain) {
 		return nil, failure.Wrap(err, failure.SettingsUncertain,
-			"repeat the command with the same operation id "+application.OperationID, "the change may or may not be accepted").
+			"repeat the command with the same operation id "+request.OperationID, "the change may or may not have been accepted").
 			WithExecution(failure.Unknown)
 	}
 	if err != nil {
-		return nil, unavailable(err)
+		return nil, unavailableError(err)
 	}
 	if !result.Succeeded {
 		newest, _, err := r.current(ctx)
 		if err != nil {
-			return nil, unavailable(err)
+			return nil, unavailableError(err)
 		}
-		return nil, r.conflict(ctx, application, newest)
+		return nil, r.conflictError(ctx, request, newest)
 	}
 	return &Revision{Number: number, OperationID: record.OperationID, Author: record.Author, AppliedAt: record.AppliedAt,
-		YAML: text, Tree: application.Tree}, nil
+		YAML: text, Tree: request.Tree}, nil
 }
 
-// expired returns the keys of the revision that leaves the history. If it cannot
-// be read now, its operation id stays, which is harmless.
-func (r *Registry) expired(ctx context.Context, number uint64) []string {
-	if number <= historyKept {
+// expiredKeys returns the keys of the revision that drops out of the history. If that
+// revision cannot be read, its operation key stays, which is harmless.
+func (r *Registry) expiredKeys(ctx context.Context, number uint64) []string {
+	if number <= historyLimit {
 		return nil
 	}
-	oldest := historyKey(number - historyKept)
+	oldest := historyKey(number - historyLimit)
 	pair, found, err := r.store.Get(ctx, oldest)
 	if err != nil || !found {
 		return nil
@@ -150,13 +150,13 @@
 	return []string{oldest, operationPrefix + record.OperationID}
 }
 
-// conflict names what changed between the application's base and the newest.
-func (r *Registry) conflict(ctx context.Context, application Application, newest Record) error {
+// conflictError lists the paths changed between the request's base and the newest revision.
+func (r *Registry) conflictError(ctx context.Context, request Application, newest Record) error {
 	remedy := fmt.Sprintf("diff against revision %d, merge, and apply with --base-revision %d", newest.Number, newest.Number)
-	base, err := r.Get(ctx, application.BaseRevision)
+	base, err := r.Get(ctx, request.BaseRevision)
 	if err != nil {
 		return failure.New(failure.SettingsConflict, remedy,
-			"the base revision %d is not the current revision %d, and is no longer in the history", application.BaseRevision, newest.Number)
+			"the base revision %d is not the current revision %d and is no longer in the history", request.BaseRevision, newest.Number)
 	}
 	current, err := Decode(newest)
 	if err != nil {
@@ -164,17 +164,17 @@
 	}
 	paths := changedPaths(Diff(base.Tree.Document(), current.Tree.Document()))
 	return failure.New(failure.SettingsConflict, remedy,
-		"revision %d replaced your base %d; changed since: %s", newest.Number, application.BaseRevision, strings.Join(paths, ", "))
+		"revision %d replaced the base revision %d; changed since: %s", newest.Number, request.BaseRevision, strings.Join(paths, ", "))
 }
 
-// maxPathsNamed keeps a conflict readable.
-const maxPathsNamed = 20
+// maxConflictPaths limits the paths listed in a conflict error.
+const maxConflictPaths = 20
 
 func changedPaths(changes []Change) []string {
 	var paths []string
 	for _, change := range changes {
-		if len(paths) == maxPathsNamed {
-			return append(paths, fmt.Sprintf("and %d more", len(changes)-maxPathsNamed))
+		if len(paths) == maxConflictPaths {
+			return append(paths, fmt.Sprintf("and %d more", len(changes)-maxConflictPaths))
 		}
 		paths = append(paths, change.Path)
 	}
@@ -188,20 +188,20 @@
 	}
 	pair, found, err := r.store.Get(ctx, historyKey(number))
 	if err != nil {
-		return nil, unavailable(err)
+		return nil, unavailableError(err)
 	}
 	if !found {
-		return nil, failure.New(failure.InvalidRequest, "list the revisions kept with `finchspoke settings history`",
+		return nil, failure.New(failure.InvalidRequest, "list the retained revisions with `finchspoke settings history`",
 			"revision %d is not in the history", number)
 	}
 	return DecodeValue(pair.Value)
 }
 
-// History returns the accepted revisions that are kept, oldest first.
+// History returns the retained revisions, oldest first.
 func (r *Registry) History(ctx context.Context) ([]Record, error) {
 	pairs, _, err := r.store.List(ctx, historyPrefix)
 	if err != nil {
-		return nil, unavailable(err)
+		return nil, unavailableError(err)
 	}
 	records := make([]Record, 0, len(pairs))
 	for _, pair := range pairs {
@@ -214,9 +214,9 @@
 	return records, nil
 }
 
-// Follow puts each accepted revision in force in store until ctx ends. report is
-// told of a revision that this daemon cannot read.
-func (r *Registry) Follow(ctx context.Context, store *Store, report func(error)) error {
+// Follow advances store to each accepted revision until ctx ends. It calls onError for a
+// revision that this daemon cannot read.
+func (r *Registry) Follow(ctx context.Context, store *Store, onError func(error)) error {
 	return kv.Follow(ctx, r.store, currentKey, func(event kv.Event) {
 		if event.Deleted {
 			return
@@ -230,7 +230,7 @@
 			revision, err = Decode(record)
 		}
 		if err != nil {
-			report(err)
+			onError(err)
 			return
 		}
 		store.Advance(revision)
@@ -246,13 +246,13 @@
 	return record, pair.ModRevision, err
 }
 
-// findOperation returns the record that an operation made, if it was accepted.
+// findOperation returns the record that an operation created, or nil if there is none.
 func (r *Registry) findOperation(ctx context.Context, operationID string) (*Record, error) {
-	made, found, err := r.store.Get(ctx, operationPrefix+operationID)
+	operation, found, err := r.store.Get(ctx, operationPrefix+operationID)
 	if err != nil || !found {
 		return nil, err
 	}
-	number, err := strconv.ParseUint(string(made.Value), 10, 64)
+	number, err := strconv.ParseUint(string(operation.Value), 10, 64)
 	if err != nil {
 		return nil, errors.Wrap(err, "read operation record")
 	}
@@ -264,9 +264,9 @@
 	return &record, err
 }
 
-// Decode checks and resolves a stored record.
+// Decode decompresses, checks and resolves a stored record.
 func Decode(record Record) (*Revision, error) {
-	text, err := gzipped.Decompress(record.Compressed, maxYAML)
+	text, err := gzipped.Decompress(record.Compressed, maxYAMLBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -280,7 +280,7 @@
 	}, nil
 }
 
-// DecodeValue is Decode for a value as stored.
+// DecodeValue decodes a record as stored in the key-value service.
 func DecodeValue(value []byte) (*Revision, error) {
 	record, err := decodeRecord(value)
 	if err != nil {
@@ -289,7 +289,7 @@
 	return Decode(record)
 }
 
-// Encode is the reverse of Decode.
+// Encode converts a revision to a record; it is the reverse of Decode.
 func Encode(revision *Revision) Record {
 	return Record{
 		Number: revision.Number, OperationID: revision.OperationID, Author: revision.Author,
@@ -307,11 +307,11 @@
 
 func historyKey(number uint64) string { return fmt.Sprintf("%s%020d", historyPrefix, number) }
 
-func unavailable(err error) error {
+func unavailableError(err error) error {
 	var typed *failure.Error
 	if errors.As(err, &typed) {
 		return err
 	}
-	return failure.Wrap(err, failure.Unavailable, "try again when the key-value service answers",
-		"the key-value service did not answer; nothing was changed")
+	return failure.Wrap(err, failure.Unavailable, "retry when the key-value service responds",
+		"the key-value service did not respond; nothing was changed")
 }
--- a/settings/registry_test.go
+++ b/settings/registry_test.go
@@ -23,19 +23,19 @@
 	return settings.NewRegistry(kv.NewClient(strings.TrimPrefix(server.URL, "http://")), time.Now), service
 }
 
-func apply(registry *settings.Registry, base uint64, operation string, parsed *settings.Tree) (*settings.Revision, error) {
+func apply(registry *settings.Registry, baseRevision uint64, operation string, tree *settings.Tree) (*settings.Revision, error) {
 	return registry.Apply(context.Background(), settings.Application{
-		BaseRevision: base, OperationID: operation, Author: "test", Tree: parsed})
+		BaseRevision: baseRevision, OperationID: operation, Author: "test", Tree: tree})
 }
 
-func TestApplyRefusesARacerAndNamesThePaths(t *testing.T) {
+func TestApplyRefusesStaleBaseAndListsChangedPaths(t *testing.T) {
 	registry, _ := newRegistry(t)
-	first, err := apply(registry, 0, "one", parse(t, base))
+	first, err := apply(registry, 0, "one", parse(t, baseYAML))
 	require.NoError(t, err)
 	require.EqualValues(t, 1, first.Number)
-	_, err = apply(registry, 1, "two", parse(t, strings.Replace(base, "interactive: 5s", "interactive: 6s", 1)))
+	_, err = apply(registry, 1, "two", parse(t, strings.Replace(baseYAML, "interactive: 5s", "interactive: 6s", 1)))
 	require.NoError(t, err)
-	_, err = apply(registry, 1, "three", parse(t, base))
+	_, err = apply(registry, 1, "three", parse(t, baseYAML))
 	require.True(t, failure.Is(err, failure.SettingsConflict))
 	require.Contains(t, err.Error(), "branches.root.branches.child.deadlines.interactive")
 	require.Contains(t, err.Error(), "--base-revision 2")
@@ -46,19 +46,19 @@
 
 func TestApplyIsSafeToRepeat(t *testing.T) {
 	registry, _ := newRegistry(t)
-	_, err := apply(registry, 0, "one", parse(t, base))
+	_, err := apply(registry, 0, "one", parse(t, baseYAML))
 	require.NoError(t, err)
-	again, err := apply(registry, 0, "one", parse(t, base))
+	again, err := apply(registry, 0, "one", parse(t, baseYAML))
 	require.NoError(t, err)
 	require.EqualValues(t, 1, again.Number)
-	_, err = apply(registry, 0, "one", parse(t, strings.Replace(base, "class: bulk", "class: standard", 1)))
-	require.True(t, failure.Is(err, failure.SettingsConflict), "an id names one change")
+	_, err = apply(registry, 0, "one", parse(t, strings.Replace(baseYAML, "class: bulk", "class: standard", 1)))
+	require.True(t, failure.Is(err, failure.SettingsConflict), "an operation id identifies one change")
 }
 
-func TestApplySettlesLostAnswers(t *testing.T) {
+func TestApplyResolvesLostResponses(t *testing.T) {
 	registry, service := newRegistry(t)
 	service.Faults.Set(keyvalue.Faults{LoseAnswers: 60})
-	parsed := parse(t, base)
+	parsed := parse(t, baseYAML)
 	for number := range uint64(20) {
 		revision, err := apply(registry, number, "operation-"+string(rune('a'+number)), parsed)
 		require.NoError(t, err)
@@ -73,25 +73,25 @@
 	require.Positive(t, lost, "the fault was active")
 }
 
-func TestFollowNeverGoesBack(t *testing.T) {
+func TestFollowNeverAppliesOlderRevision(t *testing.T) {
 	registry, service := newRegistry(t)
-	parsed := parse(t, base)
+	parsed := parse(t, baseYAML)
 	_, err := apply(registry, 0, "one", parsed)
 	require.NoError(t, err)
 	store := &settings.Store{}
-	seen := make(chan uint64, 10)
-	store.Listen(func(revision *settings.Revision) { seen <- revision.Number })
+	applied := make(chan uint64, 10)
+	store.Subscribe(func(revision *settings.Revision) { applied <- revision.Number })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = registry.Follow(ctx, store, func(error) {}) }()
-	require.EqualValues(t, 1, <-seen)
+	require.EqualValues(t, 1, <-applied)
 	service.Faults.Set(keyvalue.Faults{Outage: true})
 	_, err = apply(registry, 1, "two", parsed)
 	require.Error(t, err)
 	service.Faults.Set(keyvalue.Faults{})
 	_, err = apply(registry, 1, "two", parsed)
 	require.NoError(t, err)
-	require.EqualValues(t, 2, <-seen)
+	require.EqualValues(t, 2, <-applied)
 	require.False(t, store.Advance(&settings.Revision{Number: 1}))
 	require.EqualValues(t, 2, store.Number())
 }
--- a/settings/render.go
+++ b/settings/render.go
@@ -12,21 +12,20 @@
 	"github.com/finchspoke/finchspoke/request"
 )
 
-// Resolved is one value of a branch as it is in force.
+// Resolved is the effective value of a setting on a branch.
 type Resolved struct {
 	Name   string `json:"name"`
 	Value  string `json:"value"`
 	Origin Origin `json:"origin"`
 }
 
-// Marshal writes a document as canonical YAML.
+// Marshal encodes a document as canonical YAML.
 func Marshal(document Document) ([]byte, error) {
 	text, err := yaml.Marshal(document)
-	return text, errors.Wrap(err, "write settings as YAML")
+	return text, errors.Wrap(err, "encode settings as YAML")
 }
 
-// Resolve lists the values in force for a branch, with the branch and line that
-// set each.
+// Resolve lists the effective values of a branch with the branch and line that set each.
 func (t *Tree) Resolve(branch *Branch) []Resolved {
 	values := branch.Values
 	resolved := []Resolved{
@@ -51,7 +50,7 @@
 	for index := range resolved {
 		origin := branch.Origins[resolved[index].Name]
 		if origin.Branch != "" {
-			origin.Position = t.set.position(origin.at)
+			origin.Position = t.positions.position(origin.at)
 		}
 		resolved[index].Origin = origin
 	}
@@ -65,7 +64,7 @@
 	return fmt.Sprint(limit)
 }
 
-// Render writes every branch with its resolved values.
+// Render writes the resolved values of all branches as text.
 func Render(writer io.Writer, tree *Tree, withOrigin bool) error {
 	for _, branchPath := range tree.BranchPaths() {
 		if _, err := fmt.Fprintf(writer, "%s:\n", branchPath); err != nil {
@@ -84,7 +83,7 @@
 	return nil
 }
 
-// BranchPaths returns the paths of all branches in order.
+// BranchPaths returns the paths of all branches, sorted.
 func (t *Tree) BranchPaths() []string {
 	paths := make([]string, 0, len(t.Branches))
 	for branchPath := range t.Branches {
@@ -94,7 +93,7 @@
 	return paths
 }
 
-// String says where a value comes from.
+// String describes the origin as a branch and a line, or as the built-in default.
 func (o Origin) String() string {
 	if o.Branch == "" {
 		return "built-in default"
--- a/settings/source.go
+++ b/settings/source.go
@@ -11,14 +11,14 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// Source is one YAML file of a settings tree.
+// Source is a YAML file of a settings tree.
 type Source struct {
 	Name string // file name, for messages
 	Data []byte
 }
 
-// place is where a value stands: a source and a YAML path within it.
-type place struct {
+// location identifies a value by its source and its YAML path.
+type location struct {
 	source int
 	yaml   string // goccy path such as $.branches[0].models[2].memory
 }
@@ -30,8 +30,8 @@
 	Column int    `json:"column"`
 }
 
-// sourceSet finds positions in sources. The syntax trees are parsed on first
-// use only: a daemon that loads a good tree never needs them.
+// sourceSet finds positions in sources. It parses syntax trees on first use, because they
+// are needed only to report problems and origins.
 type sourceSet struct {
 	sources []Source
 	files   []*ast.File
@@ -41,13 +41,13 @@
 	return &sourceSet{sources: sources, files: make([]*ast.File, len(sources))}
 }
 
-func (s *sourceSet) position(at place) Position {
+func (s *sourceSet) position(at location) Position {
 	position := Position{File: s.sources[at.source].Name, Line: 1, Column: 1}
 	file := s.file(at.source)
 	if file == nil {
 		return position
 	}
-	// A value that is missing has no node: its nearest parent is shown.
+	// A missing value has no node; its nearest parent's position is returned.
 	for text := at.yaml; text != "$" && text != ""; text = parentPath(text) {
 		path, err := yaml.PathString(text)
 		if err != nil {
@@ -65,11 +65,11 @@
 	return position
 }
 
-type tokenPlace struct{ Line, Column int }
+type tokenPosition struct{ Line, Column int }
 
-// firstToken returns where a node begins; a mapping's own token is the colon
-// of its first entry, so its first key is used.
-func firstToken(node ast.Node) tokenPlace {
+// firstToken returns the position where a node begins. The token of a mapping is the
+// colon of its first entry, so the first key is used.
+func firstToken(node ast.Node) tokenPosition {
 	if mapping, ok := node.(*ast.MappingNode); ok && len(mapping.Values) > 0 {
 		node = mapping.Values[0].Key
 	}
@@ -77,7 +77,7 @@
 		node = entry.Key
 	}
 	token := node.GetToken()
-	return tokenPlace{token.Position.Line, token.Position.Column}
+	return tokenPosition{token.Position.Line, token.Position.Column}
 }
 
 func (s *sourceSet) file(index int) *ast.File {
@@ -99,7 +99,7 @@
 	return path[:cut]
 }
 
-// decode reads one source strictly: unknown and repeated keys are refused.
+// decode parses a source strictly: unknown and duplicate keys are problems.
 func decode(source Source) (Document, *Problem) {
 	var document Document
 	decoder := yaml.NewDecoder(bytes.NewReader(source.Data), yaml.Strict())
@@ -109,11 +109,11 @@
 	}
 	problem := &Problem{File: source.Name, Line: 1, Column: 1, Path: "(file)", Message: err.Error(),
 		Remedy: "see docs/OPERATIONS.md for the keys a settings file may hold"}
-	var located yaml.Error
-	if stderrors.As(err, &located) && located.GetToken() != nil {
-		problem.Line = located.GetToken().Position.Line
-		problem.Column = located.GetToken().Position.Column
-		problem.Message = located.GetMessage()
+	var yamlErr yaml.Error
+	if stderrors.As(err, &yamlErr) && yamlErr.GetToken() != nil {
+		problem.Line = yamlErr.GetToken().Position.Line
+		problem.Column = yamlErr.GetToken().Position.Column
+		problem.Message = yamlErr.GetMessage()
 	}
 	return document, problem
 }
--- a/settings/store.go
+++ b/settings/store.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Revision is one accepted state of the settings.
+// Revision is an accepted version of the settings.
 type Revision struct {
 	Number      uint64
 	OperationID string
@@ -15,21 +15,21 @@
 	Tree        *Tree
 }
 
-// Store keeps the newest accepted revision in force. It never goes back.
+// Store holds the newest accepted revision. It never returns to an older one.
 type Store struct {
 	mutex     sync.RWMutex
 	current   *Revision
 	listeners []func(*Revision)
 }
 
-// Current returns the revision in force, or nil before the first.
+// Current returns the revision in effect, or nil before the first.
 func (s *Store) Current() *Revision {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	return s.current
 }
 
-// Number returns the number of the revision in force; zero before the first.
+// Number returns the number of the revision in effect, or zero before the first.
 func (s *Store) Number() uint64 {
 	if current := s.Current(); current != nil {
 		return current.Number
@@ -37,14 +37,14 @@
 	return 0
 }
 
-// Listen registers a function to call after each advance.
-func (s *Store) Listen(listener func(*Revision)) {
+// Subscribe registers a function to call after each advance.
+func (s *Store) Subscribe(listener func(*Revision)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.listeners = append(s.listeners, listener)
 }
 
-// Advance puts a revision in force if it is newer, and tells whether it was.
+// Advance makes a revision effective if it is newer and reports whether it was.
 func (s *Store) Advance(revision *Revision) bool {
 	s.mutex.Lock()
 	if s.current != nil && revision.Number <= s.current.Number {
--- a/settings/tree.go
+++ b/settings/tree.go
@@ -10,17 +10,17 @@
 
 // Tree is a checked and resolved settings tree. It is read-only once built.
 type Tree struct {
-	Regions  map[string]Region
-	Services map[string]Service
-	Models   map[string]*Model    // by model name
-	Targets  map[string]Target    // every name a caller may ask for
-	Branches map[string]*Branch   // by path, for example andina/handhelds
-	keys     callers.Keys[string] // owners are branch paths
-	document Document
-	set      *sourceSet // to find positions when they are asked for
+	Regions   map[string]Region
+	Services  map[string]Service
+	Models    map[string]*Model    // by model name
+	Targets   map[string]Target    // models and adapters, by name
+	Branches  map[string]*Branch   // by path, for example andina/handhelds
+	keys      callers.Keys[string] // owners are branch paths
+	document  Document
+	positions *sourceSet // sources of the origins of values
 }
 
-// Region is a region, its zones and its weight store's limits.
+// Region is a region with its zones and the limits of its weight store.
 type Region struct {
 	Name            string
 	Zones           []string
@@ -28,7 +28,7 @@
 	ConcurrentLoads int
 }
 
-// Service is a pool of equal engines.
+// Service is a pool of identical engines.
 type Service struct {
 	Name                   string
 	Regions                []string
@@ -37,41 +37,41 @@
 	AcceleratorMemoryBytes int64
 }
 
-// Model is a model with its placement values resolved.
+// Model is a model with resolved placement values.
 type Model struct {
 	Name           string
 	Branch         string // path of the declaring branch
 	Service        string
 	Version        string
 	Accelerators   int
-	MemoryBytes    int64 // on each accelerator
-	AdapterSlots   int   // adapters loaded at once on a replica
+	MemoryBytes    int64 // per accelerator
+	AdapterSlots   int   // adapters loaded at once per replica
 	Adapters       []string
 	MinReplicas    int
 	MaxReplicas    int
 	IdleAfter      time.Duration
-	Concurrency    int // requests at once on a replica
+	Concurrency    int // concurrent requests per replica
 	ServiceRegions []string
 }
 
-// Target is what a caller may name: a model, or an adapter of one.
+// Target is a name that callers can request: a model or an adapter.
 type Target struct {
 	Name  string
 	Model string // the base model
 }
 
-// IsAdapter tells whether the target is an adapter.
+// IsAdapter reports whether the target is an adapter.
 func (t Target) IsAdapter() bool { return t.Name != t.Model }
 
-// Branch is a branch with what it inherits filled in.
+// Branch is a branch with its inherited values.
 type Branch struct {
 	Path    string
 	Values  Values
 	Origins map[string]Origin // by value name, such as deadlines.bulk
-	chain   []string          // paths from the outermost ancestor to itself
+	chain   []string          // paths from the root branch to this one
 }
 
-// Values are the settings a branch inherits or overrides.
+// Values are the settings that a branch inherits or overrides.
 type Values struct {
 	Allow       []string
 	Class       request.Class
@@ -85,7 +85,7 @@
 	Concurrency int
 }
 
-// Limits bound what a branch asks of one model in one region; zero is no limit.
+// Limits bound a branch's requests for one model in one region; zero means no limit.
 type Limits struct {
 	MaxWaiting        int
 	MaxRunning        int
@@ -93,14 +93,14 @@
 	TokensPerMinute   int
 }
 
-// Origin says which branch set a value; Tree.Resolve finds its position.
+// Origin identifies the branch that set a value. Tree.Resolve fills in Position.
 type Origin struct {
 	Branch   string   `json:"branch"` // empty for a built-in default
 	Position Position `json:"position"`
-	at       place
+	at       location
 }
 
-// defaultValues is what the outermost branches inherit.
+// defaultValues returns the values that top-level branches inherit.
 func defaultValues() Values {
 	return Values{
 		Allow:       []string{"*"},
@@ -116,15 +116,15 @@
 	}
 }
 
-// Document returns the tree as written, all sources in one.
+// Document returns all sources of the tree merged into one document.
 func (t *Tree) Document() Document { return t.document }
 
-// HashKey returns the form in which an API key stands in the settings.
+// HashKey returns the hash of an API key in the format used in settings.
 func HashKey(key string) string {
 	return keyPrefix + callers.Hash(key).String()
 }
 
-// BranchForKey returns the branch that an API key belongs to.
+// BranchForKey returns the branch that an API key authenticates.
 func (t *Tree) BranchForKey(key string) (*Branch, bool) {
 	branchPath, found := t.keys.Owner(callers.Hash(key))
 	if !found {
@@ -133,8 +133,8 @@
 	return t.Branches[branchPath], true
 }
 
-// Allowed returns the target if the branch may use it: its model is declared on
-// the branch or above it, and the branch's allow patterns match its name.
+// Allowed returns the target and its model if the branch may use it: the model is declared
+// on the branch or one of its ancestors, and an allow pattern of the branch matches name.
 func (t *Tree) Allowed(branch *Branch, name string) (Target, *Model, bool) {
 	target, found := t.Targets[name]
 	if !found {
--- a/settings/units.go
+++ b/settings/units.go
@@ -23,7 +23,7 @@
 
 var sizeUnits = []sizeUnit{{"GiB", GiB}, {"MiB", MiB}, {"KiB", KiB}}
 
-// ParseSize reads a byte size such as 24GiB, 512MiB or 1.5GiB.
+// ParseSize parses a byte size such as 24GiB, 512MiB or 1.5GiB.
 func ParseSize(text string) (int64, error) {
 	for _, unit := range sizeUnits {
 		number, found := strings.CutSuffix(text, unit.suffix)
@@ -43,7 +43,7 @@
 	return 0, errors.Errorf("size %q has no unit; write it like 24GiB, 512MiB or 64KiB", text)
 }
 
-// FormatSize writes a byte size with the largest unit that divides it.
+// FormatSize formats a byte size with the largest unit that divides it.
 func FormatSize(bytes int64) string {
 	for _, unit := range sizeUnits {
 		if bytes >= unit.bytes && bytes%unit.bytes == 0 {
