--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and checks a daemon's own settings file: addresses, zone,
-// peers and platform endpoints. What the system serves is in package settings.
+// Package config reads and validates a daemon's own settings file: addresses, zone, peers
+// and platform endpoints. Package settings describes the models that the system serves.
 package config
 
 import (
@@ -17,29 +17,29 @@
 	"github.com/finchspoke/finchspoke/failure"
 )
 
-// Config is a daemon's settings file. All addresses are an IP number and a port.
+// Config is a daemon's settings file. Addresses consist of an IP address and a port.
 type Config struct {
-	// ID is unique to the daemon; the advertised rpc address if empty.
+	// ID uniquely identifies the daemon; it defaults to the advertised RPC address.
 	ID       string   `yaml:"id"`
 	Region   string   `yaml:"region" validate:"required"`
 	Zone     string   `yaml:"zone" validate:"required"`
 	Listen   Listen   `yaml:"listen"`
-	Peers    []string `yaml:"peers" validate:"dive,address"` // rpc addresses of some daemons
+	Peers    []string `yaml:"peers" validate:"dive,address"` // RPC addresses of some daemons
 	Platform Platform `yaml:"platform"`
-	// OperatorToken, when set, is asked of operators as a bearer token.
+	// OperatorToken is the bearer token required of operators; none is required if empty.
 	OperatorToken string `yaml:"operator_token"`
 	// GossipKeys authenticate membership packets: the first signs, any verifies.
 	GossipKeys     []string `yaml:"gossip_keys" validate:"dive,min=16"`
 	MaxConnections int      `yaml:"max_connections" validate:"min=1"`
-	// DrainTimeout bounds how long a planned stop waits for running requests.
+	// DrainTimeout limits how long a graceful shutdown waits for running requests.
 	DrainTimeout time.Duration `yaml:"drain_timeout" validate:"min=0"`
-	// ProbeInterval is the time between membership probes.
+	// ProbeInterval is the interval between membership probes.
 	ProbeInterval time.Duration `yaml:"probe_interval" validate:"min=10ms"`
 	LogLevel      string        `yaml:"log_level" validate:"oneof=debug info warn error"`
 	TLS           TLS           `yaml:"tls"`
 }
 
-// Listen holds the addresses to listen on; port 0 takes a free one.
+// Listen holds the addresses to listen on; port 0 selects a free port.
 type Listen struct {
 	Gateway string `yaml:"gateway" validate:"address"` // callers, HTTP
 	RPC     string `yaml:"rpc" validate:"address"`     // daemons, TCP
@@ -47,19 +47,19 @@
 	Admin   string `yaml:"admin" validate:"address"`   // operators, HTTP
 }
 
-// Platform holds the addresses of the platform's systems.
+// Platform holds the addresses of the platform's services.
 type Platform struct {
 	KeyValue    string `yaml:"key_value" validate:"address"`
 	MachineList string `yaml:"machine_list" validate:"address"`
 }
 
-// TLS, when set, makes the gateway serve HTTPS.
+// TLS holds the certificate for HTTPS on the gateway, which serves HTTP without it.
 type TLS struct {
 	CertificateFile string `yaml:"certificate_file" validate:"required_with=KeyFile"`
 	KeyFile         string `yaml:"key_file" validate:"required_with=CertificateFile"`
 }
 
-// Default returns the settings that hold where a file says nothing.
+// Default returns the default settings.
 func Default() Config {
 	return Config{
 		Listen: Listen{
@@ -72,16 +72,16 @@
 	}
 }
 
-// Load reads a file over the defaults, without checking it.
+// Load reads a settings file on top of the defaults. It does not validate the values.
 func Load(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Config{}, failure.Wrap(err, failure.InvalidConfig, "name an existing file with --config", "the settings file cannot be read")
+		return Config{}, failure.Wrap(err, failure.InvalidConfig, "specify an existing file with --config", "cannot read the settings file")
 	}
 	return Parse(path, text)
 }
 
-// Parse reads text over the defaults. Unknown keys are refused with their line.
+// Parse decodes text on top of the defaults. Unknown keys are errors with their line.
 func Parse(name string, text []byte) (Config, error) {
 	parsed := Default()
 	decoder := yaml.NewDecoder(bytes.NewReader(text), yaml.Strict())
@@ -91,26 +91,26 @@
 	}
 	position := name
 	message := err.Error()
-	var located yaml.Error
-	if stderrors.As(err, &located) && located.GetToken() != nil {
-		at := located.GetToken().Position
-		position = fmt.Sprintf("%s:%d:%d", name, at.Line, at.Column)
-		message = located.GetMessage()
+	var yamlErr yaml.Error
+	if stderrors.As(err, &yamlErr) && yamlErr.GetToken() != nil {
+		token := yamlErr.GetToken().Position
+		position = fmt.Sprintf("%s:%d:%d", name, token.Line, token.Column)
+		message = yamlErr.GetMessage()
 	}
 	return Config{}, failure.New(failure.InvalidConfig, "see docs/OPERATIONS.md for the keys of a daemon's settings file",
 		"%s: %s", position, message)
 }
 
-// Check reports the first value that is missing or not valid.
+// Check returns an error for the first value that is missing or invalid.
 func (c Config) Check() error {
-	checker := validator.New(validator.WithRequiredStructEnabled())
-	if err := checker.RegisterValidation("address", isAddress); err != nil {
+	validate := validator.New(validator.WithRequiredStructEnabled())
+	if err := validate.RegisterValidation("address", isAddress); err != nil {
 		return failure.Wrap(err, failure.Internal, "", "register validation")
 	}
-	err := checker.Struct(c)
-	var wrong validator.ValidationErrors
-	if stderrors.As(err, &wrong) {
-		first := wrong[0]
+	err := validate.Struct(c)
+	var invalid validator.ValidationErrors
+	if stderrors.As(err, &invalid) {
+		first := invalid[0]
 		return failure.New(failure.InvalidConfig, remedyFor(first), "%s: %q is not valid", first.Namespace(), fmt.Sprint(first.Value()))
 	}
 	if err != nil {
@@ -124,16 +124,16 @@
 	return err == nil
 }
 
-func remedyFor(wrong validator.FieldError) string {
-	switch wrong.Tag() {
+func remedyFor(fieldError validator.FieldError) string {
+	switch fieldError.Tag() {
 	case "address":
-		return "give an IP number and a port, like 127.0.0.1:8080"
+		return "specify an IP address and a port, like 127.0.0.1:8080"
 	case "required":
-		return "give a value in the settings file or by its flag"
+		return "specify a value in the settings file or by its flag"
 	case "oneof":
-		return "use one of: " + wrong.Param()
+		return "use one of: " + fieldError.Param()
 	case "min":
-		return "use at least " + wrong.Param()
+		return "use at least " + fieldError.Param()
 	}
-	return "give both the certificate and the key file"
+	return "specify both the certificate and the key file"
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -18,11 +18,11 @@
 	require.Equal(t, 10*time.Minute, loaded.DrainTimeout)
 }
 
-func TestBadSettingsNamePlaceAndRemedy(t *testing.T) {
+func TestInvalidSettingsReportLocationAndRemedy(t *testing.T) {
 	_, err := config.Parse("daemon.yaml", []byte("region: r\nzoon: z\n"))
 	require.True(t, failure.Is(err, failure.InvalidConfig))
 	require.ErrorContains(t, err, "daemon.yaml:2:1")
-	for _, test := range []struct{ name, text, wanted string }{
+	for _, test := range []struct{ name, text, want string }{
 		{"host name", "region: r\nzone: z\nplatform: {key_value: 'etcd:2379', machine_list: '127.0.0.1:1'}", "Config.Platform.KeyValue"},
 		{"no zone", "region: r\nplatform: {key_value: '127.0.0.1:1', machine_list: '127.0.0.1:1'}", "Config.Zone"},
 		{"log level", "region: r\nzone: z\nlog_level: loud\nplatform: {key_value: '127.0.0.1:1', machine_list: '127.0.0.1:1'}", "Config.LogLevel"},
@@ -32,7 +32,7 @@
 			parsed, err := config.Parse("daemon.yaml", []byte(test.text))
 			require.NoError(t, err)
 			err = parsed.Check()
-			require.ErrorContains(t, err, test.wanted)
+			require.ErrorContains(t, err, test.want)
 			require.ErrorContains(t, err, "remedy")
 		})
 	}
