--- a/command/command.go
+++ b/command/command.go
@@ -1,4 +1,4 @@
-// Package command holds the subcommands of finchspoke, a file each.
+// Package command implements the subcommands of finchspoke.
 package command
 
 import (
@@ -17,45 +17,45 @@
 func Commands() []cli.Command {
 	return []cli.Command{
 		{Name: "serve", Short: "Run a daemon", Data: &serveCommand{},
-			Long: "Runs a daemon until it is stopped. SIGTERM begins a planned stop, which cuts no request; a second signal stops at once."},
-		{Name: "node", Short: "Run a daemon on the users' platform", Data: &nodeCommand{},
-			Long: "Runs a daemon that routes requests by the operator's imported configuration to replicas which the platform's registry lists. It reads the platform's settings file, whose path stands in FINCHSPOKE_CONFIG. SIGTERM begins a planned stop, SIGHUP reads the settings file again."},
-		{Name: "settings", Short: "Work with the settings tree", Commands: []cli.Command{
+			Long: "Runs a daemon until it is stopped. SIGTERM starts a graceful shutdown, which lets running requests finish; a second signal stops the daemon immediately."},
+		{Name: "node", Short: "Run a daemon on the platform", Data: &nodeCommand{},
+			Long: "Runs a daemon that routes requests according to the operator's imported configuration to the replicas in the platform's registry. It reads the settings file named by FINCHSPOKE_CONFIG. SIGTERM starts a graceful shutdown, SIGHUP reloads the settings file."},
+		{Name: "settings", Short: "Manage the settings tree", Commands: []cli.Command{
 			{Name: "check", Short: "Check settings files", Data: &checkCommand{}},
-			{Name: "render", Short: "Show what each branch inherits and overrides", Data: &renderCommand{}},
-			{Name: "diff", Short: "Show what files would change", Data: &diffCommand{}},
-			{Name: "apply", Short: "Put files in force", Data: &applyCommand{},
-				Long: "Puts files in force as the next revision. The base revision is the one the files were diffed against; if another change came first, the command is refused and names what changed. Repeating it with the same operation id is safe."},
+			{Name: "render", Short: "Show the resolved values of each branch", Data: &renderCommand{}},
+			{Name: "diff", Short: "Show changes from the current revision to files", Data: &diffCommand{}},
+			{Name: "apply", Short: "Apply files as the next revision", Data: &applyCommand{},
+				Long: "Applies files as the next revision. The base revision is the one that the files were diffed against; if it is no longer current, the command fails and lists the paths changed since. Retries with the same operation id are idempotent."},
 			{Name: "history", Short: "List accepted revisions", Data: &historyCommand{}},
 			{Name: "hash-key", Short: "Hash an API key for the settings", Data: &hashKeyCommand{}},
 		}},
-		{Name: "explain", Short: "Say why", Commands: []cli.Command{
-			{Name: "model", Short: "Why a model or adapter is, or is not, loaded where it is", Data: &explainModelCommand{}},
-			{Name: "request", Short: "How a request ended at a daemon, and why", Data: &explainRequestCommand{}},
-			{Name: "logs", Short: "Tell a request's story over all daemons from their logs", Data: &explainLogsCommand{},
-				Long: "Reads log lines from a file or standard input. With a request's id: its lines over all daemons, and what its daemon and the holder of load orders believed then. Without: how many failed requests have a cause. Example: cat *.log | finchspoke explain logs 9c41d07b"},
-			{Name: "day", Short: "A page of plots of a day, from the logs of all daemons", Data: &explainDayCommand{},
-				Long: "Reads log lines and writes one HTML page: requests by the second (arrivals, answered in time and late), those not served by reason, loads under way, lost dependencies and the holders of load orders; of one model, replica or tenant if told. It keeps as little as the seconds of the day need, whatever the size of the logs, and says how many lines it could not understand. Example: finchspoke explain day --output day.html *.log"},
-			{Name: "losses", Short: "What made requests late, refused or lost, from the logs of all daemons", Data: &explainLossesCommand{},
-				Long: "Reads log lines from a file or standard input and counts all requests that ended by route and by cause: in time, late after a wait for a load (from the weight store, a disk or memory), late for want of a place, slow at the replica, late by a pause between events, refused, failed, left by their caller. For pauses it tells what shared the replica. Example: cat *.log | finchspoke explain losses"},
+		{Name: "explain", Short: "Explain placement, requests and logs", Commands: []cli.Command{
+			{Name: "model", Short: "Explain where a model or adapter is loaded and why", Data: &explainModelCommand{}},
+			{Name: "request", Short: "Show the outcome of a request at a daemon and its cause", Data: &explainRequestCommand{}},
+			{Name: "logs", Short: "Trace a request across the logs of all daemons", Data: &explainLogsCommand{},
+				Long: "Reads log lines from a file or standard input. With a request id, it prints the lines of the request from all daemons and the state known to its daemon and to the leader at that time. Without one, it counts the failed requests that have a cause. Example: cat *.log | finchspoke explain logs 9c41d07b"},
+			{Name: "day", Short: "Plot a day of traffic from the logs of all daemons", Data: &explainDayCommand{},
+				Long: "Reads log lines and writes an HTML page: requests per second (arrivals, completed in time and late), failures by reason, pending loads, unavailable dependencies and leaders, optionally for one model, replica or tenant. Memory use depends on the length of the day, not on the size of the logs. The number of lines that could not be parsed is printed. Example: finchspoke explain day --output day.html *.log"},
+			{Name: "losses", Short: "Count causes of late, rejected and failed requests in the logs of all daemons", Data: &explainLossesCommand{},
+				Long: "Reads log lines from a file or standard input and counts finished requests by route and cause: in time, late after waiting for a load (from the weight store, a disk or memory), late for lack of a replica slot, slow at the replica, late because of a pause between events, rejected, failed, abandoned by the caller. For pauses it shows the concurrent work on the replica. Example: cat *.log | finchspoke explain losses"},
 		}},
-		{Name: "status", Short: "Show a daemon's state", Data: &statusCommand{}},
-		{Name: "drain", Short: "Begin a planned stop of a daemon", Data: &drainCommand{}},
+		{Name: "status", Short: "Show the status of a daemon", Data: &statusCommand{}},
+		{Name: "drain", Short: "Start a graceful shutdown of a daemon", Data: &drainCommand{}},
 		{Name: "version", Short: "Print the version", Data: &versionCommand{}},
 	}
 }
 
-// daemonOption names the daemon that a command talks to.
+// daemonOption selects the daemon that a command connects to.
 type daemonOption struct {
 	Address string `long:"address" default:"127.0.0.1:8082" description:"operator address of a daemon"`
-	Token   string `long:"token" env:"FINCHSPOKE_TOKEN" description:"operator token, if the daemon asks for one"`
+	Token   string `long:"token" env:"FINCHSPOKE_TOKEN" description:"operator token, if the daemon requires one"`
 }
 
 func (o daemonOption) client() adminapi.Client {
 	return adminapi.Client{Address: o.Address, Token: o.Token}
 }
 
-// filesArgument is the list of settings files of one tree.
+// filesArgument lists the settings files of one tree.
 type filesArgument struct {
 	Files struct {
 		Names []string `positional-arg-name:"FILE" required:"1" description:"settings files; together they form one tree"`
@@ -67,7 +67,7 @@
 	for _, name := range a.Files.Names {
 		data, err := os.ReadFile(name)
 		if err != nil {
-			return nil, failure.Wrap(err, failure.InvalidSettings, "name existing files", "a settings file cannot be read")
+			return nil, failure.Wrap(err, failure.InvalidSettings, "specify existing files", "cannot read a settings file")
 		}
 		sources = append(sources, settings.Source{Name: name, Data: data})
 	}
@@ -82,6 +82,6 @@
 	return settings.Parse(sources...)
 }
 
-func interruptible() (context.Context, context.CancelFunc) {
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
--- a/command/explain.go
+++ b/command/explain.go
@@ -10,7 +10,7 @@
 	"github.com/finchspoke/finchspoke/gateway"
 )
 
-// explainModelCommand says why a model is where it is.
+// explainModelCommand explains the placement of a model.
 type explainModelCommand struct {
 	daemonOption
 	cli.Output
@@ -21,7 +21,7 @@
 
 // Execute implements flags.Commander.
 func (c *explainModelCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	var explanation adminapi.Explanation
 	if err := c.client().Get(ctx, adminapi.PathExplainModel+url.PathEscape(c.Argument.Name), &explanation); err != nil {
@@ -35,7 +35,7 @@
 	})
 }
 
-// explainRequestCommand says how a request ended at a daemon, and why.
+// explainRequestCommand shows the outcome of a request at a daemon.
 type explainRequestCommand struct {
 	daemonOption
 	cli.Output
@@ -46,20 +46,20 @@
 
 // Execute implements flags.Commander.
 func (c *explainRequestCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
-	var ended gateway.Ended
-	if err := c.client().Get(ctx, adminapi.PathExplainRequest+url.PathEscape(c.Argument.ID), &ended); err != nil {
+	var summary gateway.Ended
+	if err := c.client().Get(ctx, adminapi.PathExplainRequest+url.PathEscape(c.Argument.ID), &summary); err != nil {
 		return err
 	}
-	return c.Write(ended, func(writer io.Writer) error {
+	return c.Write(summary, func(writer io.Writer) error {
 		_, _ = fmt.Fprintf(writer, "%s of branch %s for %s (%s): %s, execution %s\n",
-			ended.RequestID, ended.Branch, ended.Model, ended.Class, ended.Outcome, ended.Execution)
-		if ended.Message != "" {
-			_, _ = fmt.Fprintf(writer, "%s\nremedy: %s\n", ended.Message, ended.Remedy)
+			summary.RequestID, summary.Branch, summary.Model, summary.Class, summary.Outcome, summary.Execution)
+		if summary.Message != "" {
+			_, _ = fmt.Fprintf(writer, "%s\nremedy: %s\n", summary.Message, summary.Remedy)
 		}
 		_, _ = fmt.Fprintf(writer, "home %s, engine %s; waited %d ms, first byte after %d ms, ended after %d ms\n",
-			ended.Home, ended.Engine, ended.WaitedMs, ended.FirstByteMs, ended.DurationMs)
+			summary.Home, summary.Engine, summary.WaitedMs, summary.FirstByteMs, summary.DurationMs)
 		return nil
 	})
 }
--- a/command/explain_day.go
+++ b/command/explain_day.go
@@ -11,14 +11,14 @@
 	"github.com/finchspoke/finchspoke/logstory/daypage"
 )
 
-// explainDayCommand makes a page of plots of a day from log lines.
+// explainDayCommand writes an HTML page with plots of a day from log lines.
 type explainDayCommand struct {
-	Output   string `long:"output" default:"day.html" description:"file of the page"`
-	Model    string `long:"model" description:"count requests and loads of this model only"`
-	Replica  string `long:"replica" description:"count requests and loads of this replica only"`
-	Tenant   string `long:"tenant" description:"count requests of this tenant only"`
+	Output   string `long:"output" default:"day.html" description:"HTML file to write"`
+	Model    string `long:"model" description:"include only requests and loads of this model"`
+	Replica  string `long:"replica" description:"include only requests and loads of this replica"`
+	Tenant   string `long:"tenant" description:"include only requests of this tenant"`
 	Argument struct {
-		Files []string `positional-arg-name:"FILE" description:"log lines of one or more daemons; standard input if left out"`
+		Files []string `positional-arg-name:"FILE" description:"log files of one or more daemons; standard input by default"`
 	} `positional-args:"yes"`
 }
 
@@ -30,7 +30,7 @@
 	}
 	page, err := os.Create(c.Output)
 	if err != nil {
-		return errors.Wrap(err, "make the page")
+		return errors.Wrap(err, "create the page")
 	}
 	defer func() { _ = page.Close() }()
 	if err := daypage.Write(page, day); err != nil {
@@ -39,7 +39,7 @@
 	if err := page.Close(); err != nil {
 		return errors.Wrap(err, "write the page")
 	}
-	_, _ = fmt.Printf("%s: %d lines, %d of them not understood\n", c.Output, day.Lines, day.Unreadable)
+	_, _ = fmt.Printf("%s: %d lines, %d of them not parsed\n", c.Output, day.Lines, day.Unreadable)
 	return nil
 }
 
@@ -58,31 +58,31 @@
 func readFile(day *logstory.Day, name string) error {
 	file, err := os.Open(name)
 	if err != nil {
-		return errors.Wrap(err, "open the log")
+		return errors.Wrap(err, "open log file")
 	}
 	defer func() { _ = file.Close() }()
 	info, err := file.Stat()
 	if err != nil {
-		return errors.Wrap(err, "open the log")
+		return errors.Wrap(err, "open log file")
 	}
-	shown := readingProgress{name: name, size: info.Size(), to: os.Stderr, percent: -1}
-	defer shown.end()
-	return day.Read(file, shown.show)
+	progress := readProgress{name: name, size: info.Size(), to: os.Stderr, percent: -1}
+	defer progress.end()
+	return day.Read(file, progress.show)
 }
 
-// readingProgress shows on the terminal how much of a file has been read.
-type readingProgress struct {
+// readProgress prints the percentage of a file that has been read.
+type readProgress struct {
 	name    string
 	size    int64
 	to      io.Writer
-	percent int64 // shown last
+	percent int64 // printed last; -1 if none
 }
 
-func (p *readingProgress) show(read int64) {
-	const whole = 100
-	percent := int64(whole)
+func (p *readProgress) show(read int64) {
+	const complete = 100
+	percent := int64(complete)
 	if p.size > 0 {
-		percent = whole * read / p.size
+		percent = complete * read / p.size
 	}
 	if percent != p.percent {
 		p.percent = percent
@@ -90,4 +90,4 @@
 	}
 }
 
-func (p *readingProgress) end() { _, _ = fmt.Fprintln(p.to) }
+func (p *readProgress) end() { _, _ = fmt.Fprintln(p.to) }
--- a/command/explain_logs.go
+++ b/command/explain_logs.go
@@ -12,12 +12,12 @@
 	"github.com/finchspoke/finchspoke/logstory"
 )
 
-// explainLogsCommand tells a request's story from log lines.
+// explainLogsCommand traces a request through log lines.
 type explainLogsCommand struct {
 	cli.Output
 	logFileOption
 	Argument struct {
-		ID string `positional-arg-name:"REQUEST-ID" description:"a request's id, or how it begins; without one, all failed requests are counted"`
+		ID string `positional-arg-name:"REQUEST-ID" description:"request id or a prefix of it; if omitted, failed requests are counted"`
 	} `positional-args:"yes"`
 }
 
@@ -28,15 +28,15 @@
 		return err
 	}
 	if c.Argument.ID == "" {
-		counted := logstory.Count(lines)
-		return c.Write(counted, func(writer io.Writer) error {
-			writeCoverage(writer, counted)
+		coverage := logstory.Count(lines)
+		return c.Write(coverage, func(writer io.Writer) error {
+			writeCoverage(writer, coverage)
 			return nil
 		})
 	}
 	story := logstory.Story(lines, c.Argument.ID)
 	if len(story) == 0 {
-		return failure.New(failure.InvalidRequest, "give the logs of all daemons, of the time of the request", "no log line names request %q", c.Argument.ID)
+		return failure.New(failure.InvalidRequest, "provide the logs of all daemons from the time of the request", "no log line contains request %q", c.Argument.ID)
 	}
 	return c.Write(story, func(writer io.Writer) error {
 		for _, line := range story {
@@ -46,9 +46,9 @@
 	})
 }
 
-// logFileOption names the log that a command reads.
+// logFileOption selects the log that a command reads.
 type logFileOption struct {
-	File string `long:"file" description:"file with the log lines of one or more daemons; standard input if left out"`
+	File string `long:"file" description:"file with the log lines of one or more daemons; standard input by default"`
 }
 
 func (c *logFileOption) read() ([]logstory.Line, error) {
@@ -57,23 +57,23 @@
 	}
 	file, err := os.Open(c.File)
 	if err != nil {
-		return nil, errors.Wrap(err, "open the log")
+		return nil, errors.Wrap(err, "open log file")
 	}
 	defer func() { _ = file.Close() }()
 	return logstory.Read(file)
 }
 
-func writeCoverage(writer io.Writer, counted logstory.Coverage) {
-	share := 100.0
-	if counted.Failed > 0 {
-		share = 100 * float64(counted.WithCause) / float64(counted.Failed)
+func writeCoverage(writer io.Writer, coverage logstory.Coverage) {
+	percent := 100.0
+	if coverage.Failed > 0 {
+		percent = 100 * float64(coverage.WithCause) / float64(coverage.Failed)
 	}
-	_, _ = fmt.Fprintf(writer, "%d requests ended, %d failed or were refused, %d of them with a cause (%.1f%%)\n",
-		counted.Ended, counted.Failed, counted.WithCause, share)
-	for outcome, count := range counted.ByOutcome {
+	_, _ = fmt.Fprintf(writer, "%d requests ended, %d failed or were rejected, %d of them with a cause (%.1f%%)\n",
+		coverage.Ended, coverage.Failed, coverage.WithCause, percent)
+	for outcome, count := range coverage.ByOutcome {
 		_, _ = fmt.Fprintf(writer, "  %-20s %d\n", outcome, count)
 	}
-	for _, id := range counted.Without {
+	for _, id := range coverage.Without {
 		_, _ = fmt.Fprintf(writer, "  no cause: %s\n", id)
 	}
 }
--- a/command/explain_losses.go
+++ b/command/explain_losses.go
@@ -10,17 +10,17 @@
 	"github.com/finchspoke/finchspoke/logstory"
 )
 
-// explainLossesCommand counts by cause what made requests late, refused or lost.
+// explainLossesCommand counts the causes of late, rejected and failed requests.
 type explainLossesCommand struct {
 	cli.Output
 	logFileOption
-	Window time.Duration `long:"window" default:"2s" description:"length of the spans of time that are counted apart"`
+	Window time.Duration `long:"window" default:"2s" description:"length of the time windows that are counted separately"`
 }
 
 // Execute implements flags.Commander.
 func (c *explainLossesCommand) Execute([]string) error {
 	if c.Window <= 0 {
-		return failure.New(failure.InvalidRequest, "give a length such as 2s", "the window %s is not longer than nothing", c.Window)
+		return failure.New(failure.InvalidRequest, "specify a duration such as 2s", "the window %s is not positive", c.Window)
 	}
 	lines, err := c.read()
 	if err != nil {
@@ -28,7 +28,7 @@
 	}
 	losses := logstory.CountLosses(lines, c.Window)
 	if losses.Ended == 0 {
-		return failure.New(failure.InvalidRequest, "give the logs of all daemons at level info", "no line tells of a request that ended")
+		return failure.New(failure.InvalidRequest, "provide the logs of all daemons at level info", "no log line reports a finished request")
 	}
 	return c.Write(losses, func(writer io.Writer) error {
 		writeLosses(writer, losses)
@@ -43,31 +43,31 @@
 			_, _ = fmt.Fprintf(writer, "  %6d  %s\n", cause.Requests, cause.Name)
 		}
 		if route.Pauses.Requests > 0 {
-			_, _ = fmt.Fprintf(writer, "          beside those late by a pause ran on the same replica, on the mean: %.1f requests of %.1f models; %.0f prompt tokens came beside them\n",
+			_, _ = fmt.Fprintf(writer, "          mean concurrent work on the replica of requests late because of a pause: %.1f requests of %.1f models; %.0f prompt tokens added meanwhile\n",
 				route.Pauses.Beside, route.Pauses.Models, route.Pauses.PromptTokens)
 		}
 	}
 	for _, tenant := range losses.Tenants {
-		_, _ = fmt.Fprintf(writer, "tenant %s: %d ended, %d answered, %d refused at its limit", tenant.Name, tenant.Ended, tenant.Answered, tenant.AtLimit)
+		_, _ = fmt.Fprintf(writer, "tenant %s: %d ended, %d answered, %d rejected at its limit", tenant.Name, tenant.Ended, tenant.Answered, tenant.AtLimit)
 		for _, cause := range tenant.Causes {
 			_, _ = fmt.Fprintf(writer, ", %d %s", cause.Requests, cause.Name)
 		}
 		_, _ = fmt.Fprintln(writer)
 	}
-	writeCrowding(writer, losses.Crowding)
-	_, _ = fmt.Fprintf(writer, "from           ended  in time  late  not answered  most for\n")
+	writeReplicaLateness(writer, losses.Crowding)
+	_, _ = fmt.Fprintf(writer, "from           ended  in time  late  not answered  main cause\n")
 	for _, window := range losses.Windows {
 		_, _ = fmt.Fprintf(writer, "%9.1f s  %8d %8d %5d %13d  %s\n", window.From, window.Ended, window.InTime, window.Late, window.Ended-window.InTime-window.Late, window.MostFor)
 	}
 }
 
-func writeCrowding(writer io.Writer, crowding logstory.Crowding) {
-	if crowding.Late == 0 {
+func writeReplicaLateness(writer io.Writer, lateness logstory.Crowding) {
+	if lateness.Late == 0 {
 		return
 	}
-	_, _ = fmt.Fprintf(writer, "made late by the replica: %d; %.0f in 100 of them on %d of %d replicas; by model:\n",
-		crowding.Late, 100*crowding.OnFew, crowding.FewCount, crowding.Replicas)
-	for _, load := range crowding.ByModel {
+	_, _ = fmt.Fprintf(writer, "late at the replica: %d; %.0f percent of them on %d of %d replicas; by model:\n",
+		lateness.Late, 100*lateness.OnFew, lateness.FewCount, lateness.Replicas)
+	for _, load := range lateness.ByModel {
 		_, _ = fmt.Fprintf(writer, "  %6d of %d answers of %s, by %d replicas\n", load.Late, load.Answered, load.Model, load.Replicas)
 	}
 }
--- a/command/node.go
+++ b/command/node.go
@@ -12,15 +12,15 @@
 	"github.com/finchspoke/finchspoke/platform"
 )
 
-// nodeCommand runs a daemon on the users' platform.
+// nodeCommand runs a daemon on the platform.
 type nodeCommand struct {
-	MetricsPort int    `long:"metrics-port" description:"port for metrics on the address of the settings file; the settings' own address for metrics goes before it"`
-	KnownByAll  int    `long:"known-by-all" description:"up to how many replicas every daemon knows them all; beyond, daemons ask those that the holder of load orders names; 0: the built-in number"`
-	LogLevel    string `long:"log-level" default:"info" description:"least level of log lines: debug, info, warn or error"`
+	MetricsPort int    `long:"metrics-port" description:"metrics port on the daemon's address; a metrics address in the settings takes precedence"`
+	KnownByAll  int    `long:"known-by-all" description:"number of replicas up to which every daemon tracks all of them; above it, daemons query directory daemons named by the leader; 0 selects the default"`
+	LogLevel    string `long:"log-level" default:"info" description:"minimum log level: debug, info, warn or error"`
 }
 
-// logDrain is how long the last log lines may take to be written.
-const logDrain = 200 * time.Millisecond
+// logDrainTimeout limits the time to write pending log lines at exit.
+const logDrainTimeout = 200 * time.Millisecond
 
 // Execute implements flags.Commander.
 func (c *nodeCommand) Execute([]string) error {
@@ -33,32 +33,32 @@
 	if c.KnownByAll > 0 {
 		config.KnownByAll = c.KnownByAll
 	}
-	lines := logging.NewBounded(os.Stdout)
-	writing, stopWriting := context.WithCancel(context.Background())
-	go func() { _ = lines.Serve(writing) }()
+	logWriter := logging.NewBounded(os.Stdout)
+	writerCtx, stopWriter := context.WithCancel(context.Background())
+	go func() { _ = logWriter.Serve(writerCtx) }()
 	defer func() {
-		stopWriting()
-		lines.Drain(logDrain)
+		stopWriter()
+		logWriter.Drain(logDrainTimeout)
 	}()
-	log := logging.New(lines, c.LogLevel)
-	started, err := node.New(config, platform.Adapters(storeAddress), log)
+	log := logging.New(logWriter, c.LogLevel)
+	daemon, err := node.New(config, platform.Adapters(storeAddress), log)
 	if err != nil {
 		return err
 	}
-	started.CountDropped(lines.Dropped)
+	daemon.CountDropped(logWriter.Dropped)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	go func() {
 		for range reloads {
-			changed, _, err := platform.LoadSettings()
+			reloaded, _, err := platform.LoadSettings()
 			if err != nil {
-				log.WithError(err).Error("settings not reloaded; those in force stay")
+				log.WithError(err).Error("failed to reload settings; keeping the current ones")
 				continue
 			}
-			started.Reload(changed)
+			daemon.Reload(reloaded)
 		}
 	}()
-	return started.Run(ctx)
+	return daemon.Run(ctx)
 }
--- a/command/serve.go
+++ b/command/serve.go
@@ -12,22 +12,22 @@
 	"github.com/finchspoke/finchspoke/logging"
 )
 
-// serveCommand runs a daemon. Flags override the settings file.
+// serveCommand runs a daemon. Flags override values of the settings file.
 type serveCommand struct {
 	Config        string        `long:"config" description:"settings file of the daemon"`
 	ID            string        `long:"id" description:"id of the daemon"`
 	Region        string        `long:"region" description:"region"`
 	Zone          string        `long:"zone" description:"zone"`
 	ListenGateway string        `long:"listen-gateway" description:"address for callers"`
-	ListenRPC     string        `long:"listen-rpc" description:"address for daemons (TCP)"`
-	ListenGossip  string        `long:"listen-gossip" description:"address for daemons (UDP)"`
+	ListenRPC     string        `long:"listen-rpc" description:"address for other daemons (TCP)"`
+	ListenGossip  string        `long:"listen-gossip" description:"address for other daemons (UDP)"`
 	ListenAdmin   string        `long:"listen-admin" description:"address for operators"`
-	Peers         []string      `long:"peer" description:"rpc address of another daemon; may be given more than once"`
+	Peers         []string      `long:"peer" description:"RPC address of another daemon; can be repeated"`
 	KeyValue      string        `long:"key-value" description:"address of the key-value service"`
 	MachineList   string        `long:"machine-list" description:"address of the machine list"`
-	ProbeInterval time.Duration `long:"probe-interval" description:"time between membership probes"`
-	DrainTimeout  time.Duration `long:"drain-timeout" description:"longest wait for running requests at a planned stop"`
-	LogLevel      string        `long:"log-level" description:"debug, info, warn or error"`
+	ProbeInterval time.Duration `long:"probe-interval" description:"interval between membership probes"`
+	DrainTimeout  time.Duration `long:"drain-timeout" description:"maximum wait for running requests at a graceful shutdown"`
+	LogLevel      string        `long:"log-level" description:"minimum log level: debug, info, warn or error"`
 }
 
 // Execute implements flags.Commander.
@@ -39,8 +39,8 @@
 			return err
 		}
 	}
-	c.override(&loaded)
-	started, err := daemon.New(loaded, logging.New(os.Stderr, loaded.LogLevel))
+	c.applyFlags(&loaded)
+	running, err := daemon.New(loaded, logging.New(os.Stderr, loaded.LogLevel))
 	if err != nil {
 		return err
 	}
@@ -50,18 +50,18 @@
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	go func() {
 		<-signals
-		started.BeginDrain()
+		running.BeginDrain()
 		<-signals
 		stop()
 	}()
-	return started.Run(ctx)
+	return running.Run(ctx)
 }
 
-// override puts the flags that were given over the file.
-func (c *serveCommand) override(loaded *config.Config) {
-	for _, pair := range []struct {
-		flag string
-		into *string
+// applyFlags overrides settings with the flags that are set.
+func (c *serveCommand) applyFlags(loaded *config.Config) {
+	for _, setting := range []struct {
+		flag   string
+		target *string
 	}{
 		{c.ID, &loaded.ID}, {c.Region, &loaded.Region}, {c.Zone, &loaded.Zone},
 		{c.ListenGateway, &loaded.Listen.Gateway}, {c.ListenRPC, &loaded.Listen.RPC},
@@ -69,8 +69,8 @@
 		{c.KeyValue, &loaded.Platform.KeyValue}, {c.MachineList, &loaded.Platform.MachineList},
 		{c.LogLevel, &loaded.LogLevel},
 	} {
-		if pair.flag != "" {
-			*pair.into = pair.flag
+		if setting.flag != "" {
+			*setting.target = setting.flag
 		}
 	}
 	if len(c.Peers) > 0 {
--- a/command/settings_apply.go
+++ b/command/settings_apply.go
@@ -15,8 +15,8 @@
 	"github.com/finchspoke/finchspoke/settings"
 )
 
-// inForce returns the revision in force at the daemon, with its tree.
-func inForce(ctx context.Context, client adminapi.Client) (adminapi.Revision, *settings.Tree, error) {
+// currentRevision returns the revision in effect at a daemon and its parsed tree.
+func currentRevision(ctx context.Context, client adminapi.Client) (adminapi.Revision, *settings.Tree, error) {
 	var current adminapi.Revision
 	if err := client.Get(ctx, adminapi.PathCurrent, &current); err != nil {
 		return current, nil, err
@@ -25,14 +25,14 @@
 	return current, tree, err
 }
 
-// diffCommand compares files with what is in force.
+// diffCommand compares files with the current revision.
 type diffCommand struct {
 	daemonOption
 	cli.Output
 	filesArgument
 }
 
-// diffResult is the result of a diff.
+// diffResult is the output of diffCommand.
 type diffResult struct {
 	BaseRevision uint64            `json:"base_revision"`
 	Changes      []settings.Change `json:"changes"`
@@ -40,17 +40,17 @@
 
 // Execute implements flags.Commander.
 func (c *diffCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
-	wanted, err := c.tree()
+	desired, err := c.tree()
 	if err != nil {
 		return err
 	}
-	current, tree, err := inForce(ctx, c.client())
+	current, tree, err := currentRevision(ctx, c.client())
 	if err != nil {
 		return err
 	}
-	result := diffResult{current.Number, settings.Diff(tree.Document(), wanted.Document())}
+	result := diffResult{current.Number, settings.Diff(tree.Document(), desired.Document())}
 	return c.Write(result, func(writer io.Writer) error {
 		_, _ = fmt.Fprintf(writer, "against revision %d: %d change(s)\n", result.BaseRevision, len(result.Changes))
 		for _, change := range result.Changes {
@@ -60,29 +60,29 @@
 	})
 }
 
-// applyCommand puts files in force.
+// applyCommand applies files as the next revision.
 type applyCommand struct {
 	daemonOption
 	cli.Output
-	BaseRevision uint64        `long:"base-revision" required:"true" description:"revision that the files were diffed against; 0 for the first"`
-	OperationID  string        `long:"operation-id" description:"makes a repeat safe; made up if not given, and printed"`
-	Author       string        `long:"author" env:"USER" default:"unknown" description:"who makes the change"`
-	Wait         time.Duration `long:"wait" description:"wait so long until every running daemon has the revision in force"`
+	BaseRevision uint64        `long:"base-revision" required:"true" description:"revision that the files were diffed against; 0 for the first revision"`
+	OperationID  string        `long:"operation-id" description:"id that makes retries idempotent; generated and printed if omitted"`
+	Author       string        `long:"author" env:"USER" default:"unknown" description:"author of the change"`
+	Wait         time.Duration `long:"wait" description:"maximum wait until the revision is in effect at every running daemon"`
 	filesArgument
 }
 
-// applyResult is the result of an apply.
+// applyResult is the output of applyCommand.
 type applyResult struct {
 	Revision    uint64            `json:"revision"`
 	OperationID string            `json:"operation_id"`
 	InForce     map[string]uint64 `json:"in_force,omitempty"` // revision by daemon
 }
 
-const applyPoll = 100 * time.Millisecond
+const applyPollInterval = 100 * time.Millisecond
 
 // Execute implements flags.Commander.
 func (c *applyCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	tree, err := c.tree()
 	if err != nil {
@@ -103,28 +103,29 @@
 		return err
 	}
 	result := applyResult{Revision: accepted.Number, OperationID: c.OperationID}
-	waited := error(nil)
+	waitErr := error(nil)
 	if c.Wait > 0 {
-		result.InForce, waited = c.waitInForce(ctx, accepted.Number)
+		result.InForce, waitErr = c.waitForRevision(ctx, accepted.Number)
 	}
 	err = c.Write(result, func(writer io.Writer) error {
 		_, _ = fmt.Fprintf(writer, "accepted as revision %d\n", result.Revision)
 		for daemon, revision := range result.InForce {
-			_, _ = fmt.Fprintf(writer, "  %s has revision %d in force\n", daemon, revision)
+			_, _ = fmt.Fprintf(writer, "  %s has revision %d in effect\n", daemon, revision)
 		}
 		return nil
 	})
-	if waited != nil {
-		return waited
+	if waitErr != nil {
+		return waitErr
 	}
 	return err
 }
 
-// waitInForce polls what the daemon heard from the running members.
-func (c *applyCommand) waitInForce(ctx context.Context, revision uint64) (map[string]uint64, error) {
+// waitForRevision polls until all running members report a revision. It returns the last
+// known revision of each.
+func (c *applyCommand) waitForRevision(ctx context.Context, revision uint64) (map[string]uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Wait)
 	defer cancel()
-	seen := map[string]uint64{}
+	revisions := map[string]uint64{}
 	for {
 		var status adminapi.Status
 		if err := c.client().Get(ctx, adminapi.PathStatus, &status); err == nil {
@@ -133,20 +134,20 @@
 				if member.Status != "alive" {
 					continue
 				}
-				seen[member.ID] = member.SettingsRevision
+				revisions[member.ID] = member.SettingsRevision
 				if member.SettingsRevision < revision {
 					behind++
 				}
 			}
 			if behind == 0 {
-				return seen, nil
+				return revisions, nil
 			}
 		}
 		select {
 		case <-ctx.Done():
-			return seen, failure.New(failure.Unavailable, "see `finchspoke status` for the daemons that lag",
-				"revision %d is accepted and not seen in force at every daemon yet", revision).WithExecution(failure.Completed)
-		case <-time.After(applyPoll):
+			return revisions, failure.New(failure.Unavailable, "run `finchspoke status` to find daemons with an older revision",
+				"revision %d is accepted but not yet in effect at every daemon", revision).WithExecution(failure.Completed)
+		case <-time.After(applyPollInterval):
 		}
 	}
 }
@@ -159,7 +160,7 @@
 
 // Execute implements flags.Commander.
 func (c *historyCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	var revisions []adminapi.Revision
 	if err := c.client().Get(ctx, adminapi.PathHistory, &revisions); err != nil {
--- a/command/settings_check.go
+++ b/command/settings_check.go
@@ -10,13 +10,13 @@
 	"github.com/finchspoke/finchspoke/settings"
 )
 
-// checkCommand checks files without a daemon.
+// checkCommand checks settings files locally.
 type checkCommand struct {
 	cli.Output
 	filesArgument
 }
 
-// checkResult is the result of a check.
+// checkResult is the output of checkCommand.
 type checkResult struct {
 	Valid    bool               `json:"valid"`
 	Models   int                `json:"models"`
@@ -50,12 +50,12 @@
 	if err != nil || result.Valid {
 		return err
 	}
-	return failure.New(failure.InvalidSettings, "mend the places named and check again", "%d problem(s) found", len(problems))
+	return failure.New(failure.InvalidSettings, "correct the reported lines and check again", "%d problem(s) found", len(problems))
 }
 
-// renderCommand shows resolved values.
+// renderCommand prints the resolved values of all branches.
 type renderCommand struct {
-	Origin bool `long:"origin" description:"show which branch and line set each value"`
+	Origin bool `long:"origin" description:"show the branch and line that set each value"`
 	filesArgument
 }
 
@@ -68,15 +68,15 @@
 	return settings.Render(os.Stdout, tree, c.Origin)
 }
 
-// hashKeyCommand hashes a key given on standard input, which keeps it out of the
-// shell's history.
+// hashKeyCommand hashes a key from standard input, which keeps the key out of the shell's
+// history.
 type hashKeyCommand struct{}
 
 // Execute implements flags.Commander.
 func (c *hashKeyCommand) Execute([]string) error {
 	var key string
 	if _, err := fmt.Fscanln(os.Stdin, &key); err != nil {
-		return failure.Wrap(err, failure.InvalidRequest, "give the key on standard input, in one line", "no key was read")
+		return failure.Wrap(err, failure.InvalidRequest, "provide the key on one line of standard input", "failed to read a key")
 	}
 	fmt.Println(settings.HashKey(key))
 	return nil
--- a/command/status.go
+++ b/command/status.go
@@ -9,7 +9,7 @@
 	"github.com/finchspoke/finchspoke/daemon"
 )
 
-// statusCommand shows a daemon's state.
+// statusCommand prints the status of a daemon.
 type statusCommand struct {
 	daemonOption
 	cli.Output
@@ -17,7 +17,7 @@
 
 // Execute implements flags.Commander.
 func (c *statusCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	var status adminapi.Status
 	if err := c.client().Get(ctx, adminapi.PathStatus, &status); err != nil {
@@ -38,30 +38,30 @@
 			member.ID, member.Status, member.Region, member.Zone, member.RPCAddress, member.SettingsRevision)
 	}
 	_, _ = fmt.Fprintln(writer, "queues:")
-	for _, held := range status.Queues {
-		_, _ = fmt.Fprintf(writer, "  %-32s waiting %d, running %d\n", held.Model, held.Waiting, held.Running)
+	for _, queue := range status.Queues {
+		_, _ = fmt.Fprintf(writer, "  %-32s waiting %d, running %d\n", queue.Model, queue.Waiting, queue.Running)
 	}
 	if status.Placement == nil {
 		return
 	}
-	_, _ = fmt.Fprintf(writer, "places for %s in epoch %d, plan revision %d:\n",
+	_, _ = fmt.Fprintf(writer, "placement for %s in epoch %d, plan revision %d:\n",
 		status.Placement.Region, status.Placement.Epoch, status.Placement.Plan)
-	for _, planned := range status.Placement.Engines {
-		for _, assignment := range planned.Assignments {
+	for _, engine := range status.Placement.Engines {
+		for _, assignment := range engine.Assignments {
 			_, _ = fmt.Fprintf(writer, "  %-28s %-6s %s@%s on accelerators %v, adapters %v\n",
-				planned.EngineID, assignment.Wish, assignment.Model, assignment.Version, assignment.Accelerators, assignment.Adapters)
+				engine.EngineID, assignment.Wish, assignment.Model, assignment.Version, assignment.Accelerators, assignment.Adapters)
 		}
 	}
 }
 
-// drainCommand begins a planned stop.
+// drainCommand starts a graceful shutdown.
 type drainCommand struct {
 	daemonOption
 }
 
 // Execute implements flags.Commander.
 func (c *drainCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := signalContext()
 	defer stop()
 	return c.client().Post(ctx, adminapi.PathDrain, struct{}{}, nil)
 }
