--- a/group/register.go
+++ b/group/register.go
@@ -37,33 +37,33 @@
 // TakeOver begins a term with a new ballot of at least floor. It returns the ballot and
 // the latest plan of a write quorum that promised it, which contains every committed
 // revision; the plan's Ballot is zero if there is no plan.
-func (p *Register) TakeOver(ctx context.Context, floor uint64) (ballot uint64, plan PlanState, err error) {
-	p.dropView(p.slot)
-	p.view, err = p.groupClient.view(ctx, p.slot)
+func (r *Register) TakeOver(ctx context.Context, floor uint64) (ballot uint64, plan PlanState, err error) {
+	r.dropView(r.slot)
+	r.view, err = r.groupClient.view(ctx, r.slot)
 	if err != nil {
 		return 0, PlanState{}, err
 	}
-	p.ballot = max(p.ballot+1, floor)
+	r.ballot = max(r.ballot+1, floor)
 	const attempts = 3
 	for range attempts {
-		states, highestPromised := p.requestPromises(ctx)
-		if len(states) >= p.view.writeQuorum() {
-			return p.ballot, mergePlans(states), nil
+		states, highestPromised := r.requestPromises(ctx)
+		if len(states) >= r.view.writeQuorum() {
+			return r.ballot, mergePlans(states), nil
 		}
-		if highestPromised < p.ballot {
-			return 0, PlanState{}, errors.Wrapf(ErrNoQuorum, "%d of %d members promised", len(states), len(p.view.Members))
+		if highestPromised < r.ballot {
+			return 0, PlanState{}, errors.Wrapf(ErrNoQuorum, "%d of %d members promised", len(states), len(r.view.Members))
 		}
-		p.ballot = highestPromised + 1
+		r.ballot = highestPromised + 1
 	}
 	return 0, PlanState{}, ErrPreempted
 }
 
 // requestPromises requests a promise of the ballot from all members. It returns the
 // plans of those that promised and the highest ballot promised by any.
-func (p *Register) requestPromises(ctx context.Context) (promised []PlanState, highestPromised uint64) {
-	for _, response := range fanOut(p.view.Members, func(member ViewMember) *rpc.PlanAnswer {
-		response, err := p.memberClient(ctx, member).Promise(withCallTimeout(ctx), &rpc.PromiseRequest{
-			View: p.view.wire(), Ballot: p.ballot, Proposer: p.proposer})
+func (r *Register) requestPromises(ctx context.Context) (promised []PlanState, highestPromised uint64) {
+	for _, response := range fanOut(r.view.Members, func(member ViewMember) *rpc.PlanAnswer {
+		response, err := r.memberClient(ctx, member).Promise(withCallTimeout(ctx), &rpc.PromiseRequest{
+			View: r.view.wire(), Ballot: r.ballot, Proposer: r.proposer})
 		if err != nil {
 			return nil
 		}
@@ -84,11 +84,11 @@
 // Propose commits a revision of the plan. changes holds the difference from the previous
 // revision, full the complete plan for members that lack it. After ErrNoQuorum only the
 // same revision may be proposed again.
-func (p *Register) Propose(ctx context.Context, revision uint64, changes, full map[string][]byte) error {
-	verdicts := fanOut(p.view.Members, func(member ViewMember) PlanVerdict {
-		verdict, err := p.requestAccept(ctx, member, revision, false, changes)
+func (r *Register) Propose(ctx context.Context, revision uint64, changes, full map[string][]byte) error {
+	verdicts := fanOut(r.view.Members, func(member ViewMember) PlanVerdict {
+		verdict, err := r.requestAccept(ctx, member, revision, false, changes)
 		if err == nil && verdict == PlanGap {
-			verdict, err = p.requestAccept(ctx, member, revision, true, full)
+			verdict, err = r.requestAccept(ctx, member, revision, true, full)
 		}
 		if err != nil {
 			return noAnswer
@@ -105,10 +105,10 @@
 		}
 	}
 	switch {
-	case accepted >= p.view.writeQuorum():
+	case accepted >= r.view.writeQuorum():
 		return nil
-	case accepted+unanswered >= p.view.writeQuorum():
-		return errors.Wrapf(ErrNoQuorum, "%d of %d members accepted", accepted, len(p.view.Members))
+	case accepted+unanswered >= r.view.writeQuorum():
+		return errors.Wrapf(ErrNoQuorum, "%d of %d members accepted", accepted, len(r.view.Members))
 	}
 	return ErrPreempted
 }
@@ -116,8 +116,8 @@
 // noAnswer represents a call that failed.
 const noAnswer = PlanVerdict(^uint32(0))
 
-func (p *Register) requestAccept(ctx context.Context, member ViewMember, revision uint64, full bool, entries map[string][]byte) (PlanVerdict, error) {
-	response, err := p.memberClient(ctx, member).Accept(withCallTimeout(ctx), &rpc.AcceptRequest{
-		View: p.view.wire(), Ballot: p.ballot, Proposer: p.proposer, Revision: revision, Full: full, Entries: wireEntries(entries)})
+func (r *Register) requestAccept(ctx context.Context, member ViewMember, revision uint64, full bool, entries map[string][]byte) (PlanVerdict, error) {
+	response, err := r.memberClient(ctx, member).Accept(withCallTimeout(ctx), &rpc.AcceptRequest{
+		View: r.view.wire(), Ballot: r.ballot, Proposer: r.proposer, Revision: revision, Full: full, Entries: wireEntries(entries)})
 	return PlanVerdict(response.GetVerdict()), err
 }
--- a/settings/check_branch.go
+++ b/settings/check_branch.go
@@ -38,15 +38,15 @@
 
 func (c *checker) checkKeys(at location, branch *Branch, document BranchDocument) {
 	for index, key := range document.Keys {
-		where := at.item("keys", index)
+		keyAt := at.item("keys", index)
 		digits, prefixed := strings.CutPrefix(key, keyPrefix)
 		hash, valid := callers.ParseHash(digits)
 		if !prefixed || !valid {
-			c.report(where, "branches."+branch.Path+".keys", "write sha256: and the 64 hexadecimal digits that `finchspoke settings hash-key` prints",
+			c.report(keyAt, "branches."+branch.Path+".keys", "write sha256: and the 64 hexadecimal digits that `finchspoke settings hash-key` prints",
 				"a key must be given as its SHA-256 hash")
 			continue
 		}
-		c.requireUnique(where, "key", hash.String())
+		c.requireUnique(keyAt, "key", hash.String())
 		c.tree.keys.Add(hash, branch.Path)
 	}
 }
@@ -55,25 +55,25 @@
 func (c *checker) applyOverrides(at location, branch *Branch, document BranchDocument) {
 	label := "branches." + branch.Path + "."
 	recordOrigin := func(name string) location {
-		where := at.child(name)
-		branch.Origins[name] = Origin{Branch: branch.Path, at: where}
-		return where
+		valueAt := at.child(name)
+		branch.Origins[name] = Origin{Branch: branch.Path, at: valueAt}
+		return valueAt
 	}
 	values := &branch.Values
 	if len(document.Allow) > 0 {
-		where := recordOrigin("allow")
+		valueAt := recordOrigin("allow")
 		values.Allow = document.Allow
 		for _, pattern := range document.Allow {
 			if _, err := path.Match(pattern, ""); err != nil {
-				c.report(where, label+"allow", "use * and ? as wildcards", "pattern %q is not valid", pattern)
+				c.report(valueAt, label+"allow", "use * and ? as wildcards", "pattern %q is not valid", pattern)
 			}
 		}
 	}
 	if document.Class != "" {
-		where := recordOrigin("class")
+		valueAt := recordOrigin("class")
 		class, err := request.ParseClass(document.Class)
 		if err != nil {
-			c.report(where, label+"class", "use interactive, standard or bulk", "%v", err)
+			c.report(valueAt, label+"class", "use interactive, standard or bulk", "%v", err)
 		}
 		values.Class = class
 	}
--- a/settings/registry_test.go
+++ b/settings/registry_test.go
@@ -44,7 +44,7 @@
 	require.Len(t, history, 2)
 }
 
-func TestApplyIsSafeToRepeat(t *testing.T) {
+func TestApplyIsIdempotent(t *testing.T) {
 	registry, _ := newRegistry(t)
 	_, err := apply(registry, 0, "one", parse(t, baseYAML))
 	require.NoError(t, err)
