--- a/command/status.go
+++ b/command/status.go
@@ -49,7 +49,7 @@
 	for _, engine := range status.Placement.Engines {
 		for _, assignment := range engine.Assignments {
 			_, _ = fmt.Fprintf(writer, "  %-28s %-6s %s@%s on accelerators %v, adapters %v\n",
-				engine.EngineID, assignment.Wish, assignment.Model, assignment.Version, assignment.Accelerators, assignment.Adapters)
+				engine.EngineID, assignment.DesiredState, assignment.Model, assignment.Version, assignment.Accelerators, assignment.Adapters)
 		}
 	}
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -217,7 +217,7 @@
 	d.register(server, spread, group.NewService(d.claims, manager))
 	d.supervisor = suture.New("finchspoke", suture.Spec{EventHook: d.logEvent})
 	for _, service := range []suture.Service{
-		d.members, server, spread, d.home, home.NewReporter(d.home, d.config.Region), d.placer, manager, d.gateway,
+		d.members, server, spread, d.home, home.NewDemandReporter(d.home, d.config.Region), d.placer, manager, d.gateway,
 		&adminServer{daemon: d, listener: d.sockets.admin},
 	} {
 		d.supervisor.Add(service)
--- a/group/directory.go
+++ b/group/directory.go
@@ -25,7 +25,7 @@
 }
 
 func (c *groupClient) memberClient(ctx context.Context, member ViewMember) rpc.DRPCGroupsClient {
-	return rpc.NewDRPCGroupsClient(c.pool.To(ctx, member.RPCAddress))
+	return rpc.NewDRPCGroupsClient(c.pool.Conn(ctx, member.RPCAddress))
 }
 
 func (c *groupClient) cachedView(slot SlotKey) (View, bool) {
@@ -49,7 +49,7 @@
 	ranked := rankedCandidates(c.members(), slot)
 	best := View{}
 	for _, candidate := range ranked[:min(maxViewQueries, len(ranked))] {
-		client := rpc.NewDRPCGroupsClient(c.pool.To(ctx, candidate.RPCAddress))
+		client := rpc.NewDRPCGroupsClient(c.pool.Conn(ctx, candidate.RPCAddress))
 		response, err := client.View(withCallTimeout(ctx), &rpc.ViewRequest{Region: slot.Region, Slot: slot.Slot})
 		if err != nil {
 			continue
--- a/group/manager.go
+++ b/group/manager.go
@@ -276,7 +276,7 @@
 }
 
 func (m *Manager) memberClient(ctx context.Context, member ViewMember) rpc.DRPCGroupsClient {
-	return rpc.NewDRPCGroupsClient(m.pool.To(ctx, member.RPCAddress))
+	return rpc.NewDRPCGroupsClient(m.pool.Conn(ctx, member.RPCAddress))
 }
 
 // withCallTimeout returns a context that ends after callTimeout and then frees its timer.
