--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -144,7 +144,7 @@
 	}
 	sort.Slice(status.Queues, func(i, j int) bool { return status.Queues[i].Model < status.Queues[j].Model })
 	for _, member := range d.members.View().Members {
-		revision := d.members.HeardRevision(member.ID)
+		revision := d.members.MemberRevision(member.ID)
 		if member.ID == self.ID {
 			revision = d.settings.Number()
 		}
--- a/daemon/spread.go
+++ b/daemon/spread.go
@@ -35,14 +35,14 @@
 
 func newSettingsDistributor(store *settings.Store, registry *settings.Registry, members *membership.Service, log logrus.FieldLogger) *settingsDistributor {
 	distributor := &settingsDistributor{store: store, registry: registry, members: members, log: log, fetchFrom: make(chan string, 1)}
-	store.Listen(func(revision *settings.Revision) {
+	store.Subscribe(func(revision *settings.Revision) {
 		log.WithFields(logrus.Fields{"revision": revision.Number, "author": revision.Author}).Info("settings in effect")
 		members.Announce(revision.Number)
 		// Decoding a large settings tree needs several times its size in memory. Revisions
 		// are rare enough to return that memory to the system each time.
 		debug.FreeOSMemory()
 	})
-	members.OnRevisionHeard(func(memberID string, _ uint64) {
+	members.SetRevisionHandler(func(memberID string, _ uint64) {
 		select {
 		case distributor.fetchFrom <- memberID:
 		default: // a fetch is pending; gossip repeats the announcement
--- a/node/node.go
+++ b/node/node.go
@@ -63,7 +63,7 @@
 	Retries          core.RetryPolicy
 	LoadLimits       loader.Limits
 	// ConfigurationAge bounds the time since the configuration was last known to be current.
-	ConfigurationAge access.Bound
+	ConfigurationAge access.AgeLimit
 	// QuotaBounds bounds how far the limits of tenants may be exceeded.
 	QuotaBounds   quota.Bounds
 	RecordsPrefix string // key prefix of the records that are mirrored
@@ -211,7 +211,7 @@
 	n.core = requestCore
 	n.mirror = records.NewMirror(adapters.Store, n.config.RecordsPrefix, n.log)
 	n.mirror.SetClock(boottime.Now)
-	n.gate = &access.Gate{Table: n.routes, VerifiedAt: n.mirror.VerifiedAt, Bound: n.config.ConfigurationAge, Now: boottime.Now}
+	n.gate = &access.Gate{Table: n.routes, VerifiedAt: n.mirror.VerifiedAt, AgeLimit: n.config.ConfigurationAge, Now: boottime.Now}
 	requestCore.Gate = n.gate
 	if n.config.ConfigurationAge.Strict {
 		n.mirror.VerifyWithin(adapters.TableKey, time.Duration(storeVerificationShare*float64(n.config.ConfigurationAge.MaxAge)))
@@ -243,7 +243,7 @@
 		n.leader.Wake()
 	})
 	n.quarantine = &quarantine.Guard{
-		Prefix: n.config.CrashPrefix, Store: adapters.Store, Prober: replicas.Prober, Leaves: n.isDraining, RestsUntil: n.fleet.RestsUntil, Leading: n.mirror.Leading,
+		Prefix: n.config.CrashPrefix, Store: adapters.Store, Prober: replicas.Prober, IsDraining: n.isDraining, RestsUntil: n.fleet.RestsUntil, Leading: n.mirror.Leading,
 		Now: time.Now, Metrics: quarantine.NewMetrics(n.metrics), Log: n.log,
 	}
 	n.quarantine.Prepare()
@@ -260,7 +260,7 @@
 	subscriber := &records.Subscriber{Daemon: n.config.ID, Mirror: n.mirror, Source: n.recordSource, Standby: n.standbySource, Seeds: n.replicas.recordPeers, Log: n.log}
 	n.registerGauges()
 	n.frontend = frontend.New(n.listeners.callers, adapters.NewCallerHandler(n.routes, n.gate, requestCore), frontend.Options{
-		ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTime: n.idleTimeout, TurnAway: shutdownDelay, Log: n.log,
+		ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: n.idleTimeout, ShutdownDelay: shutdownDelay, Log: n.log,
 	})
 	server := transport.NewServer(n.listeners.peers)
 	n.peers = server
@@ -325,7 +325,7 @@
 
 // ready reports whether the node should receive requests.
 func (n *Node) ready() bool {
-	return !n.frontend.Stopping() && n.gate.Open() && n.replicas.ready()
+	return !n.frontend.Stopping() && n.gate.Ready() && n.replicas.ready()
 }
 
 const (
--- a/node/turns.go
+++ b/node/turns.go
@@ -15,7 +15,7 @@
 	limitClient *limiter.Client
 }
 
-func (l *probeLimiter) Take(ctx context.Context, replica fleet.Incarnation) bool {
+func (l *probeLimiter) TryReserve(ctx context.Context, replica fleet.Incarnation) bool {
 	perSecond := l.fleet.LimitOf(replica.ID)
 	if perSecond == 0 {
 		return true
--- a/placer/record.go
+++ b/placer/record.go
@@ -84,7 +84,7 @@
 		changes[id] = entries[id] // nil if the engine has no assignments left
 	}
 	err = r.register.Propose(ctx, r.pending.Plan.Fence.Revision, changes, entries)
-	if errors.Is(err, group.ErrOutbid) {
+	if errors.Is(err, group.ErrPreempted) {
 		return errTermEnded
 	}
 	if err != nil {
