--- a/command/node.go
+++ b/command/node.go
@@ -33,7 +33,7 @@
 	if c.KnownByAll > 0 {
 		config.KnownByAll = c.KnownByAll
 	}
-	lines := logging.NewBounded(os.Stdout)
+	lines := logging.NewBoundedWriter(os.Stdout)
 	writing, stopWriting := context.WithCancel(context.Background())
 	go func() { _ = lines.Serve(writing) }()
 	defer func() {
--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -192,7 +192,7 @@
 // logPhase records what is left as a phase of the stop begins.
 func (s *Server) logPhase(phase string) {
 	connections, requests := s.open()
-	s.Log.WithFields(logrus.Fields{logging.Phase: phase, logging.Connections: connections, logging.Requests: requests}).Info(logging.MessageStopPhase)
+	s.Log.WithFields(logrus.Fields{logging.Phase: phase, logging.Connections: connections, logging.Requests: requests}).Info(logging.MessageShutdownPhase)
 }
 
 // open counts the callers' connections, and those that hold a request without a whole answer.
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	// queueLines bounds the lines between those that log and the writer.
+	// queueLines is the capacity of the queue between loggers and the writer.
 	queueLines = 4096
-	// reservedLines of them are kept for warnings and errors.
+	// reservedLines is the part of the queue that only warnings and errors may use.
 	reservedLines = 1024
 )
 
-// Bounded passes lines on to a slow writer without ever blocking those that log.
-// When its queue is full lines are dropped and counted; warnings and errors go
-// before other lines. It implements io.Writer, one line a call, and suture.Service.
-type Bounded struct {
-	writer  io.Writer
-	lines   chan []byte
-	dropped atomic.Uint64
-	told    uint64
+// BoundedWriter queues log lines for a slow writer, so that logging never blocks. It drops and
+// counts lines when the queue is full, and reserves space for warnings and errors. It implements
+// io.Writer, with one line per call, and suture.Service.
+type BoundedWriter struct {
+	writer        io.Writer
+	lines         chan []byte
+	dropped       atomic.Uint64
+	reportedDrops uint64
 }
 
-// NewBounded returns a bounded queue before a writer; Serve passes lines on.
-func NewBounded(writer io.Writer) *Bounded {
-	return &Bounded{writer: writer, lines: make(chan []byte, queueLines)}
+// NewBoundedWriter returns a queue in front of writer; Serve writes the queued lines.
+func NewBoundedWriter(writer io.Writer) *BoundedWriter {
+	return &BoundedWriter{writer: writer, lines: make(chan []byte, queueLines)}
 }
 
-// Write takes a line; it never blocks and never fails.
-func (b *Bounded) Write(line []byte) (int, error) {
+// Write queues or drops a line; it never blocks and never fails.
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	if len(line) == 0 {
-		return 0, nil // left out
+		return 0, nil // suppressed by SamplingFormatter
 	}
 	if len(b.lines) >= queueLines-reservedLines && !urgentLine(line) {
 		b.dropped.Add(1)
@@ -48,33 +48,33 @@
 	return len(line), nil
 }
 
-// urgentLine tells whether a line is a warning or worse.
+// urgentLine reports whether a line is a warning or an error.
 func urgentLine(line []byte) bool {
 	return bytes.Contains(line, []byte(`"level":"warning"`)) || bytes.Contains(line, []byte(`"level":"error"`))
 }
 
-// Dropped returns how many lines were dropped so far.
-func (b *Bounded) Dropped() uint64 { return b.dropped.Load() }
+// Dropped returns how many lines have been dropped since the start.
+func (b *BoundedWriter) Dropped() uint64 { return b.dropped.Load() }
 
-// String names the service in the supervisor's events.
-func (b *Bounded) String() string { return "log-writer" }
+// String returns the service name that the supervisor reports in its events.
+func (b *BoundedWriter) String() string { return "log-writer" }
 
-// Serve passes lines on until ctx ends.
-func (b *Bounded) Serve(ctx context.Context) error {
+// Serve writes queued lines until ctx is done.
+func (b *BoundedWriter) Serve(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case line := <-b.lines:
-			b.pass(line)
+			b.writeBatch(line)
 		}
 	}
 }
 
-// pass writes a line and those that wait behind it at once.
-func (b *Bounded) pass(line []byte) {
-	const mostBytes = 32 << 10
-	for more := true; more && len(line) < mostBytes; {
+// writeBatch writes a line and the lines queued behind it in one call, and reports dropped lines.
+func (b *BoundedWriter) writeBatch(line []byte) {
+	const maxBatchBytes = 32 << 10
+	for more := true; more && len(line) < maxBatchBytes; {
 		select {
 		case next := <-b.lines:
 			line = append(line, next...)
@@ -82,23 +82,23 @@
 			more = false
 		}
 	}
-	if dropped := b.dropped.Load(); dropped > b.told {
+	if dropped := b.dropped.Load(); dropped > b.reportedDrops {
 		line = fmt.Appendf(line, `{"level":"warning","message":"log lines dropped","%s":%d,"time":%q}`+"\n",
-			Dropped, dropped-b.told, time.Now().Format(time.RFC3339Nano))
-		b.told = dropped
+			Dropped, dropped-b.reportedDrops, time.Now().Format(time.RFC3339Nano))
+		b.reportedDrops = dropped
 	}
-	_, _ = b.writer.Write(line) // there is nowhere to report it
+	_, _ = b.writer.Write(line) // no other log to report a failure to
 }
 
-// Drain passes on what waits, for at most a while; it is for a process that ends.
-func (b *Bounded) Drain(most time.Duration) {
+// Drain writes the queued lines within timeout; the process calls it at shutdown.
+func (b *BoundedWriter) Drain(timeout time.Duration) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for {
 			select {
 			case line := <-b.lines:
-				b.pass(line)
+				b.writeBatch(line)
 			default:
 				return
 			}
@@ -106,6 +106,6 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(most):
+	case <-time.After(timeout):
 	}
 }
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A pipe that nobody reads must cost those that log nothing.
-func TestAStalledWriterBlocksNobodyAndWarningsHaveRoom(t *testing.T) {
+// Guards against loggers blocking on a log pipe that nobody reads.
+func TestStalledWriterDoesNotBlockAndWarningsHaveReservedSpace(t *testing.T) {
 	reader, writer := io.Pipe()
-	bounded := NewBounded(writer)
+	bounded := NewBoundedWriter(writer)
 	go func() { _ = bounded.Serve(t.Context()) }()
 	logger := New(bounded, "info")
 	for range queueLines {
@@ -21,13 +21,13 @@
 	require.Positive(t, bounded.Dropped())
 	before := bounded.Dropped()
 	logger.Warn("request failed")
-	require.Equal(t, before, bounded.Dropped(), "there is room for warnings")
+	require.Equal(t, before, bounded.Dropped(), "a warning was dropped although space is reserved for it")
 	require.NoError(t, reader.Close())
 }
 
 func TestDroppedLinesAreCountedInTheLog(t *testing.T) {
 	var out bytes.Buffer
-	bounded := NewBounded(&out)
+	bounded := NewBoundedWriter(&out)
 	for range queueLines + 3 {
 		_, _ = bounded.Write([]byte(`{"level":"warning"}` + "\n"))
 	}
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,7 +1,5 @@
-// Package logging sets up the log: JSON lines on standard error.
-//
-// Field names are stable: request_id, model, branch, zone, daemon, engine,
-// revision (of settings), plan_revision, epoch, outcome, execution.
+// Package logging sets up structured logging as JSON lines, and names the fields and messages
+// that tools match on.
 package logging
 
 import (
@@ -11,12 +9,12 @@
 	"github.com/sirupsen/logrus"
 )
 
-// New returns a logger that writes JSON lines of a level and above; an unknown
-// level means info.
+// New returns a logger that writes JSON lines at the given level and above; an unknown
+// level is read as info.
 func New(writer io.Writer, level string) *logrus.Logger {
 	logger := logrus.New()
 	logger.SetOutput(writer)
-	logger.SetFormatter(NewSampling(&logrus.JSONFormatter{
+	logger.SetFormatter(NewSamplingFormatter(&logrus.JSONFormatter{
 		TimestampFormat: time.RFC3339Nano,
 		FieldMap:        logrus.FieldMap{logrus.FieldKeyTime: "time", logrus.FieldKeyMsg: "message"},
 	}))
--- a/logging/sampling.go
+++ b/logging/sampling.go
@@ -8,58 +8,58 @@
 )
 
 const (
-	// sampledLines is how many lines of one cause are written in sampledWindow; the
-	// next that is written tells how many were left out.
-	sampledLines  = 5
-	sampledWindow = time.Second
-	// mostCauses bounds the causes that are counted at once.
-	mostCauses = 256
+	// maxLinesPerWindow is how many lines with the same key are written per sampleWindow; the
+	// next line written reports how many were suppressed.
+	maxLinesPerWindow = 5
+	sampleWindow      = time.Second
+	// maxSampleKeys bounds the keys counted at the same time.
+	maxSampleKeys = 256
 )
 
-// cause is what makes two lines the same but for their time.
+// cause is the key of sampling: lines with equal keys count as repetitions.
 type cause struct {
 	message, cause, dependency, outcome string
 }
 
-// seenCause counts the lines of a cause.
-type seenCause struct {
-	since   time.Time
-	written int
-	left    int // lines left out
+// sampleCount counts the lines of one key in the current window.
+type sampleCount struct {
+	windowStart time.Time
+	written     int
+	suppressed  int // lines not written since the last one written
 }
 
-// Sampling is a formatter that leaves out lines of a cause which repeats itself. Lines
-// that name a request, and lines without a cause, are all kept.
-type Sampling struct {
+// SamplingFormatter suppresses repeated lines with the same message, cause, dependency and
+// outcome. It writes every line that names a request or has no cause.
+type SamplingFormatter struct {
 	logrus.Formatter
 	now func() time.Time
 
-	mutex sync.Mutex
-	seen  map[cause]*seenCause
+	mutex  sync.Mutex
+	counts map[cause]*sampleCount
 }
 
-// NewSampling returns a sampling formatter over another.
-func NewSampling(formatter logrus.Formatter) *Sampling {
-	return &Sampling{Formatter: formatter, now: time.Now, seen: map[cause]*seenCause{}}
+// NewSamplingFormatter returns a sampling formatter that wraps formatter.
+func NewSamplingFormatter(formatter logrus.Formatter) *SamplingFormatter {
+	return &SamplingFormatter{Formatter: formatter, now: time.Now, counts: map[cause]*sampleCount{}}
 }
 
-// Format implements logrus.Formatter; it returns nothing for a line that is left out.
-func (s *Sampling) Format(entry *logrus.Entry) ([]byte, error) {
+// Format implements logrus.Formatter; it returns no bytes for a suppressed line.
+func (s *SamplingFormatter) Format(entry *logrus.Entry) ([]byte, error) {
 	if entry.Data[Cause] == nil || entry.Data[RequestID] != nil {
 		return s.Formatter.Format(entry)
 	}
-	kept, left := s.admit(causeOf(entry))
-	if !kept {
+	admitted, suppressed := s.admit(causeOf(entry))
+	if !admitted {
 		return nil, nil
 	}
-	if left > 0 {
-		entry = withField(entry, LeftOut, left)
+	if suppressed > 0 {
+		entry = withField(entry, Suppressed, suppressed)
 	}
 	return s.Formatter.Format(entry)
 }
 
-// withField returns a line with one more field. logrus makes an entry for a line yet to
-// be written, which has neither level nor message.
+// withField returns a copy of entry with one more field. It copies level, message and caller
+// itself, because logrus leaves them out of the copy.
 func withField(entry *logrus.Entry, field string, value any) *logrus.Entry {
 	marked := entry.WithField(field, value)
 	marked.Level, marked.Message, marked.Caller = entry.Level, entry.Message, entry.Caller
@@ -74,28 +74,28 @@
 	return cause{entry.Message, text(Cause), text(Dependency), text(Outcome)}
 }
 
-// admit tells whether a line is written, and how many of its cause were left out
-// since the last that was.
-func (s *Sampling) admit(key cause) (kept bool, left int) {
+// admit reports whether a line is written, and how many lines with the same key were suppressed
+// since the last one written.
+func (s *SamplingFormatter) admit(key cause) (admitted bool, suppressed int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.now()
-	known := s.seen[key]
-	if known == nil {
-		if len(s.seen) >= mostCauses {
-			clear(s.seen) // rare: counts of lines left out are lost
+	count := s.counts[key]
+	if count == nil {
+		if len(s.counts) >= maxSampleKeys {
+			clear(s.counts) // loses the counts of suppressed lines
 		}
-		known = &seenCause{since: now}
-		s.seen[key] = known
+		count = &sampleCount{windowStart: now}
+		s.counts[key] = count
 	}
-	if now.Sub(known.since) >= sampledWindow {
-		known.since, known.written = now, 0
+	if now.Sub(count.windowStart) >= sampleWindow {
+		count.windowStart, count.written = now, 0
 	}
-	if known.written >= sampledLines {
-		known.left++
+	if count.written >= maxLinesPerWindow {
+		count.suppressed++
 		return false, 0
 	}
-	known.written++
-	left, known.left = known.left, 0
-	return true, left
+	count.written++
+	suppressed, count.suppressed = count.suppressed, 0
+	return true, suppressed
 }
--- a/logging/sampling_test.go
+++ b/logging/sampling_test.go
@@ -13,7 +13,7 @@
 func TestLinesOfOneCauseAreSampledAndCounted(t *testing.T) {
 	var out bytes.Buffer
 	logger := New(&out, "info")
-	sampling, isSampling := logger.Formatter.(*Sampling)
+	sampling, isSampling := logger.Formatter.(*SamplingFormatter)
 	require.True(t, isSampling)
 	now := time.Unix(1_000_000, 0)
 	sampling.now = func() time.Time { return now }
@@ -21,18 +21,18 @@
 		defer out.Reset()
 		return strings.Count(out.String(), "\n")
 	}
-	for range sampledLines + 7 {
+	for range maxLinesPerWindow + 7 {
 		logger.WithField(Cause, "refused").Warn(MessageDependencyLost)
 	}
-	require.Equal(t, sampledLines, lines())
-	for range sampledLines + 7 {
+	require.Equal(t, maxLinesPerWindow, lines())
+	for range maxLinesPerWindow + 7 {
 		logger.WithFields(logrus.Fields{Cause: "refused", RequestID: "r1"}).Warn(MessageDependencyLost)
 		logger.Info("no cause")
 	}
-	require.Equal(t, 2*(sampledLines+7), lines(), "requests and lines without a cause are kept")
+	require.Equal(t, 2*(maxLinesPerWindow+7), lines(), "lines of requests and lines without a cause are not sampled")
 	logger.WithField(Cause, "silent").Warn(MessageDependencyLost)
-	require.Equal(t, 1, lines(), "another cause")
-	now = now.Add(sampledWindow)
+	require.Equal(t, 1, lines(), "another cause is counted separately")
+	now = now.Add(sampleWindow)
 	logger.WithField(Cause, "refused").Warn(MessageDependencyLost)
 	require.Contains(t, out.String(), `"left_out":7`)
 	require.Contains(t, out.String(), `"level":"warning"`)
--- a/logstory/crowding.go
+++ b/logstory/crowding.go
@@ -8,54 +8,53 @@
 )
 
 const (
-	// crowdedReplicas is on how many replicas the late answers are counted apart.
-	crowdedReplicas = 20
-	// crowdedModels is how many models are named.
-	crowdedModels = 10
+	// topReplicaCount is how many of the replicas with the most late responses TopShare covers.
+	topReplicaCount = 20
+	// maxLateModels bounds the models listed.
+	maxLateModels = 10
 )
 
-// Crowding tells on how few replicas and models the answers were late that a replica made
-// late: those that began or paused too late without a wait for a load. Late answers on few of
-// many replicas ask for more copies of the models named; late answers on all of them ask for
-// more replicas.
-type Crowding struct {
-	Late     int           `json:"late"`
-	Replicas int           `json:"replicas"`  // that answered
-	OnFew    float64       `json:"on_few"`    // share of the late answers on the 20 replicas with the most
-	ByModel  []CrowdedLoad `json:"by_model"`  // the ten with the most late answers
-	FewCount int           `json:"few_count"` // the replicas that OnFew counts
+// Concentration describes how late responses are distributed over replicas and models. It counts
+// responses that a replica delayed, not those that waited for a load. If few replicas cause them,
+// the listed models need more copies; if all replicas do, the fleet needs more replicas.
+type Concentration struct {
+	Late        int         `json:"late"`
+	Replicas    int         `json:"replicas"`  // replicas that served responses
+	TopShare    float64     `json:"on_few"`    // share of late responses on the TopReplicas worst replicas
+	ByModel     []LateModel `json:"by_model"`  // models with the most late responses
+	TopReplicas int         `json:"few_count"` // replicas that TopShare covers
 }
 
-// CrowdedLoad is one model's share of the late answers.
-type CrowdedLoad struct {
+// LateModel counts the late responses of one model.
+type LateModel struct {
 	Model    string `json:"model"`
 	Answered int    `json:"answered"`
 	Late     int    `json:"late"`
-	Replicas int    `json:"replicas"` // that answered
+	Replicas int    `json:"replicas"` // replicas that served responses
 }
 
-// crowdedBy tells whether a replica made a request late.
-func crowdedBy(cause string) bool { return cause == causeSlowAnswer || cause == causePause }
+// causedByReplica reports whether a replica caused the delay of a request.
+func causedByReplica(cause string) bool { return cause == causeSlowStart || cause == causePause }
 
-// crowdingCounter counts the answers of models by replica and by model.
-type crowdingCounter struct {
+// concentrationCounter counts the responses to model requests by replica and by model.
+type concentrationCounter struct {
 	late      int
-	byReplica map[string]int // late answers of each replica that answered
+	byReplica map[string]int // late responses by replica; zero for a replica without any
 	byModel   map[string]*modelCounter
 }
 
-// modelCounter counts the answers of one model.
+// modelCounter counts the responses of one model.
 type modelCounter struct {
 	answered, late int
 	replicas       map[string]bool
 }
 
-func newCrowdingCounter() *crowdingCounter {
-	return &crowdingCounter{byReplica: map[string]int{}, byModel: map[string]*modelCounter{}}
+func newConcentrationCounter() *concentrationCounter {
+	return &concentrationCounter{byReplica: map[string]int{}, byModel: map[string]*modelCounter{}}
 }
 
-// add takes in a request that ended, and what made it late; empty if it was in time.
-func (c *crowdingCounter) add(request endedRequest, cause string) {
+// add counts a request that ended; cause is what delayed it, empty if it was in time.
+func (c *concentrationCounter) add(request endedRequest, cause string) {
 	if request.model == "" || request.outcome != logging.OutcomeAnswered {
 		return
 	}
@@ -67,7 +66,7 @@
 	model.answered++
 	model.replicas[request.replica] = true
 	late := 0
-	if crowdedBy(cause) {
+	if causedByReplica(cause) {
 		late = 1
 	}
 	c.late += late
@@ -75,25 +74,25 @@
 	c.byReplica[request.replica] += late
 }
 
-// crowding puts what was counted in order.
-func (c *crowdingCounter) crowding() Crowding {
-	few := min(crowdedReplicas, len(c.byReplica))
-	made := Crowding{Late: c.late, Replicas: len(c.byReplica), FewCount: few, OnFew: shareOfMost(c.byReplica, few, c.late)}
+// concentration returns the result, with the models that have the most late responses first.
+func (c *concentrationCounter) concentration() Concentration {
+	top := min(topReplicaCount, len(c.byReplica))
+	result := Concentration{Late: c.late, Replicas: len(c.byReplica), TopReplicas: top, TopShare: topShare(c.byReplica, top, c.late)}
 	for name, model := range c.byModel {
 		if model.late > 0 {
-			made.ByModel = append(made.ByModel, CrowdedLoad{Model: name, Answered: model.answered, Late: model.late, Replicas: len(model.replicas)})
+			result.ByModel = append(result.ByModel, LateModel{Model: name, Answered: model.answered, Late: model.late, Replicas: len(model.replicas)})
 		}
 	}
-	slices.SortFunc(made.ByModel, func(a, b CrowdedLoad) int {
+	slices.SortFunc(result.ByModel, func(a, b LateModel) int {
 		return cmp.Or(cmp.Compare(b.Late, a.Late), cmp.Compare(a.Model, b.Model))
 	})
-	made.ByModel = made.ByModel[:min(crowdedModels, len(made.ByModel))]
-	return made
+	result.ByModel = result.ByModel[:min(maxLateModels, len(result.ByModel))]
+	return result
 }
 
-// shareOfMost returns the share of all that the highest counts hold.
-func shareOfMost(counts map[string]int, highest, all int) float64 {
-	if all == 0 {
+// topShare returns the sum of the top highest counts as a share of total.
+func topShare(counts map[string]int, top, total int) float64 {
+	if total == 0 {
 		return 0
 	}
 	descending := make([]int, 0, len(counts))
@@ -102,8 +101,8 @@
 	}
 	slices.SortFunc(descending, func(a, b int) int { return cmp.Compare(b, a) })
 	sum := 0
-	for _, count := range descending[:highest] {
+	for _, count := range descending[:top] {
 		sum += count
 	}
-	return float64(sum) / float64(all)
+	return float64(sum) / float64(total)
 }
--- a/logstory/day.go
+++ b/logstory/day.go
@@ -16,56 +16,56 @@
 	"github.com/finchspoke/finchspoke/logging"
 )
 
-// Filter names what a day's requests are counted of; empty fields: of all.
+// Filter selects the requests to count; an empty field matches all.
 type Filter struct {
 	Model   string
 	Replica string
 	Tenant  string
 }
 
-func (f Filter) takes(line Line) bool {
+func (f Filter) matches(line Line) bool {
 	return (f.Model == "" || line.text(logging.Model) == f.Model) && (f.Replica == "" || line.text(logging.Replica) == f.Replica) &&
 		(f.Tenant == "" || line.text(logging.Tenant) == f.Tenant)
 }
 
-// Second is what happened within one second of a day.
+// Second counts the events within one second.
 type Second struct {
 	Arrived, InTime, Late int
-	// NotServed are the requests that ended without a whole answer, by outcome, in the second of
-	// their end.
+	// NotServed counts the requests that ended in this second without a complete response, by outcome.
 	NotServed map[string]int
-	// LoadsBegun and LoadsEnded are accepted loads, by where the weights came from.
-	LoadsBegun map[string]int
-	LoadsEnded map[string]int
-	// Lost are the dependencies that daemons lost, by name.
-	Lost map[string]int
-	// Terms are the daemons whose term as the holder of load orders began.
+	// LoadsStarted and LoadsCompleted count accepted loads by the source of the weights; a load
+	// completes after its expected duration.
+	LoadsStarted   map[string]int
+	LoadsCompleted map[string]int
+	// LostDependencies counts the dependencies that daemons lost, by name.
+	LostDependencies map[string]int
+	// Terms lists the daemons whose term as leader began.
 	Terms []string
 }
 
-// Day gathers a day from log lines as they are read: what it keeps grows with the seconds of the day,
-// and not with the lines.
+// Day counts events per second while it reads log lines. Its memory grows with the seconds that
+// the lines span, not with the number of lines.
 type Day struct {
-	Filter     Filter
-	Lines      int // that were read
-	Unreadable int // without JSON, cut, or longer than a megabyte
-	seconds    map[int64]*Second
+	Filter    Filter
+	Lines     int // lines read
+	Malformed int // lines without valid JSON or time, or longer than maxLine
+	seconds   map[int64]*Second
 }
 
-// NewDay returns a day without lines.
+// NewDay returns an empty day that counts what filter selects.
 func NewDay(filter Filter) *Day { return &Day{Filter: filter, seconds: map[int64]*Second{}} }
 
-// at returns the second of a moment.
-func (d *Day) at(moment time.Time) *Second {
+// secondAt returns the counts for the second of moment.
+func (d *Day) secondAt(moment time.Time) *Second {
 	key := moment.Unix()
 	if d.seconds[key] == nil {
-		d.seconds[key] = &Second{NotServed: map[string]int{}, LoadsBegun: map[string]int{}, LoadsEnded: map[string]int{}, Lost: map[string]int{}}
+		d.seconds[key] = &Second{NotServed: map[string]int{}, LoadsStarted: map[string]int{}, LoadsCompleted: map[string]int{}, LostDependencies: map[string]int{}}
 	}
 	return d.seconds[key]
 }
 
-// Read takes in log lines. read is told how many bytes were read so far; nil: nobody is.
-func (d *Day) Read(reader io.Reader, read func(bytes int64)) error {
+// Read counts the log lines of reader. It calls progress, unless nil, with the bytes read so far.
+func (d *Day) Read(reader io.Reader, progress func(bytes int64)) error {
 	lines := bufio.NewReaderSize(reader, maxLine)
 	done := int64(0)
 	for {
@@ -75,13 +75,13 @@
 		if len(data) > 0 {
 			d.readLine(data, isLong)
 		}
-		for isLong { // the rest of it
+		for isLong { // skip the rest of the line
 			data, err = lines.ReadSlice('\n')
 			done += int64(len(data))
 			isLong = errors.Is(err, bufio.ErrBufferFull)
 		}
-		if read != nil {
-			read(done)
+		if progress != nil {
+			progress(done)
 		}
 		switch {
 		case errors.Is(err, io.EOF):
@@ -97,48 +97,48 @@
 	start := bytes.IndexByte(data, '{')
 	line := Line{Fields: map[string]any{}}
 	if isLong || start < 0 || json.Unmarshal(data[start:], &line.Fields) != nil {
-		d.Unreadable++
+		d.Malformed++
 		return
 	}
 	at, err := time.Parse(time.RFC3339Nano, line.text("time"))
 	if err != nil {
-		d.Unreadable++
+		d.Malformed++
 		return
 	}
 	line.Time, line.Daemon, line.Message = at, line.text(logging.Daemon), line.text("message")
-	d.take(line)
+	d.addLine(line)
 }
 
-// take counts one line.
-func (d *Day) take(line Line) {
+// addLine counts one line.
+func (d *Day) addLine(line Line) {
 	switch line.Message {
 	case logging.MessageRequestEnded:
-		if line.text(logging.Route) != "" && d.Filter.takes(line) {
-			d.takeRequest(readEnd(line))
+		if line.text(logging.Route) != "" && d.Filter.matches(line) {
+			d.addRequest(parseEndedRequest(line))
 		}
 	case logging.MessageLoadOrder:
-		if line.text(logging.Order) == loading.Load.String() && line.text(logging.Outcome) == loader.Accepted.String() && d.takesLoad(line) {
+		if line.text(logging.Order) == loading.Load.String() && line.text(logging.Outcome) == loader.Accepted.String() && d.matchesLoad(line) {
 			source := line.text(logging.Source)
-			d.at(line.Time).LoadsBegun[source]++
-			d.at(line.Time.Add(time.Duration(line.number(logging.ReadyInMs)) * time.Millisecond)).LoadsEnded[source]++
+			d.secondAt(line.Time).LoadsStarted[source]++
+			d.secondAt(line.Time.Add(time.Duration(line.number(logging.ReadyInMs)) * time.Millisecond)).LoadsCompleted[source]++
 		}
-	case logging.MessageTermBegins:
-		second := d.at(line.Time)
+	case logging.MessageTermStarted:
+		second := d.secondAt(line.Time)
 		second.Terms = append(second.Terms, line.Daemon)
 	case logging.MessageDependencyLost:
-		d.at(line.Time).Lost[line.text(logging.Dependency)]++
+		d.secondAt(line.Time).LostDependencies[line.text(logging.Dependency)]++
 	}
 }
 
-// takesLoad tells whether a load counts: it belongs to no tenant.
-func (d *Day) takesLoad(line Line) bool {
-	return Filter{Model: d.Filter.Model, Replica: d.Filter.Replica}.takes(line)
+// matchesLoad applies the filter to a load; a load belongs to no tenant.
+func (d *Day) matchesLoad(line Line) bool {
+	return Filter{Model: d.Filter.Model, Replica: d.Filter.Replica}.matches(line)
 }
 
-func (d *Day) takeRequest(request endedRequest) {
-	d.at(request.began).Arrived++
-	second := d.at(request.ended)
-	isLate := request.firstByte > request.objective || request.gap > 0 && request.pause > request.gap
+func (d *Day) addRequest(request endedRequest) {
+	d.secondAt(request.started).Arrived++
+	second := d.secondAt(request.ended)
+	isLate := request.firstByte > request.objective || request.gapTarget > 0 && request.pause > request.gapTarget
 	switch {
 	case request.outcome != logging.OutcomeAnswered:
 		second.NotServed[request.outcome]++
@@ -149,15 +149,15 @@
 	}
 }
 
-// Seconds returns the day's seconds from the first to the last, those without lines included, and when
-// the first began.
+// Seconds returns the counts from the first second to the last, seconds without events included,
+// and the start of the first.
 func (d *Day) Seconds() (from time.Time, seconds []Second) {
 	if len(d.seconds) == 0 {
 		return time.Time{}, nil
 	}
 	keys := slices.Sorted(maps.Keys(d.seconds))
 	first, last := keys[0], keys[len(keys)-1]
-	for key := first; key <= last && len(seconds) < mostSeconds; key++ {
+	for key := first; key <= last && len(seconds) < maxSeconds; key++ {
 		if known := d.seconds[key]; known != nil {
 			seconds = append(seconds, *known)
 		} else {
@@ -167,5 +167,5 @@
 	return time.Unix(first, 0).UTC(), seconds
 }
 
-// mostSeconds bounds a picture: two days. A line with a wrong time of day must not make it endless.
-const mostSeconds = 2 * 24 * 3600
+// maxSeconds bounds the result to two days, so that a line with a wrong time cannot exhaust memory.
+const maxSeconds = 2 * 24 * 3600
--- a/logstory/day_test.go
+++ b/logstory/day_test.go
@@ -29,24 +29,24 @@
 	return day
 }
 
-func TestADayIsCountedBySeconds(t *testing.T) {
+func TestDayCountsEventsPerSecond(t *testing.T) {
 	day := dayOf(t, Filter{})
 	require.Equal(t, 10, day.Lines)
-	require.Equal(t, 2, day.Unreadable)
+	require.Equal(t, 2, day.Malformed)
 	from, seconds := day.Seconds()
 	require.Equal(t, time.Date(2026, 12, 2, 10, 0, 1, 0, time.UTC), from)
 	require.Len(t, seconds, 4)
 	require.Equal(t, 1, seconds[0].Arrived)
-	require.Equal(t, map[string]int{"disk": 1}, seconds[0].LoadsBegun)
+	require.Equal(t, map[string]int{"disk": 1}, seconds[0].LoadsStarted)
 	require.Equal(t, 1, seconds[1].InTime)
-	require.Equal(t, 2, seconds[1].Late, "by the first byte, and by a pause")
+	require.Equal(t, 2, seconds[1].Late, "one by its first byte, one by a pause")
 	require.Equal(t, []string{"d2"}, seconds[2].Terms)
-	require.Equal(t, map[string]int{"order holder": 1}, seconds[2].Lost)
-	require.Equal(t, map[string]int{"disk": 1}, seconds[2].LoadsEnded)
+	require.Equal(t, map[string]int{"order holder": 1}, seconds[2].LostDependencies)
+	require.Equal(t, map[string]int{"disk": 1}, seconds[2].LoadsCompleted)
 	require.Equal(t, map[string]int{"no_capacity": 1}, seconds[3].NotServed)
 }
 
-func TestADayOfOneModelOrTenant(t *testing.T) {
+func TestDayFilteredByModelOrTenant(t *testing.T) {
 	_, seconds := dayOf(t, Filter{Model: "m1"}).Seconds()
 	require.Equal(t, 1, seconds[1].Late)
 	_, seconds = dayOf(t, Filter{Tenant: "press"}).Seconds()
@@ -55,8 +55,8 @@
 	require.Empty(t, seconds[3:])
 }
 
-// A gigabyte of lines is read in the memory of one line and of the day's seconds.
-func TestALongLogIsReadInBoundedMemory(t *testing.T) {
+// Guards against memory use that grows with the number of log lines.
+func TestLongLogIsReadInBoundedMemory(t *testing.T) {
 	const lines = 200_000
 	reader, writer := io.Pipe()
 	go func() {
@@ -71,7 +71,7 @@
 	bytesRead := int64(0)
 	require.NoError(t, day.Read(reader, func(read int64) { bytesRead = read }))
 	require.Equal(t, lines+1, day.Lines)
-	require.Equal(t, 1, day.Unreadable)
+	require.Equal(t, 1, day.Malformed)
 	require.Greater(t, bytesRead, int64(lines*200))
 	var memory runtime.MemStats
 	runtime.GC()
--- a/logstory/daypage/daypage.go
+++ b/logstory/daypage/daypage.go
@@ -1,4 +1,4 @@
-// Package daypage makes one HTML page with plots of a day from what package logstory has read.
+// Package daypage renders the event counts of a logstory.Day as one HTML page of plots.
 package daypage
 
 import (
@@ -20,20 +20,20 @@
 const (
 	plotWidth    = 1100
 	plotHeight   = 260
-	legendHeight = 30 // above the plot
-	// mostKinds bounds the lines of one plot; the rest are added up.
-	mostKinds = 7
-	restKind  = "others"
-	lineWidth = 1.5
+	legendHeight = 30 // padding above the plot
+	// maxKinds bounds the kinds with a line of their own in a plot; one more line sums the others.
+	maxKinds   = 7
+	otherKinds = "others"
+	lineWidth  = 1.5
 )
 
-// line is one line of a plot.
+// line is one data series of a plot.
 type line struct {
 	name   string
 	values []float64
 }
 
-// plot is one picture of the page.
+// plot is one chart of the page.
 type plot struct {
 	Title   string
 	Meaning string
@@ -41,41 +41,41 @@
 	Picture template.HTML
 }
 
-// term is when a daemon began to hold the load orders.
-type term struct {
+// termStart is the second in which a daemon became leader.
+type termStart struct {
 	Second int
 	Daemon string
 }
 
-// page is what the template is filled from.
+// page is the data of pageTemplate.
 type page struct {
-	From       string
-	Seconds    int
-	Filter     string
-	Lines      int
-	Unreadable int
-	Plots      []*plot
-	Terms      []term
+	From      string
+	Seconds   int
+	Filter    string
+	Lines     int
+	Malformed int
+	Plots     []*plot
+	Terms     []termStart
 }
 
-// Write writes the page of a day.
+// Write writes the HTML page of a day.
 func Write(writer io.Writer, day *logstory.Day) error {
 	from, seconds := day.Seconds()
 	if len(seconds) == 0 {
-		return errors.New("no line tells of a request, a load or a lost dependency; give the logs of all daemons at level info")
+		return errors.New("the logs hold no request, load or lost dependency; pass the logs of all daemons at level info")
 	}
-	made := page{From: from.Format(time.RFC3339), Seconds: len(seconds), Filter: filterText(day.Filter), Lines: day.Lines, Unreadable: day.Unreadable, Plots: plotsOf(seconds)}
+	data := page{From: from.Format(time.RFC3339), Seconds: len(seconds), Filter: filterText(day.Filter), Lines: day.Lines, Malformed: day.Malformed, Plots: buildPlots(seconds)}
 	for index, second := range seconds {
 		for _, daemon := range second.Terms {
-			made.Terms = append(made.Terms, term{index, daemon})
+			data.Terms = append(data.Terms, termStart{index, daemon})
 		}
 	}
-	for _, one := range made.Plots {
+	for _, one := range data.Plots {
 		if err := one.draw(); err != nil {
 			return err
 		}
 	}
-	return errors.Wrap(pageTemplate.Execute(writer, made), "write the page")
+	return errors.Wrap(pageTemplate.Execute(writer, data), "write page")
 }
 
 func filterText(filter logstory.Filter) string {
@@ -88,31 +88,31 @@
 	return strings.Join(parts, ", ")
 }
 
-func plotsOf(seconds []logstory.Second) []*plot {
+func buildPlots(seconds []logstory.Second) []*plot {
 	return []*plot{
-		{Title: "Requests", Meaning: "a second: arrivals in the second in which they came, the others in that of their end",
+		{Title: "Requests", Meaning: "per second: arrivals in the second of arrival, responses in the second in which they ended",
 			lines: []line{
-				lineOf("arrivals", seconds, func(one logstory.Second) int { return one.Arrived }),
-				lineOf("answered in time", seconds, func(one logstory.Second) int { return one.InTime }),
-				lineOf("answered late", seconds, func(one logstory.Second) int { return one.Late }),
+				newLine("arrivals", seconds, func(one logstory.Second) int { return one.Arrived }),
+				newLine("answered in time", seconds, func(one logstory.Second) int { return one.InTime }),
+				newLine("answered late", seconds, func(one logstory.Second) int { return one.Late }),
 			}},
-		{Title: "Not served, by reason", Meaning: "requests a second that ended without a whole answer",
+		{Title: "Not served, by reason", Meaning: "requests per second that ended without a complete response",
 			lines: linesByKind(seconds, func(one logstory.Second) map[string]int { return one.NotServed })},
-		{Title: "Loads under way", Meaning: "models and adapters, by where the weights come from, as long as they should take", lines: loadsUnderWay(seconds)},
-		{Title: "Lost dependencies", Meaning: "daemons a second that lost another daemon or the key-value service: a fault, or a move to another",
-			lines: linesByKind(seconds, func(one logstory.Second) map[string]int { return one.Lost })},
+		{Title: "Loads in progress", Meaning: "models and adapters, by the source of the weights, for their expected duration", lines: pendingLoads(seconds)},
+		{Title: "Lost dependencies", Meaning: "daemons per second that lost the connection to another daemon or to the key-value service, by a fault or by moving to another",
+			lines: linesByKind(seconds, func(one logstory.Second) map[string]int { return one.LostDependencies })},
 	}
 }
 
-func lineOf(name string, seconds []logstory.Second, value func(logstory.Second) int) line {
-	made := line{name, make([]float64, len(seconds))}
+func newLine(name string, seconds []logstory.Second, value func(logstory.Second) int) line {
+	result := line{name, make([]float64, len(seconds))}
 	for index, second := range seconds {
-		made.values[index] = float64(value(second))
+		result.values[index] = float64(value(second))
 	}
-	return made
+	return result
 }
 
-// linesByKind makes a line of each kind, the most frequent first.
+// linesByKind returns a line for each kind, most frequent first.
 func linesByKind(seconds []logstory.Second, counts func(logstory.Second) map[string]int) []line {
 	totals := map[string]int{}
 	for _, second := range seconds {
@@ -126,13 +126,13 @@
 		}
 		return strings.Compare(a, b)
 	})
-	shown := kinds[:min(mostKinds, len(kinds))]
+	shown := kinds[:min(maxKinds, len(kinds))]
 	var lines []line
 	for _, kind := range shown {
-		lines = append(lines, lineOf(kind, seconds, func(one logstory.Second) int { return counts(one)[kind] }))
+		lines = append(lines, newLine(kind, seconds, func(one logstory.Second) int { return counts(one)[kind] }))
 	}
 	if len(kinds) > len(shown) {
-		lines = append(lines, lineOf(restKind, seconds, func(one logstory.Second) int {
+		lines = append(lines, newLine(otherKinds, seconds, func(one logstory.Second) int {
 			sum := 0
 			for kind, count := range counts(one) {
 				if !slices.Contains(shown, kind) {
@@ -145,37 +145,37 @@
 	return lines
 }
 
-func loadsUnderWay(seconds []logstory.Second) []line {
-	lines := linesByKind(seconds, func(one logstory.Second) map[string]int { return one.LoadsBegun })
+func pendingLoads(seconds []logstory.Second) []line {
+	lines := linesByKind(seconds, func(one logstory.Second) map[string]int { return one.LoadsStarted })
 	for _, one := range lines {
-		underWay := 0.0
+		pending := 0.0
 		for index, second := range seconds {
-			begun := one.values[index]
-			one.values[index] = underWay + begun
-			underWay += begun - float64(second.LoadsEnded[one.name])
+			started := one.values[index]
+			one.values[index] = pending + started
+			pending += started - float64(second.LoadsCompleted[one.name])
 		}
 	}
 	return lines
 }
 
-// draw makes the picture of a plot.
+// draw renders the plot as SVG.
 func (p *plot) draw() error {
 	if len(p.lines) == 0 {
 		p.Picture = "<p>None.</p>"
 		return nil
 	}
 	graph := chart.Chart{Width: plotWidth, Height: plotHeight, Background: chart.Style{Padding: chart.Box{Top: legendHeight, Right: legendHeight}}, XAxis: chart.XAxis{Name: "seconds", ValueFormatter: chart.IntValueFormatter},
-		YAxis: chart.YAxis{ValueFormatter: chart.IntValueFormatter, Range: &chart.ContinuousRange{Min: 0, Max: p.highest()}}}
+		YAxis: chart.YAxis{ValueFormatter: chart.IntValueFormatter, Range: &chart.ContinuousRange{Min: 0, Max: p.maxValue()}}}
 	for _, one := range p.lines {
-		at := make([]float64, 0, len(one.values)+1)
+		seconds := make([]float64, 0, len(one.values)+1)
 		for index := range one.values {
-			at = append(at, float64(index))
+			seconds = append(seconds, float64(index))
 		}
 		values := one.values
-		if len(values) == 1 { // a line needs two points
-			at, values = append(at, 1), append(values, values[0])
+		if len(values) == 1 { // the chart needs two points
+			seconds, values = append(seconds, 1), append(values, values[0])
 		}
-		graph.Series = append(graph.Series, chart.ContinuousSeries{Name: template.HTMLEscapeString(one.name), XValues: at, YValues: values, Style: chart.Style{StrokeWidth: lineWidth}})
+		graph.Series = append(graph.Series, chart.ContinuousSeries{Name: template.HTMLEscapeString(one.name), XValues: seconds, YValues: values, Style: chart.Style{StrokeWidth: lineWidth}})
 	}
 	graph.Elements = []chart.Renderable{chart.LegendThin(&graph)}
 	var picture bytes.Buffer
@@ -186,23 +186,23 @@
 	return nil
 }
 
-// highest is the upper end of the plot's scale.
-func (p *plot) highest() float64 {
-	highest := 1.0
+// maxValue returns the upper end of the y axis.
+func (p *plot) maxValue() float64 {
+	maxValue := 1.0
 	for _, one := range p.lines {
-		highest = max(highest, slices.Max(one.values))
+		maxValue = max(maxValue, slices.Max(one.values))
 	}
-	return highest
+	return maxValue
 }
 
 var pageTemplate = template.Must(template.New("day").Parse(fmt.Sprintf(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>A day of finchspoke</title>
 <style>body{font-family:sans-serif;max-width:%dpx;margin:1em auto}h2{margin-bottom:0}p{margin-top:.2em}</style></head><body>
 <h1>A day of finchspoke</h1>
-<p>From {{.From}}, {{.Seconds}} s{{if .Filter}}; requests and loads of {{.Filter}} only{{end}}. {{.Lines}} lines were read{{if .Unreadable}}, {{.Unreadable}} of them could not be understood and are left out{{end}}.</p>
+<p>From {{.From}}, {{.Seconds}} s{{if .Filter}}; requests and loads of {{.Filter}} only{{end}}. {{.Lines}} lines read{{if .Malformed}}, {{.Malformed}} of them could not be parsed and are skipped{{end}}.</p>
 {{range .Plots}}<h2>{{.Title}}</h2><p>{{.Meaning}}</p>
 {{.Picture}}
-{{end}}<h2>Holders of load orders</h2>
+{{end}}<h2>Leaders</h2>
 {{if .Terms}}<ul>{{range .Terms}}<li>{{.Second}} s: {{.Daemon}}</li>{{end}}</ul>{{else}}<p>No term began.</p>{{end}}
 </body></html>
 `, plotWidth)))
--- a/logstory/daypage/daypage_test.go
+++ b/logstory/daypage/daypage_test.go
@@ -11,7 +11,7 @@
 	"github.com/finchspoke/finchspoke/logstory"
 )
 
-func TestThePageOfADay(t *testing.T) {
+func TestPageOfADay(t *testing.T) {
 	var lines strings.Builder
 	for second := range 30 {
 		_, _ = fmt.Fprintf(&lines, `{"message":"request ended","time":"2026-12-02T10:00:%02dZ","route":"live","outcome":"answered","duration_ms":10,"first_byte_ms":5,"objective_ms":600}`+"\n", second)
@@ -27,6 +27,6 @@
 	require.NotContains(t, page.String(), "<script>")
 }
 
-func TestADayWithoutLinesIsAnErrorThatNamesTheRemedy(t *testing.T) {
+func TestDayWithoutLinesIsAnErrorWithRemedy(t *testing.T) {
 	require.ErrorContains(t, Write(&bytes.Buffer{}, logstory.NewDay(logstory.Filter{})), "at level info")
 }
--- a/logstory/logstory.go
+++ b/logstory/logstory.go
@@ -1,6 +1,5 @@
-// Package logstory reads the log lines of any number of daemons and tells the story
-// of one request from them, or counts for how many failed requests the lines hold a
-// cause.
+// Package logstory analyses the log lines of one or more daemons: the timeline of a request, the
+// causes of failed and late requests, and event counts per second.
 package logstory
 
 import (
@@ -18,20 +17,20 @@
 	"github.com/finchspoke/finchspoke/logging"
 )
 
-// maxLine bounds a log line; longer ones are skipped.
+// maxLine is the maximum length of a log line in bytes.
 const maxLine = 1 << 20
 
-// beliefMessages are those of lines that change what a daemon believes.
-var beliefMessages = []string{
-	logging.MessageTableRead, logging.MessageHolderChanged, logging.MessageTermBegins, logging.MessageTermLost,
-	logging.MessageReplicaListed, logging.MessageReplicaGone, logging.MessageRegistryFollowed, logging.MessageLoadOrder, logging.MessageReplicaHeard,
-	logging.MessageDependencyLost, logging.MessageDependencyRegained, logging.MessageReplicaLeaves, logging.MessageReplicaRests,
-	logging.MessageReplicaLimit, logging.MessageLimitTold,
+// stateMessages mark lines that report a change in the state that a daemon observes.
+var stateMessages = []string{
+	logging.MessageTableRead, logging.MessageLeaderChanged, logging.MessageTermStarted, logging.MessageTermLost,
+	logging.MessageReplicaListed, logging.MessageReplicaRemoved, logging.MessageRegistrySummary, logging.MessageLoadOrder, logging.MessageReplicaState,
+	logging.MessageDependencyLost, logging.MessageDependencyRegained, logging.MessageReplicaDraining, logging.MessageReplicaBackoff,
+	logging.MessageReplicaLimitChanged, logging.MessageRelayedLimit,
 }
 
-// holderMessages are those that the order holder writes for all daemons.
-var holderMessages = []string{
-	logging.MessageLoadOrder, logging.MessageReplicaListed, logging.MessageReplicaGone, logging.MessageReplicaHeard,
+// leaderMessages mark state lines that the leader writes for all daemons.
+var leaderMessages = []string{
+	logging.MessageLoadOrder, logging.MessageReplicaListed, logging.MessageReplicaRemoved, logging.MessageReplicaState,
 }
 
 // Line is one log line.
@@ -49,8 +48,8 @@
 	return ""
 }
 
-// Read reads lines of JSON; what stands before the first brace of a line, such as a
-// collector's prefix, is skipped, and so are lines without JSON.
+// Read parses JSON log lines and sorts them by time. It skips any prefix before the first brace,
+// such as a log collector adds, and lines without valid JSON.
 func Read(reader io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(reader)
 	scanner.Buffer(nil, maxLine)
@@ -78,62 +77,61 @@
 	return lines, nil
 }
 
-// Story returns the lines of a request over all daemons, in order, and before its
-// end the newest line of each belief about what it touched. id may be the
-// beginning of the request's id.
-func Story(lines []Line, id string) []Line {
-	var own []Line
+// Timeline returns the lines of a request from all daemons in order of time, together with the
+// latest state lines about its model and replicas. id may be a prefix of the request id.
+func Timeline(lines []Line, id string) []Line {
+	var requestLines []Line
 	for _, line := range lines {
 		if strings.HasPrefix(line.text(logging.RequestID), id) {
-			own = append(own, line)
+			requestLines = append(requestLines, line)
 		}
 	}
-	if len(own) == 0 {
+	if len(requestLines) == 0 {
 		return nil
 	}
-	story := append(beliefs(lines, own), own...)
-	slices.SortStableFunc(story, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	return story
+	timeline := append(latestStates(lines, requestLines), requestLines...)
+	slices.SortStableFunc(timeline, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	return timeline
 }
 
-// beliefs returns the newest line of each kind, about the request's model, adapter
-// and replicas, that the request's daemon or the order holder wrote before its end.
-func beliefs(lines, own []Line) []Line {
-	last := own[len(own)-1]
-	touched := map[string]bool{}
-	for _, line := range own {
+// latestStates returns the latest state line of each kind about the request's model and replicas
+// that the request's daemon or the leader wrote before the request ended.
+func latestStates(lines, requestLines []Line) []Line {
+	last := requestLines[len(requestLines)-1]
+	involved := map[string]bool{}
+	for _, line := range requestLines {
 		for _, field := range []string{logging.Replica, logging.Model} {
-			touched[line.text(field)] = line.text(field) != ""
+			involved[line.text(field)] = line.text(field) != ""
 		}
 	}
 	newest := map[string]Line{}
 	for _, line := range lines {
-		if line.Time.After(last.Time) || !slices.Contains(beliefMessages, line.Message) {
+		if line.Time.After(last.Time) || !slices.Contains(stateMessages, line.Message) {
 			continue
 		}
 		subject := line.text(logging.Replica)
-		about := subject == "" || touched[subject] || touched[line.text(logging.Model)]
-		byOthers := line.Daemon != last.Daemon && !slices.Contains(holderMessages, line.Message)
-		if !about || byOthers {
+		isRelevant := subject == "" || involved[subject] || involved[line.text(logging.Model)]
+		fromOtherDaemon := line.Daemon != last.Daemon && !slices.Contains(leaderMessages, line.Message)
+		if !isRelevant || fromOtherDaemon {
 			continue
 		}
 		newest[line.Message+"\x00"+subject+"\x00"+line.text(logging.Model)+line.text(logging.Dependency)] = line
 	}
-	chosen := make([]Line, 0, len(newest))
+	states := make([]Line, 0, len(newest))
 	for _, line := range newest {
-		chosen = append(chosen, line)
+		states = append(states, line)
 	}
-	return chosen
+	return states
 }
 
-// quietFields are not repeated in a told line.
-var quietFields = []string{"time", "level", "message", logging.Daemon, logging.RequestID}
+// omittedFields are the fields that Print leaves out.
+var omittedFields = []string{"time", "level", "message", logging.Daemon, logging.RequestID}
 
-// Tell writes a line for people: the time since a moment, daemon, message, fields.
-func (l Line) Tell(writer io.Writer, since time.Time) {
+// Print writes the line in readable form: the time after since, the daemon, message and fields.
+func (l Line) Print(writer io.Writer, since time.Time) {
 	names := make([]string, 0, len(l.Fields))
 	for name := range l.Fields {
-		if !slices.Contains(quietFields, name) && l.text(name) != "" {
+		if !slices.Contains(omittedFields, name) && l.text(name) != "" {
 			names = append(names, name)
 		}
 	}
@@ -145,39 +143,38 @@
 	_, _ = fmt.Fprintln(writer)
 }
 
-// Coverage counts requests that failed or were refused, and those of them whose
-// lines name a cause.
-type Coverage struct {
+// CauseCoverage counts the requests that failed or were rejected, and how many of them have a cause
+// in their log line.
+type CauseCoverage struct {
 	Ended     int            `json:"ended"`
 	Failed    int            `json:"failed"`
 	WithCause int            `json:"with_cause"`
 	ByOutcome map[string]int `json:"by_outcome"`
-	// Without are ids of failed requests without a cause, a few at the most.
-	Without []string `json:"without"`
+	// WithoutCause holds the ids of up to maxWithoutCause failed requests without a cause.
+	WithoutCause []string `json:"without"`
 }
 
-// mostWithout bounds the ids named.
-const mostWithout = 10
+const maxWithoutCause = 10
 
-// Count goes over all requests that ended.
-func Count(lines []Line) Coverage {
-	counted := Coverage{ByOutcome: map[string]int{}}
+// CountCauses counts all requests that ended.
+func CountCauses(lines []Line) CauseCoverage {
+	coverage := CauseCoverage{ByOutcome: map[string]int{}}
 	for _, line := range lines {
 		if line.Message != logging.MessageRequestEnded {
 			continue
 		}
-		counted.Ended++
+		coverage.Ended++
 		outcome := line.text(logging.Outcome)
 		if outcome == logging.OutcomeAnswered {
 			continue
 		}
-		counted.Failed++
-		counted.ByOutcome[outcome]++
+		coverage.Failed++
+		coverage.ByOutcome[outcome]++
 		if line.text(logging.Cause) != "" {
-			counted.WithCause++
-		} else if len(counted.Without) < mostWithout {
-			counted.Without = append(counted.Without, line.text(logging.RequestID))
+			coverage.WithCause++
+		} else if len(coverage.WithoutCause) < maxWithoutCause {
+			coverage.WithoutCause = append(coverage.WithoutCause, line.text(logging.RequestID))
 		}
 	}
-	return counted
+	return coverage
 }
--- a/logstory/logstory_test.go
+++ b/logstory/logstory_test.go
@@ -22,38 +22,38 @@
 {"daemon":"node-3","level":"info","message":"request ended","outcome":"caller_left","request_id":"def3","time":"2026-01-01T00:00:06Z"}
 `
 
-func TestAStoryHoldsTheRequestsLinesAndTheBeliefsOfItsTime(t *testing.T) {
+func TestTimelineHoldsRequestLinesAndLatestStates(t *testing.T) {
 	lines, err := Read(strings.NewReader(log))
 	require.NoError(t, err)
-	story := Story(lines, "abc")
+	timeline := Timeline(lines, "abc")
 	var messages []string
-	for _, line := range story {
+	for _, line := range timeline {
 		messages = append(messages, line.Message)
 	}
 	require.Equal(t, []string{"routing table read", "no replica at once", "load order", "request dispatched", "replica gone from the registry", "request ended"}, messages)
-	require.Equal(t, "4", story[0].text("config_version"), "what was believed then, not later")
-	var told bytes.Buffer
-	story[5].Tell(&told, story[1].Time)
-	require.Contains(t, told.String(), "+2.000 s")
-	require.Contains(t, told.String(), "cause=model_not_loaded")
-	require.Empty(t, Story(lines, "zzz"))
+	require.Equal(t, "4", timeline[0].text("config_version"), "the state at the time of the request, not a later one")
+	var printed bytes.Buffer
+	timeline[5].Print(&printed, timeline[1].Time)
+	require.Contains(t, printed.String(), "+2.000 s")
+	require.Contains(t, printed.String(), "cause=model_not_loaded")
+	require.Empty(t, Timeline(lines, "zzz"))
 }
 
-func TestCoverageNamesFailedRequestsWithoutACause(t *testing.T) {
+func TestCauseCoverageListsFailedRequestsWithoutCause(t *testing.T) {
 	lines, err := Read(strings.NewReader(log))
 	require.NoError(t, err)
-	require.Equal(t, Coverage{Ended: 3, Failed: 2, WithCause: 1, ByOutcome: map[string]int{"no_capacity": 1, "caller_left": 1}, Without: []string{"def3"}}, Count(lines))
+	require.Equal(t, CauseCoverage{Ended: 3, Failed: 2, WithCause: 1, ByOutcome: map[string]int{"no_capacity": 1, "caller_left": 1}, WithoutCause: []string{"def3"}}, CountCauses(lines))
 }
 
-// A request that never went to a replica at rest names it: the story then tells which answer asked for it.
-func TestAStoryTellsWhichAnswerAskedForRest(t *testing.T) {
+// Guards against a timeline that omits the response in which a replica requested its back-off.
+func TestTimelineShowsResponseThatRequestedBackoff(t *testing.T) {
 	lines, err := Read(strings.NewReader(`{"daemon":"node-1","message":"replica asks for rest","replica":"r7","request_id":"one","rest_ms":3000,"time":"2026-01-01T00:00:01Z"}
 {"daemon":"node-2","message":"replica asks for rest","replica":"r7","request_id":"two","rest_ms":3000,"time":"2026-01-01T00:00:01.5Z"}
 {"daemon":"node-1","message":"no replica at once","model":"m1","outcome":"refused","reason":"asked_for_rest","replica":"r7","request_id":"abc1","time":"2026-01-01T00:00:02Z"}
 {"daemon":"node-1","message":"request ended","model":"m1","outcome":"no_capacity","request_id":"abc1","time":"2026-01-01T00:00:02.1Z"}
 `))
 	require.NoError(t, err)
-	story := Story(lines, "abc1")
-	require.Len(t, story, 3, "the rest is this daemon's alone")
-	require.Equal(t, "one", story[0].text("request_id"))
+	timeline := Timeline(lines, "abc1")
+	require.Len(t, timeline, 3, "another daemon's back-off line is not part of the timeline")
+	require.Equal(t, "one", timeline[0].text("request_id"))
 }
--- a/logstory/losses.go
+++ b/logstory/losses.go
@@ -14,76 +14,77 @@
 	"github.com/finchspoke/finchspoke/logging"
 )
 
-// Causes of losses that no field of a line names.
+// Causes that CountLosses derives; log lines do not name them.
 const (
-	causePause      = "late by a pause between events"
-	causeOwnFailure = "the replica's own failure"
-	causeSlowAnswer = "late, the replica's answer began late"
-	causeLateWait   = "late after a wait, "
-	causeNotServed  = "not answered, "
+	causePause          = "late by a pause between events"
+	causeReplicaFailure = "the replica's own failure"
+	causeSlowStart      = "late, the replica's answer began late"
+	causeLateAfterWait  = "late after a wait, "
+	causeNotServed      = "not answered, "
 )
 
-// Losses are all requests that ended, by route, cause and time.
+// Losses counts all requests that ended, by route, cause and time.
 type Losses struct {
 	Ended   int            `json:"ended"`
-	Routes  []RouteLosses  `json:"routes"`  // the most urgent first
-	Windows []WindowLosses `json:"windows"` // in order
-	Tenants []TenantLosses `json:"tenants"` // by name; none where requests carry no keys
-	// Crowding tells on how few replicas and models the late answers were.
-	Crowding Crowding `json:"crowding"`
+	Routes  []RouteLosses  `json:"routes"`  // highest priority first
+	Windows []WindowLosses `json:"windows"` // in order of time
+	Tenants []TenantLosses `json:"tenants"` // sorted by name; empty if requests carry no tenant
+	// Concentration describes the distribution of late responses over replicas and models.
+	Concentration Concentration `json:"crowding"`
 }
 
-// RouteLosses are the requests of one route.
+// RouteLosses counts the requests of one route.
 type RouteLosses struct {
 	Name        string       `json:"name"`
-	Priority    int          `json:"priority"` // 0 is the most urgent
+	Priority    int          `json:"priority"` // 0 is the highest
 	ObjectiveMs int          `json:"objective_ms"`
 	Ended       int          `json:"ended"`
 	InTime      int          `json:"in_time"`
-	Causes      []CauseCount `json:"causes"` // of the others, the most frequent first
+	Causes      []CauseCount `json:"causes"` // causes of the requests not in time, most frequent first
 	Pauses      PauseLosses  `json:"pauses"`
 }
 
-// TenantLosses are the requests of one tenant.
+// TenantLosses counts the requests of one tenant.
 type TenantLosses struct {
-	Name     string       `json:"name"`
-	Ended    int          `json:"ended"`
-	Answered int          `json:"answered"` // whole, in time or late
-	AtLimit  int          `json:"at_limit"` // refused at the tenant's limit
-	Causes   []CauseCount `json:"causes"`   // of the others, the most frequent first
+	Name        string       `json:"name"`
+	Ended       int          `json:"ended"`
+	Answered    int          `json:"answered"` // complete responses, in time or late
+	RateLimited int          `json:"at_limit"` // rejected at the tenant's rate limit
+	Causes      []CauseCount `json:"causes"`   // causes of all other requests, most frequent first
 }
 
-// CauseCount is how many requests were lost to a cause.
+// CauseCount counts the requests that failed or were late for one cause.
 type CauseCount struct {
 	Name     string `json:"name"`
 	Requests int    `json:"requests"`
 }
 
-// PauseLosses tell what shared the replica of requests that were late by a pause.
+// PauseLosses describes the load on the replicas of requests that were late by a pause, as means
+// over these requests.
 type PauseLosses struct {
-	Requests     int     `json:"requests"`
-	Beside       float64 `json:"beside"`        // requests that ran beside, on the mean
-	Models       float64 `json:"models"`        // models among these and the request's own, on the mean
-	PromptTokens float64 `json:"prompt_tokens"` // of those that began beside it, on the mean
+	Requests           int     `json:"requests"`
+	ConcurrentRequests float64 `json:"beside"`        // other requests on the replica
+	Models             float64 `json:"models"`        // models of these requests, its own included
+	PromptTokens       float64 `json:"prompt_tokens"` // prompt tokens of those that began during it or up to 1 s before
 }
 
-// WindowLosses are the requests that arrived within a span of time.
+// WindowLosses counts the requests that arrived within a window of time.
 type WindowLosses struct {
-	From    float64 `json:"from"` // seconds after the first request
-	Ended   int     `json:"ended"`
-	InTime  int     `json:"in_time"`
-	Late    int     `json:"late"`
-	MostFor string  `json:"most_for"` // the most frequent cause; empty without losses
+	From     float64 `json:"from"` // seconds after the first arrival
+	Ended    int     `json:"ended"`
+	InTime   int     `json:"in_time"`
+	Late     int     `json:"late"`
+	TopCause string  `json:"most_for"` // most frequent cause with its count; empty without losses
 }
 
-// endedRequest is what the line of a request's end tells.
+// endedRequest holds the fields of a request's final log line.
 type endedRequest struct {
-	route, model, replica, outcome, waitReason string
-	tenant                                     string
-	began, ended                               time.Time
-	priority, objective, gap, firstByte, pause int // times in ms
-	waited, promptTokens                       int // ms; tokens
-	failedStatus                               int
+	route, model, replica, outcome, waitReason       string
+	tenant                                           string
+	started, ended                                   time.Time
+	priority, objective, gapTarget, firstByte, pause int // times in ms
+	waited, promptTokens                             int // ms; tokens
+	failedStatus                                     int
 }
 
 func (l Line) number(field string) int {
@@ -94,43 +95,43 @@
 	return int(value)
 }
 
-func readEnd(line Line) endedRequest {
+func parseEndedRequest(line Line) endedRequest {
 	return endedRequest{
 		route: line.text(logging.Route), model: line.text(logging.Model), replica: line.text(logging.Replica), outcome: line.text(logging.Outcome),
 		waitReason: line.text(logging.WaitReason), tenant: line.text(logging.Tenant), ended: line.Time,
-		began:    line.Time.Add(-time.Duration(line.number(logging.DurationMs)) * time.Millisecond),
-		priority: line.number(logging.Priority), objective: line.number(logging.ObjectiveMs), gap: line.number(logging.GapTargetMs),
+		started:  line.Time.Add(-time.Duration(line.number(logging.DurationMs)) * time.Millisecond),
+		priority: line.number(logging.Priority), objective: line.number(logging.ObjectiveMs), gapTarget: line.number(logging.GapTargetMs),
 		firstByte: line.number(logging.FirstByteMs), pause: line.number(logging.LongestPauseMs), waited: line.number(logging.WaitedMs),
 		promptTokens: line.number(logging.PromptTokens), failedStatus: line.number(logging.FailedStatus),
 	}
 }
 
-// CountLosses counts all requests that ended. A request is in time if its answer was
-// whole, began within its route's objective and paused no longer than the route allows.
+// CountLosses counts all requests that ended. A request is in time if its response was complete,
+// began within its route's objective and paused no longer than the route's gap target.
 func CountLosses(lines []Line, window time.Duration) Losses {
 	var requests []endedRequest
 	var loads []Line
 	for _, line := range lines {
 		switch {
 		case line.Message == logging.MessageRequestEnded && line.text(logging.Route) != "":
-			requests = append(requests, readEnd(line))
+			requests = append(requests, parseEndedRequest(line))
 		case line.Message == logging.MessageLoadOrder && line.text(logging.Order) == loading.Load.String() && line.text(logging.Outcome) == loader.Accepted.String():
 			loads = append(loads, line)
 		}
 	}
-	counter := &lossCounter{requests: requests, loads: loads, routes: map[string]*routeCounter{}, windows: map[int]*windowCounter{}, crowding: newCrowdingCounter()}
+	counter := &lossCounter{requests: requests, loads: loads, routes: map[string]*routeCounter{}, windows: map[int]*windowCounter{}, concentration: newConcentrationCounter()}
 	counter.count(window)
-	made := counter.losses()
-	made.Tenants = tenantLosses(requests)
-	return made
+	losses := counter.result()
+	losses.Tenants = tenantLosses(requests)
+	return losses
 }
 
 type lossCounter struct {
-	requests []endedRequest
-	loads    []Line
-	routes   map[string]*routeCounter
-	windows  map[int]*windowCounter
-	crowding *crowdingCounter
+	requests      []endedRequest
+	loads         []Line
+	routes        map[string]*routeCounter
+	windows       map[int]*windowCounter
+	concentration *concentrationCounter
 }
 
 type routeCounter struct {
@@ -147,14 +148,14 @@
 	if len(c.requests) == 0 {
 		return
 	}
-	first := slices.MinFunc(c.requests, func(a, b endedRequest) int { return a.began.Compare(b.began) }).began
+	first := slices.MinFunc(c.requests, func(a, b endedRequest) int { return a.started.Compare(b.started) }).started
 	for _, request := range c.requests {
 		route := c.routes[request.route]
 		if route == nil {
 			route = &routeCounter{RouteLosses: RouteLosses{Name: request.route, Priority: request.priority, ObjectiveMs: request.objective}, causes: map[string]int{}}
 			c.routes[request.route] = route
 		}
-		number := int(request.began.Sub(first) / window)
+		number := int(request.started.Sub(first) / window)
 		span := c.windows[number]
 		if span == nil {
 			span = &windowCounter{WindowLosses: WindowLosses{From: (time.Duration(number) * window).Seconds()}, causes: map[string]int{}}
@@ -162,14 +163,14 @@
 		}
 		route.Ended++
 		span.Ended++
-		cause := c.causeOf(request)
-		c.crowding.add(request, cause)
+		cause := c.lossCause(request)
+		c.concentration.add(request, cause)
 		if cause == "" {
 			route.InTime++
 			span.InTime++
 			continue
 		}
-		if request.outcome == logging.OutcomeAnswered && cause != causeOwnFailure {
+		if request.outcome == logging.OutcomeAnswered && cause != causeReplicaFailure {
 			span.Late++
 		}
 		route.causes[cause]++
@@ -180,40 +181,40 @@
 	}
 }
 
-// causeOf names what made a request late or lost; empty if it was in time.
-func (c *lossCounter) causeOf(request endedRequest) string {
-	lateBegin := request.objective > 0 && request.firstByte > request.objective
+// lossCause returns what made a request fail or late; empty if it was in time.
+func (c *lossCounter) lossCause(request endedRequest) string {
+	startedLate := request.objective > 0 && request.firstByte > request.objective
 	switch {
 	case request.outcome != logging.OutcomeAnswered:
-		return causeNotServed + request.outcome + c.waitOf(request)
+		return causeNotServed + request.outcome + c.waitSuffix(request)
 	case request.failedStatus > 0:
-		return causeOwnFailure
-	case lateBegin && 2*request.waited > request.firstByte:
-		return causeLateWait + request.waitReason + c.sourceOf(request)
-	case lateBegin:
-		return causeSlowAnswer
-	case request.gap > 0 && request.pause > request.gap:
+		return causeReplicaFailure
+	case startedLate && 2*request.waited > request.firstByte:
+		return causeLateAfterWait + request.waitReason + c.loadSuffix(request)
+	case startedLate:
+		return causeSlowStart
+	case request.gapTarget > 0 && request.pause > request.gapTarget:
 		return causePause
 	}
 	return ""
 }
 
-// waitOf tells what a request that got no answer had waited for.
-func (c *lossCounter) waitOf(request endedRequest) string {
+// waitSuffix describes what a request without a response had waited for.
+func (c *lossCounter) waitSuffix(request endedRequest) string {
 	if request.waitReason == "" {
 		return ""
 	}
-	return ", waited for " + request.waitReason + c.sourceOf(request)
+	return ", waited for " + request.waitReason + c.loadSuffix(request)
 }
 
-// sourceOf tells where the load came from that a request waited for: the last of its
-// model, or of an adapter of it, that was ordered before the wait ended.
-func (c *lossCounter) sourceOf(request endedRequest) string {
+// loadSuffix describes the load that a request waited for: the last one of its model, or of an
+// adapter of that model, ordered before the wait ended.
+func (c *lossCounter) loadSuffix(request endedRequest) string {
 	waitsForAdapter := request.waitReason == fleet.AdapterNotLoaded.String()
 	if request.waitReason != fleet.NotLoaded.String() && !waitsForAdapter {
 		return ""
 	}
-	waitEnded := request.began.Add(time.Duration(request.waited) * time.Millisecond)
+	waitEnded := request.started.Add(time.Duration(request.waited) * time.Millisecond)
 	for index := len(c.loads) - 1; index >= 0; index-- {
 		load := c.loads[index]
 		forAdapter := load.text(logging.Adapter) != ""
@@ -221,7 +222,7 @@
 			continue
 		}
 		ready := load.Time.Add(time.Duration(load.number(logging.ReadyInMs)) * time.Millisecond)
-		if ready.Before(request.began) {
+		if ready.Before(request.started) {
 			break
 		}
 		if forAdapter {
@@ -232,46 +233,46 @@
 	return ", no load ordered"
 }
 
-// addPause takes in what shared the replica of a request that was late by a pause.
+// addPause adds the other requests on the replica of a request that was late by a pause.
 func (c *lossCounter) addPause(pauses *PauseLosses, late endedRequest) {
-	beside, tokens := 0, 0
+	concurrent, tokens := 0, 0
 	models := map[string]bool{late.model: true}
 	for _, other := range c.requests {
-		if other.replica != late.replica || other.model == "" || !other.began.Before(late.ended) || !other.ended.After(late.began) || other == late {
+		if other.replica != late.replica || other.model == "" || !other.started.Before(late.ended) || !other.ended.After(late.started) || other == late {
 			continue
 		}
-		beside++
+		concurrent++
 		models[other.model] = true
-		if other.began.After(late.began.Add(-time.Second)) {
+		if other.started.After(late.started.Add(-time.Second)) {
 			tokens += other.promptTokens
 		}
 	}
 	before := float64(pauses.Requests)
 	mean := func(mean *float64, value int) { *mean = (*mean*before + float64(value)) / (before + 1) }
-	mean(&pauses.Beside, beside)
+	mean(&pauses.ConcurrentRequests, concurrent)
 	mean(&pauses.Models, len(models))
 	mean(&pauses.PromptTokens, tokens)
 	pauses.Requests++
 }
 
-// losses puts what was counted in order.
-func (c *lossCounter) losses() Losses {
-	made := Losses{Ended: len(c.requests), Crowding: c.crowding.crowding()}
+// result returns the counts in the order that Losses documents.
+func (c *lossCounter) result() Losses {
+	losses := Losses{Ended: len(c.requests), Concentration: c.concentration.concentration()}
 	for _, route := range c.routes {
 		route.Causes = sortedCauses(route.causes)
-		made.Routes = append(made.Routes, route.RouteLosses)
+		losses.Routes = append(losses.Routes, route.RouteLosses)
 	}
-	slices.SortFunc(made.Routes, func(a, b RouteLosses) int {
+	slices.SortFunc(losses.Routes, func(a, b RouteLosses) int {
 		return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Name, b.Name))
 	})
 	for _, number := range slices.Sorted(maps.Keys(c.windows)) {
 		span := c.windows[number]
 		if causes := sortedCauses(span.causes); len(causes) > 0 {
-			span.MostFor = fmt.Sprintf("%s (%d)", causes[0].Name, causes[0].Requests)
+			span.TopCause = fmt.Sprintf("%s (%d)", causes[0].Name, causes[0].Requests)
 		}
-		made.Windows = append(made.Windows, span.WindowLosses)
+		losses.Windows = append(losses.Windows, span.WindowLosses)
 	}
-	return made
+	return losses
 }
 
 func sortedCauses(counts map[string]int) []CauseCount {
--- a/logstory/tenants.go
+++ b/logstory/tenants.go
@@ -8,33 +8,33 @@
 	"github.com/finchspoke/finchspoke/logging"
 )
 
-// tenantLosses counts the requests of each tenant.
+// tenantLosses counts the requests of each tenant, sorted by name.
 func tenantLosses(requests []endedRequest) []TenantLosses {
-	counted := map[string]*TenantLosses{}
+	byTenant := map[string]*TenantLosses{}
 	causes := map[string]map[string]int{}
 	for _, request := range requests {
 		if request.tenant == "" {
 			continue
 		}
-		one := counted[request.tenant]
-		if one == nil {
-			one = &TenantLosses{Name: request.tenant}
-			counted[request.tenant], causes[request.tenant] = one, map[string]int{}
+		entry := byTenant[request.tenant]
+		if entry == nil {
+			entry = &TenantLosses{Name: request.tenant}
+			byTenant[request.tenant], causes[request.tenant] = entry, map[string]int{}
 		}
-		one.Ended++
+		entry.Ended++
 		switch request.outcome {
 		case logging.OutcomeAnswered:
-			one.Answered++
+			entry.Answered++
 		case string(failure.LimitExceeded):
-			one.AtLimit++
+			entry.RateLimited++
 		default:
 			causes[request.tenant][request.outcome]++
 		}
 	}
-	var made []TenantLosses
-	for _, name := range slices.Sorted(maps.Keys(counted)) {
-		counted[name].Causes = sortedCauses(causes[name])
-		made = append(made, *counted[name])
+	var losses []TenantLosses
+	for _, name := range slices.Sorted(maps.Keys(byTenant)) {
+		byTenant[name].Causes = sortedCauses(causes[name])
+		losses = append(losses, *byTenant[name])
 	}
-	return made
+	return losses
 }
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -266,9 +266,9 @@
 	g.fill()
 	found := g.ledger.against(request)
 	g.Log.WithFields(logrus.Fields{
-		logging.Fingerprint: request.String(), logging.Replica: replica, logging.Ends: len(found.Replicas),
+		logging.Fingerprint: request.String(), logging.Replica: replica, logging.Crashes: len(found.Replicas),
 		logging.Outcome: map[bool]string{true: "withheld", false: "may go on"}[found.Withheld()],
-	}).Warn(logging.MessageReplicaEndedUnder)
+	}).Warn(logging.MessageReplicaCrashed)
 }
 
 // Served takes in that a replica served a request whole. Daemons are told only where one more
@@ -284,7 +284,7 @@
 	}
 	g.filling.Served = append(g.filling.Served, request[:])
 	g.fill()
-	g.Log.WithField(logging.Fingerprint, request.String()).Info(logging.MessageRequestCleared)
+	g.Log.WithField(logging.Fingerprint, request.String()).Info(logging.MessageSuspectCleared)
 }
 
 // room tells whether the report that is being filled takes another fingerprint; the mutex is
@@ -322,7 +322,7 @@
 	delete(g.lost, event.Pair.Key)
 	report, err := ParseReport(event.Pair.Value)
 	if err != nil {
-		g.Log.WithField(logging.Cause, err.Error()).WithFields(logging.AtRevision(event.Pair.ModRevision)).Warn("report of replicas that ended not used")
+		g.Log.WithField(logging.Cause, err.Error()).WithFields(logging.RevisionFields(event.Pair.ModRevision)).Warn("report of replicas that ended not used")
 		return
 	}
 	g.ledger.put(event.Pair.Key, report, event.Pair.ModRevision, g.Now())
