--- a/engine/client.go
+++ b/engine/client.go
@@ -27,14 +27,14 @@
 	relayBufferBytes  = 16 << 10
 )
 
-// Client talks to engines; one serves all engines of a daemon.
+// Client is an HTTP client for engines; a daemon shares one among all its engines.
 type Client struct {
 	control *http.Client
 	data    *http.Client
 }
 
-// NewClient returns a client. Control and data use separate connections, so that
-// a flood of requests does not hold back orders.
+// NewClient returns a client with separate connections for control and data, so that many running
+// requests do not delay orders.
 func NewClient() *Client {
 	transport := func(idlePerHost int) *http.Transport {
 		return &http.Transport{
@@ -51,41 +51,41 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.control.CloseIdleConnections()
 	c.data.CloseIdleConnections()
 }
 
-// Order sends an order. An error means that it is unknown whether the engine
-// acted; the inventory tells.
-func (c *Client) Order(ctx context.Context, address string, order Order) (OrderAnswer, error) {
+// Order sends an order to an engine. After an error it is unknown whether the engine executed the
+// order; its inventory shows it.
+func (c *Client) Order(ctx context.Context, address string, order Order) (OrderResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	body, err := json.Marshal(order)
 	if err != nil {
-		return OrderAnswer{}, errors.Wrap(err, "encode order")
+		return OrderResponse{}, errors.Wrap(err, "encode order")
 	}
-	var answer OrderAnswer
-	err = c.controlCall(ctx, http.MethodPost, "http://"+address+PathOrders, body, &answer)
-	return answer, err
+	var response OrderResponse
+	err = c.callControl(ctx, http.MethodPost, "http://"+address+PathOrders, body, &response)
+	return response, err
 }
 
-// Inventory returns the engine's inventory once its version differs from after
-// or about three seconds have passed. Zero returns it at once.
+// Inventory returns the engine's inventory once its version differs from after, or when
+// inventoryWait is over. With after 0 it returns at once.
 func (c *Client) Inventory(ctx context.Context, address string, after uint64) (Inventory, error) {
 	ctx, cancel := context.WithTimeout(ctx, inventoryTimeout)
 	defer cancel()
 	query := url.Values{"after": {strconv.FormatUint(after, 10)}, "wait": {inventoryWait.String()}}
 	var inventory Inventory
-	err := c.controlCall(ctx, http.MethodGet, "http://"+address+PathInventory+"?"+query.Encode(), nil, &inventory)
+	err := c.callControl(ctx, http.MethodGet, "http://"+address+PathInventory+"?"+query.Encode(), nil, &inventory)
 	return inventory, err
 }
 
-func (c *Client) controlCall(ctx context.Context, method, target string, body []byte, answer any) error {
+func (c *Client) callControl(ctx context.Context, method, target string, body []byte, result any) error {
 	httpRequest, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "make request")
+		return errors.Wrap(err, "create request")
 	}
 	response, err := c.control.Do(httpRequest)
 	if err != nil {
@@ -93,19 +93,19 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK && response.StatusCode != http.StatusConflict {
-		return errors.Errorf("engine answered status %d", response.StatusCode)
+		return errors.Errorf("engine responded with status %d", response.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(response.Body, maxInventoryBytes)).Decode(answer)
-	return errors.Wrap(err, "read engine's answer")
+	err = json.NewDecoder(io.LimitReader(response.Body, maxInventoryBytes)).Decode(result)
+	return errors.Wrap(err, "decode the engine's response")
 }
 
-// Resume asks for the rest of a stream after so many events. The caller reads and
-// closes the answer's body. It fails when the engine no longer has the stream.
+// Resume requests the events of a stream from offset on. The caller closes the body of the response.
+// It fails if the engine no longer holds the stream.
 func (c *Client) Resume(ctx context.Context, address, requestID string, offset int) (*http.Response, error) {
 	target := "http://" + address + PathStreams + url.PathEscape(requestID) + "?offset=" + strconv.Itoa(offset)
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
-		return nil, errors.Wrap(err, "make request")
+		return nil, errors.Wrap(err, "create request")
 	}
 	response, err := c.data.Do(httpRequest)
 	if err != nil {
@@ -113,18 +113,18 @@
 	}
 	if response.StatusCode != http.StatusOK || response.Header.Get(HeaderRequestID) != requestID {
 		_ = response.Body.Close()
-		return nil, errors.Errorf("the engine answered status %d to resume", response.StatusCode)
+		return nil, errors.Errorf("engine responded with status %d to resume", response.StatusCode)
 	}
 	return response, nil
 }
 
-// Cancel tells an engine that nobody waits for a request any more.
+// Cancel asks an engine to stop a request that no caller waits for.
 func (c *Client) Cancel(ctx context.Context, address, requestID string) error {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+address+PathStreams+url.PathEscape(requestID), nil)
 	if err != nil {
-		return errors.Wrap(err, "make request")
+		return errors.Wrap(err, "create request")
 	}
 	response, err := c.control.Do(httpRequest)
 	if err != nil {
@@ -133,7 +133,7 @@
 	return errors.Wrap(response.Body.Close(), "cancel request")
 }
 
-// Dispatch is a request to run on an engine.
+// Dispatch is a request to an engine.
 type Dispatch struct {
 	Address   string // host:port
 	ReplicaID string
@@ -143,28 +143,26 @@
 	Body      []byte // as the caller sent it
 }
 
-// DispatchError is a dispatch that brought no answer.
+// DispatchError reports a dispatch without a response.
 type DispatchError struct {
-	// Written is false only if certainly nothing of the request was sent.
-	Written bool
-	cause   error
+	// RequestWritten is false only if no part of the request was sent.
+	RequestWritten bool
+	cause          error
 }
 
 // Error implements error.
 func (e *DispatchError) Error() string { return "dispatch to engine: " + e.cause.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of the HTTP client.
 func (e *DispatchError) Unwrap() error { return e.cause }
 
-// Dispatch sends a request once and returns the answer's head; the caller reads
-// and closes its body. The error is always a *DispatchError.
-//
-// The idempotency key never goes into the headers: net/http repeats a request
-// that carries one when a reused connection breaks.
+// Dispatch sends a request once and returns the response; the caller closes its body. The error is
+// always a *DispatchError. The headers must not include the idempotency key, since net/http
+// repeats requests that carry one when a reused connection breaks.
 func (c *Client) Dispatch(ctx context.Context, dispatch Dispatch) (*http.Response, error) {
-	connected := false
+	gotConnection := false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { connected = true },
+		GotConn: func(httptrace.GotConnInfo) { gotConnection = true },
 	})
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+dispatch.Address+dispatch.Path, bytes.NewReader(dispatch.Body))
 	if err != nil {
@@ -176,7 +174,7 @@
 	httpRequest.Header.Set(HeaderPriority, strconv.Itoa(dispatch.Priority))
 	response, err := c.data.Do(httpRequest)
 	if err != nil {
-		return nil, &DispatchError{Written: connected, cause: err}
+		return nil, &DispatchError{RequestWritten: gotConnection, cause: err}
 	}
 	return response, nil
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -19,20 +19,21 @@
 
 // Headers of the caller interface.
 const (
-	// HeaderDeadline is the time to the whole answer, such as 30s.
+	// HeaderDeadline is the time from arrival to the complete response, such as 30s.
 	HeaderDeadline = "Finchspoke-Deadline"
 	// HeaderClass is interactive, standard or bulk.
 	HeaderClass = "Finchspoke-Class"
-	// HeaderNoRepeat with "true" says that the request may not run twice.
+	// HeaderNoRepeat with "true" forbids running the request more than once.
 	HeaderNoRepeat = "Finchspoke-No-Repeat"
-	// HeaderIdempotencyKey names a request that runs at most once over all its
-	// repeats; see package group.
+	// HeaderIdempotencyKey identifies a request that runs at most once over all its retries; see
+	// package group.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderExecution says in an error what is known of the execution.
+	// HeaderExecution states in an error response whether the request was executed.
 	HeaderExecution = "Finchspoke-Execution"
-	// HeaderReplayed marks an answer that was stored for an idempotency key.
+	// HeaderReplayed marks a stored response, replayed for an idempotency key.
 	HeaderReplayed = "Finchspoke-Replayed"
-	// HeaderHome and HeaderEngine say which daemon queued and which engine ran.
+	// HeaderHome and HeaderEngine name the daemon that queued the request and the engine that
+	// ran it.
 	HeaderHome   = "Finchspoke-Home"
 	HeaderEngine = "Finchspoke-Engine"
 )
@@ -40,11 +41,11 @@
 const (
 	maxIdempotencyKey = 255
 	maxDeadline       = 24 * time.Hour
-	// bodyReadTimeout bounds how long a caller may take to send its body.
+	// bodyReadTimeout is the maximum time to receive a request body.
 	bodyReadTimeout = 30 * time.Second
 )
 
-// call is one request, read and checked.
+// call is a parsed and validated request.
 type call struct {
 	id             string
 	path           string
@@ -55,15 +56,15 @@
 	arrived        time.Time
 	deadline       time.Time
 	stream         bool
-	tokens         int    // asked for, prompt and answer
-	prefix         uint64 // of the prompt
+	tokens         int    // estimate for prompt and output
+	prefix         uint64 // engine.PrefixHash of the prompt
 	repeatable     bool
 	idempotencyKey string
 	body           []byte
 	log            callLog
 }
 
-// callLog is what is logged of a call when it ends.
+// callLog collects what finish logs about a call.
 type callLog struct {
 	home      string
 	engine    string
@@ -71,34 +72,34 @@
 	firstByte time.Duration
 }
 
-// question is the part of the body that matters here; the engine checks the rest.
-type question struct {
+// completionRequest holds the body fields that the gateway reads; the engine validates the others.
+type completionRequest struct {
 	Model               string          `json:"model"`
 	Stream              bool            `json:"stream"`
-	Messages            []message       `json:"messages"`
+	Messages            []chatMessage   `json:"messages"`
 	Prompt              json.RawMessage `json:"prompt"`
 	MaxTokens           int             `json:"max_tokens"`
 	MaxCompletionTokens int             `json:"max_completion_tokens"`
 }
 
-type message struct {
+type chatMessage struct {
 	Content json.RawMessage `json:"content"`
 }
 
-// text returns the prompt as engines read it: all messages, or the prompt.
-func (q question) text() string {
+// promptText returns the prompt of a completion, or all messages of a chat, as engines read them.
+func (q completionRequest) promptText() string {
 	if len(q.Messages) == 0 {
-		return plainText(q.Prompt)
+		return contentText(q.Prompt)
 	}
 	parts := make([]string, 0, len(q.Messages))
 	for _, one := range q.Messages {
-		parts = append(parts, plainText(one.Content))
+		parts = append(parts, contentText(one.Content))
 	}
 	return strings.Join(parts, "\n")
 }
 
-// plainText returns a JSON string's text, or other JSON as it stands.
-func plainText(raw json.RawMessage) string {
+// contentText returns the text of a JSON string, or other JSON unchanged.
+func contentText(raw json.RawMessage) string {
 	var text string
 	if json.Unmarshal(raw, &text) == nil {
 		return text
@@ -107,22 +108,22 @@
 }
 
 const (
-	// bytesPerToken estimates a prompt's tokens from its length.
+	// bytesPerToken converts the length of a prompt to an estimate of its tokens.
 	bytesPerToken = 4
-	// assumedAnswerTokens is charged where a request sets no maximum.
-	assumedAnswerTokens = 256
+	// defaultOutputTokens is assumed where a request sets no maximum.
+	defaultOutputTokens = 256
 )
 
-// tokens estimates what the request asks for, prompt and answer.
-func (q question) tokens(prompt string) int {
-	answer := max(q.MaxTokens, q.MaxCompletionTokens)
-	if answer <= 0 {
-		answer = assumedAnswerTokens
+// tokens estimates the tokens of prompt and output.
+func (q completionRequest) tokens(prompt string) int {
+	output := max(q.MaxTokens, q.MaxCompletionTokens)
+	if output <= 0 {
+		output = defaultOutputTokens
 	}
-	return len(prompt)/bytesPerToken + min(answer, math.MaxInt32/2)
+	return len(prompt)/bytesPerToken + min(output, math.MaxInt32/2)
 }
 
-// readCall reads and checks a request.
+// readCall authenticates, parses and validates a request.
 func (s *Server) readCall(writer http.ResponseWriter, httpRequest *http.Request, path string) (*call, error) {
 	branch, tree, err := s.authenticate(httpRequest)
 	if err != nil {
@@ -134,55 +135,55 @@
 	if incoming.body, err = readBody(writer, httpRequest, branch.Values.MaxBody); err != nil {
 		return nil, err
 	}
-	if err := incoming.readQuestion(tree); err != nil {
+	if err := incoming.parseBody(tree); err != nil {
 		return nil, err
 	}
-	return incoming, incoming.readHeaders(httpRequest.Header)
+	return incoming, incoming.parseHeaders(httpRequest.Header)
 }
 
 func readBody(writer http.ResponseWriter, httpRequest *http.Request, limit int64) ([]byte, error) {
 	controller := http.NewResponseController(writer)
-	_ = controller.SetReadDeadline(time.Now().Add(bodyReadTimeout)) // not all writers can
+	_ = controller.SetReadDeadline(time.Now().Add(bodyReadTimeout)) // not every writer supports deadlines
 	defer func() { _ = controller.SetReadDeadline(time.Time{}) }()
 	body, err := io.ReadAll(http.MaxBytesReader(writer, httpRequest.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return nil, failure.New(failure.TooLarge, "send a shorter request, or ask your operator to raise max_body",
-			"the body exceeds the branch's limit of %s", settings.FormatSize(limit))
+			"the request body exceeds the branch's limit of %s", settings.FormatSize(limit))
 	}
 	if err != nil {
-		return nil, failure.Wrap(err, failure.InvalidRequest, "send the whole body within 30 seconds", "the body could not be read")
+		return nil, failure.Wrap(err, failure.InvalidRequest, "send the complete body within 30 seconds", "the request body could not be read")
 	}
 	return body, nil
 }
 
-func (c *call) readQuestion(tree *settings.Tree) error {
-	var asked question
-	if err := json.Unmarshal(c.body, &asked); err != nil {
-		return failure.Wrap(err, failure.InvalidRequest, "send a JSON object in the OpenAI form", "the body is not valid JSON")
+func (c *call) parseBody(tree *settings.Tree) error {
+	var parsed completionRequest
+	if err := json.Unmarshal(c.body, &parsed); err != nil {
+		return failure.Wrap(err, failure.InvalidRequest, "send a JSON object in the OpenAI form", "the request body is not valid JSON")
 	}
-	if asked.Model == "" {
-		return failure.New(failure.InvalidRequest, "list the models you may use with GET /v1/models", "the body names no model")
+	if parsed.Model == "" {
+		return failure.New(failure.InvalidRequest, "list the models you may use with GET /v1/models", "the request body names no model")
 	}
-	if c.path == engine.PathChat && len(asked.Messages) == 0 {
-		return failure.New(failure.InvalidRequest, "give at least one message", "the body has no messages")
+	if c.path == engine.PathChat && len(parsed.Messages) == 0 {
+		return failure.New(failure.InvalidRequest, "send at least one message", "the request body has no messages")
 	}
-	if c.path == engine.PathCompletion && len(asked.Prompt) == 0 {
-		return failure.New(failure.InvalidRequest, "give a prompt", "the body has no prompt")
+	if c.path == engine.PathCompletion && len(parsed.Prompt) == 0 {
+		return failure.New(failure.InvalidRequest, "send a prompt", "the request body has no prompt")
 	}
-	target, model, allowed := tree.Allowed(c.branch, asked.Model)
+	target, model, allowed := tree.Allowed(c.branch, parsed.Model)
 	if !allowed {
-		// The same answer for a model that does not exist: names are not given away.
+		// The response is the same for a model that does not exist, so that names do not leak.
 		return failure.New(failure.ModelNotAllowed, "list the models you may use with GET /v1/models",
-			"model %q is not given to branch %s", asked.Model, c.branch.Path)
+			"model %q is not available to branch %s", parsed.Model, c.branch.Path)
 	}
-	c.target, c.model, c.stream = target, model, asked.Stream
-	prompt := asked.text()
-	c.tokens, c.prefix = asked.tokens(prompt), engine.PrefixHash(target.Name, prompt)
+	c.target, c.model, c.stream = target, model, parsed.Stream
+	prompt := parsed.promptText()
+	c.tokens, c.prefix = parsed.tokens(prompt), engine.PrefixHash(target.Name, prompt)
 	return nil
 }
 
-func (c *call) readHeaders(header http.Header) error {
+func (c *call) parseHeaders(header http.Header) error {
 	if text := header.Get(HeaderClass); text != "" {
 		class, err := request.ParseClass(text)
 		if err != nil {
@@ -194,7 +195,7 @@
 	if text := header.Get(HeaderDeadline); text != "" {
 		asked, err := time.ParseDuration(text)
 		if err != nil || asked <= 0 || asked > maxDeadline {
-			return failure.New(failure.InvalidRequest, "write a duration above zero and up to 24h, like 1500ms or 30s",
+			return failure.New(failure.InvalidRequest, "use a duration above zero and up to 24h, such as 1500ms or 30s",
 				"header %s: %q is not valid", HeaderDeadline, text)
 		}
 		allowed = asked
@@ -212,11 +213,11 @@
 	return nil
 }
 
-// authenticate finds the branch of a caller's API key in the settings in force.
+// authenticate returns the branch of the API key, and the current settings tree.
 func (s *Server) authenticate(httpRequest *http.Request) (*settings.Branch, *settings.Tree, error) {
 	current := s.Settings.Current()
 	if current == nil {
-		return nil, nil, failure.New(failure.Unavailable, "try again shortly", "this daemon has no settings yet").WithRetryAfter(time.Second)
+		return nil, nil, failure.New(failure.Unavailable, "retry after the given time", "this daemon has not loaded its settings yet").WithRetryAfter(time.Second)
 	}
 	key, found := strings.CutPrefix(httpRequest.Header.Get("Authorization"), "Bearer ")
 	if !found || key == "" {
@@ -224,7 +225,7 @@
 	}
 	branch, known := current.Tree.BranchForKey(key)
 	if !known {
-		return nil, nil, failure.New(failure.Unauthenticated, "check the key, or ask your operator for one", "the API key is not known")
+		return nil, nil, failure.New(failure.Unauthenticated, "check the key, or ask your operator for one", "the API key is unknown")
 	}
 	return branch, current.Tree, nil
 }
--- a/gateway/core_test.go
+++ b/gateway/core_test.go
@@ -15,9 +15,9 @@
 	"github.com/finchspoke/finchspoke/settings"
 )
 
-// The machine below drives the pure request core (the home's queue and the
-// gateway's lifecycle) through submits, cancels, dispatches with every result,
-// lost homes and passing time, beside an oracle that knows what the engines did.
+// The state machine drives the queue of a home and the lifecycle of a gateway through submissions,
+// cancellations, dispatches with every result, lost homes and elapsed time, and compares them with
+// an oracle that knows what the engines ran.
 
 const (
 	coreModel       = "base"
@@ -30,9 +30,9 @@
 // coreRequest is the oracle's record of one request.
 type coreRequest struct {
 	item      queue.Item
-	life      *core.Lifecycle
-	started   int // runs begun on engines, which only the oracle knows
-	ends      int
+	lifecycle *core.Lifecycle
+	runs      int // runs on engines
+	endCount  int
 	execution failure.Execution
 	grantedTo string // engine, while dispatched
 	waiting   bool
@@ -56,48 +56,48 @@
 	}
 }
 
-func (m *coreMachine) carryOut(t *rapid.T, actions []queue.Action) {
+func (m *coreMachine) applyActions(t *rapid.T, actions []queue.Action) {
 	for _, action := range actions {
-		switch done := action.(type) {
+		switch typed := action.(type) {
 		case queue.Grant:
-			held := m.requests[done.Item.ID]
-			require.True(t, held.waiting, "%s granted while not waiting", done.Item.ID)
-			require.True(t, m.ready[done.Replica.EngineID], "granted on an engine without a ready replica")
-			if done.Item.Target == coreAdapter {
-				require.True(t, m.adapters[done.Replica.EngineID], "granted where the adapter is not loaded")
+			tracked := m.requests[typed.Item.ID]
+			require.True(t, tracked.waiting, "%s granted while not waiting", typed.Item.ID)
+			require.True(t, m.ready[typed.Replica.EngineID], "granted on an engine without a ready replica")
+			if typed.Item.Target == coreAdapter {
+				require.True(t, m.adapters[typed.Replica.EngineID], "granted where the adapter is not loaded")
 			}
-			require.Less(t, m.runningOn(done.Replica.EngineID), coreConcurrency, "granted beyond the concurrency")
-			held.waiting, held.grantedTo = false, done.Replica.EngineID
+			require.Less(t, m.runningOn(typed.Replica.EngineID), coreConcurrency, "granted beyond the concurrency")
+			tracked.waiting, tracked.grantedTo = false, typed.Replica.EngineID
 		case queue.Refusal:
-			held := m.requests[done.Item.ID]
-			require.True(t, held.waiting, "%s refused while not waiting", done.Item.ID)
-			require.Positive(t, done.RetryAfter, "a refusal says when to come back")
-			held.waiting = false
-			m.end(t, held)
+			tracked := m.requests[typed.Item.ID]
+			require.True(t, tracked.waiting, "%s refused while not waiting", typed.Item.ID)
+			require.Positive(t, typed.RetryAfter, "a rejection needs a retry delay")
+			tracked.waiting = false
+			m.end(t, tracked)
 		}
 	}
 }
 
 func (m *coreMachine) runningOn(engineID string) int {
 	count := 0
-	for _, held := range m.requests {
-		if held.grantedTo == engineID {
+	for _, tracked := range m.requests {
+		if tracked.grantedTo == engineID {
 			count++
 		}
 	}
 	return count
 }
 
-// end gives a request its one end and checks what is said of it.
-func (m *coreMachine) end(t *rapid.T, held *coreRequest) {
-	held.ends++
-	held.execution = held.life.Execution()
-	require.Equal(t, 1, held.ends, "%s ended twice", held.item.ID)
-	if held.execution == failure.NotRun {
-		require.Zero(t, held.started, "%s said not run and had run", held.item.ID)
+// end ends a request once and checks the reported execution.
+func (m *coreMachine) end(t *rapid.T, tracked *coreRequest) {
+	tracked.endCount++
+	tracked.execution = tracked.lifecycle.Execution()
+	require.Equal(t, 1, tracked.endCount, "%s ended twice", tracked.item.ID)
+	if tracked.execution == failure.NotRun {
+		require.Zero(t, tracked.runs, "%s is reported as not run, but ran", tracked.item.ID)
 	}
-	if held.execution == failure.Completed {
-		require.Positive(t, held.started)
+	if tracked.execution == failure.Completed {
+		require.Positive(t, tracked.runs)
 	}
 }
 
@@ -106,90 +106,89 @@
 	id := fmt.Sprintf("request-%d", m.sequence)
 	target := rapid.SampledFrom([]string{coreModel, coreAdapter}).Draw(t, "target")
 	deadline := m.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "deadline")) * time.Millisecond)
-	held := &coreRequest{
+	tracked := &coreRequest{
 		item: queue.Item{
 			ID: id, Owner: rapid.SampledFrom([]string{"gateway-1", "gateway-2"}).Draw(t, "owner"), Target: target,
 			Branch: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "branch"), Share: rapid.IntRange(1, 3).Draw(t, "share"),
 			Limits: settings.Limits{MaxWaiting: 6, MaxRunning: 3}, Class: request.Class(rapid.IntRange(0, request.ClassCount-1).Draw(t, "class")), Arrived: m.now, Deadline: deadline,
 		},
-		life:    &core.Lifecycle{Repeatable: rapid.Bool().Draw(t, "repeatable"), Deadline: deadline},
-		waiting: true,
+		lifecycle: &core.Lifecycle{Repeatable: rapid.Bool().Draw(t, "repeatable"), Deadline: deadline},
+		waiting:   true,
 	}
-	m.requests[id] = held
+	m.requests[id] = tracked
 	m.order = append(m.order, id)
-	m.carryOut(t, m.queue.Submit(m.now, held.item))
+	m.applyActions(t, m.queue.Submit(m.now, tracked.item))
 }
 
-func (m *coreMachine) pick(t *rapid.T, suits func(*coreRequest) bool) *coreRequest {
-	var suitable []string
+func (m *coreMachine) pick(t *rapid.T, matches func(*coreRequest) bool) *coreRequest {
+	var matching []string
 	for _, id := range m.order {
-		if suits(m.requests[id]) {
-			suitable = append(suitable, id)
+		if matches(m.requests[id]) {
+			matching = append(matching, id)
 		}
 	}
-	if len(suitable) == 0 {
-		t.Skip("no request suits")
+	if len(matching) == 0 {
+		t.Skip("no request matches")
 	}
-	return m.requests[rapid.SampledFrom(suitable).Draw(t, "request")]
+	return m.requests[rapid.SampledFrom(matching).Draw(t, "request")]
 }
 
-func dispatched(held *coreRequest) bool { return held.grantedTo != "" }
+func dispatched(tracked *coreRequest) bool { return tracked.grantedTo != "" }
 
-// finishDispatch ends a dispatch with any result; the oracle counts whether the
-// engine really began.
+// finishDispatch ends a dispatch with any result; the oracle counts whether the engine started it.
 func (m *coreMachine) finishDispatch(t *rapid.T) {
-	held := m.pick(t, dispatched)
+	tracked := m.pick(t, dispatched)
 	result := rapid.SampledFrom([]core.Result{core.Answered, core.NotWritten, core.NotStarted, core.Lost, core.Broken}).Draw(t, "result")
 	ran := result == core.Answered || result == core.Broken || (result == core.Lost && rapid.Bool().Draw(t, "lost after start"))
 	if ran {
-		held.started++
-		if !held.life.Repeatable {
-			require.Equal(t, 1, held.started, "%s may not be repeated and ran twice", held.item.ID)
+		tracked.runs++
+		if !tracked.lifecycle.Repeatable {
+			require.Equal(t, 1, tracked.runs, "%s may not be repeated and ran twice", tracked.item.ID)
 		}
 	}
-	held.grantedTo = ""
-	actions := m.queue.Release(m.now, held.item.ID, result != core.Answered, 100*time.Millisecond)
-	next := held.life.RecordResult(m.now, result, func() bool { return m.budget })
-	m.carryOut(t, actions)
+	tracked.grantedTo = ""
+	actions := m.queue.Release(m.now, tracked.item.ID, result != core.Answered, 100*time.Millisecond)
+	next := tracked.lifecycle.RecordResult(m.now, result, func() bool { return m.budget })
+	m.applyActions(t, actions)
 	if !next.Retry {
-		m.end(t, held)
+		m.end(t, tracked)
 		return
 	}
-	held.waiting = true
-	m.carryOut(t, m.queue.Submit(m.now, held.item))
+	tracked.waiting = true
+	m.applyActions(t, m.queue.Submit(m.now, tracked.item))
 }
 
-// loseHome drops the queue and submits what the gateways hold to a new one, as a
-// gateway does when members change.
+// loseHome drops the queue and submits the requests of all gateways to a new one, as gateways do
+// when membership changes.
 func (m *coreMachine) loseHome(t *rapid.T) {
 	m.queue = queue.New(coreModel, coreConcurrency)
 	for _, id := range m.order {
-		if held := m.requests[id]; dispatched(held) {
-			m.queue.Restore(m.now, held.item.Owner, queue.Running{ID: id, Target: held.item.Target, ReplicaID: held.grantedTo})
+		if tracked := m.requests[id]; dispatched(tracked) {
+			m.queue.Restore(m.now, tracked.item.Owner, queue.Running{ID: id, Target: tracked.item.Target, ReplicaID: tracked.grantedTo})
 		}
 	}
 	m.setReplicas(t)
 	for _, id := range m.order {
-		if held := m.requests[id]; held.waiting {
-			m.carryOut(t, m.queue.Submit(m.now, held.item))
+		if tracked := m.requests[id]; tracked.waiting {
+			m.applyActions(t, m.queue.Submit(m.now, tracked.item))
 		}
 	}
 }
 
-// breakLink loses one gateway's link; it submits again at once.
+// breakLink drops the connection of one gateway, which then submits its requests again.
 func (m *coreMachine) breakLink(t *rapid.T) {
 	owner := rapid.SampledFrom([]string{"gateway-1", "gateway-2"}).Draw(t, "owner")
 	m.queue.DropWaiting(owner)
 	var running []queue.Running
 	for _, id := range m.order {
-		if held := m.requests[id]; held.item.Owner == owner && dispatched(held) {
-			running = append(running, queue.Running{ID: id, Target: held.item.Target, ReplicaID: held.grantedTo})
+		if tracked := m.requests[id]; tracked.item.Owner == owner && dispatched(tracked) {
+			running = append(running, queue.Running{ID: id, Target: tracked.item.Target, ReplicaID: tracked.grantedTo})
 		}
 	}
-	m.carryOut(t, m.queue.Reconcile(m.now, owner, running))
+	m.applyActions(t, m.queue.Reconcile(m.now, owner, running))
 	for _, id := range m.order {
-		if held := m.requests[id]; held.item.Owner == owner && held.waiting {
-			m.carryOut(t, m.queue.Submit(m.now, held.item))
+		if tracked := m.requests[id]; tracked.item.Owner == owner && tracked.waiting {
+			m.applyActions(t, m.queue.Submit(m.now, tracked.item))
 		}
 	}
 }
@@ -202,22 +201,22 @@
 		}
 	}
 	readyIn := time.Duration(rapid.IntRange(-1, 8000).Draw(t, "ready in")) * time.Millisecond
-	m.carryOut(t, m.queue.SetReplicas(m.now, replicas, readyIn))
+	m.applyActions(t, m.queue.SetReplicas(m.now, replicas, readyIn))
 }
 
 // check compares the queue with the oracle after each step.
 func (m *coreMachine) check(t *rapid.T) {
 	waiting, running := 0, 0
-	for _, held := range m.requests {
-		if held.waiting {
+	for _, tracked := range m.requests {
+		if tracked.waiting {
 			waiting++
-			require.True(t, held.item.Deadline.After(m.now.Add(-time.Second)), "%s waits past its deadline", held.item.ID)
+			require.True(t, tracked.item.Deadline.After(m.now.Add(-time.Second)), "%s still waits after its deadline", tracked.item.ID)
 		}
-		if dispatched(held) {
+		if dispatched(tracked) {
 			running++
 		}
-		alive := held.waiting || dispatched(held)
-		require.NotEqual(t, alive, held.ends == 1, "%s is neither alive nor ended, or both", held.item.ID)
+		alive := tracked.waiting || dispatched(tracked)
+		require.NotEqual(t, alive, tracked.endCount == 1, "%s is neither alive nor ended, or both", tracked.item.ID)
 	}
 	require.Equal(t, waiting, m.queue.Waiting(), "requests waiting")
 	require.Equal(t, running, m.queue.Running(), "requests running")
@@ -230,10 +229,10 @@
 			"submit":         m.submit,
 			"finishDispatch": m.finishDispatch,
 			"cancel": func(t *rapid.T) {
-				held := m.pick(t, func(r *coreRequest) bool { return r.waiting })
-				m.queue.Cancel(held.item.ID)
-				held.waiting = false
-				m.end(t, held)
+				tracked := m.pick(t, func(r *coreRequest) bool { return r.waiting })
+				m.queue.Cancel(tracked.item.ID)
+				tracked.waiting = false
+				m.end(t, tracked)
 			},
 			"replicas": func(t *rapid.T) {
 				engineID := rapid.SampledFrom(coreEngines).Draw(t, "engine")
@@ -243,7 +242,7 @@
 			},
 			"time": func(t *rapid.T) {
 				m.now = m.now.Add(time.Duration(rapid.IntRange(1, 900).Draw(t, "ms")) * time.Millisecond)
-				m.carryOut(t, m.queue.Tick(m.now))
+				m.applyActions(t, m.queue.Tick(m.now))
 			},
 			"loseHome":  m.loseHome,
 			"breakLink": m.breakLink,
@@ -254,22 +253,22 @@
 	})
 }
 
-// drain lets all time pass: every request must then have ended.
+// drain advances time past all deadlines and checks that every request has ended.
 func (m *coreMachine) drain(t *rapid.T) {
 	m.ready = map[string]bool{}
-	m.carryOut(t, m.queue.SetReplicas(m.now, nil, -1))
+	m.applyActions(t, m.queue.SetReplicas(m.now, nil, -1))
 	for _, id := range m.order {
-		if held := m.requests[id]; dispatched(held) {
-			held.started++
-			held.grantedTo = ""
-			m.carryOut(t, m.queue.Release(m.now, id, false, time.Millisecond))
-			held.life.RecordResult(m.now, core.Answered, nil)
-			m.end(t, held)
+		if tracked := m.requests[id]; dispatched(tracked) {
+			tracked.runs++
+			tracked.grantedTo = ""
+			m.applyActions(t, m.queue.Release(m.now, id, false, time.Millisecond))
+			tracked.lifecycle.RecordResult(m.now, core.Answered, nil)
+			m.end(t, tracked)
 		}
 	}
 	m.now = m.now.Add(time.Hour)
-	m.carryOut(t, m.queue.Tick(m.now))
-	for id, held := range m.requests {
-		require.Equal(t, 1, held.ends, "%s was dropped", id)
+	m.applyActions(t, m.queue.Tick(m.now))
+	for id, tracked := range m.requests {
+		require.Equal(t, 1, tracked.endCount, "%s did not end", id)
 	}
 }
--- a/gateway/ended.go
+++ b/gateway/ended.go
@@ -7,11 +7,11 @@
 	"github.com/finchspoke/finchspoke/failure"
 )
 
-// endedKept is how many ended requests a gateway remembers for explanations.
-const endedKept = 2000
+// endedRingSize is how many ended requests a gateway keeps for explanations.
+const endedRingSize = 2000
 
-// Ended is how a request ended, for explanations.
-type Ended struct {
+// RequestSummary describes how a request ended.
+type RequestSummary struct {
 	RequestID   string            `json:"request_id"`
 	Branch      string            `json:"branch,omitempty"`
 	Model       string            `json:"model,omitempty"`
@@ -28,28 +28,28 @@
 	EndedAt     time.Time         `json:"ended_at"`
 }
 
-// endedRing remembers the requests that ended last.
+// endedRing holds the requests that ended last.
 type endedRing struct {
 	mutex sync.Mutex
-	ring  [endedKept]Ended
+	ring  [endedRingSize]RequestSummary
 	next  int
 }
 
-func (e *endedRing) add(one Ended) {
+func (e *endedRing) add(request RequestSummary) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.ring[e.next] = one
-	e.next = (e.next + 1) % endedKept
+	e.ring[e.next] = request
+	e.next = (e.next + 1) % endedRingSize
 }
 
-// EndedRequest returns how a request ended here, if it is remembered.
-func (s *Server) EndedRequest(requestID string) (Ended, bool) {
-	s.lastEnded.mutex.Lock()
-	defer s.lastEnded.mutex.Unlock()
-	for _, one := range s.lastEnded.ring {
+// EndedRequest returns the summary of a request that ended on this gateway, if it is still kept.
+func (s *Server) EndedRequest(requestID string) (RequestSummary, bool) {
+	s.recentlyEnded.mutex.Lock()
+	defer s.recentlyEnded.mutex.Unlock()
+	for _, one := range s.recentlyEnded.ring {
 		if requestID != "" && one.RequestID == requestID {
 			return one, true
 		}
 	}
-	return Ended{}, false
+	return RequestSummary{}, false
 }
--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -10,10 +10,10 @@
 	"github.com/finchspoke/finchspoke/failure"
 )
 
-// statusClientGone is the customary status for a caller that left.
-const statusClientGone = 499
+// statusClientClosedRequest is the non-standard status commonly used when the client disconnects.
+const statusClientClosedRequest = 499
 
-var statusOf = map[failure.Kind]int{
+var statusByKind = map[failure.Kind]int{
 	failure.InvalidRequest:      http.StatusBadRequest,
 	failure.Unauthenticated:     http.StatusUnauthorized,
 	failure.ModelNotAllowed:     http.StatusNotFound,
@@ -22,7 +22,7 @@
 	failure.DeadlineTooShort:    http.StatusServiceUnavailable,
 	failure.DeadlineExceeded:    http.StatusGatewayTimeout,
 	failure.NoCapacity:          http.StatusServiceUnavailable,
-	failure.CallerDisconnected:  statusClientGone,
+	failure.CallerDisconnected:  statusClientClosedRequest,
 	failure.ResponseInterrupted: http.StatusBadGateway,
 	failure.OutcomeUnknown:      http.StatusBadGateway,
 	failure.KeyInUse:            http.StatusConflict,
@@ -31,7 +31,7 @@
 	failure.Unavailable:         http.StatusServiceUnavailable,
 }
 
-// errorBody is an error in the OpenAI form, with what finchspoke adds.
+// errorBody is an error in the OpenAI format, with additional fields.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -47,7 +47,7 @@
 	RetryAfterMs int64             `json:"retry_after_ms,omitempty"`
 }
 
-func errorText(err *failure.Error, requestID string) []byte {
+func encodeError(err *failure.Error, requestID string) []byte {
 	kind := "server_error"
 	if status := statusFor(err.Kind); status < http.StatusInternalServerError {
 		kind = "invalid_request_error"
@@ -63,15 +63,15 @@
 }
 
 func statusFor(kind failure.Kind) int {
-	if status, known := statusOf[kind]; known {
+	if status, known := statusByKind[kind]; known {
 		return status
 	}
 	return http.StatusInternalServerError
 }
 
-// errorHeaders says in headers what an error body says. SDKs of the OpenAI family
-// repeat server errors on their own unless told not to.
-func errorHeaders(header http.Header, err *failure.Error) {
+// setErrorHeaders sets the response headers that describe an error. OpenAI SDKs retry server
+// errors unless X-Should-Retry forbids it.
+func setErrorHeaders(header http.Header, err *failure.Error) {
 	header.Set("Content-Type", "application/json")
 	header.Set(HeaderExecution, string(err.Execution))
 	header.Set("X-Should-Retry", strconv.FormatBool(err.Execution == failure.NotRun && err.RetryAfter > 0))
@@ -82,9 +82,9 @@
 	}
 }
 
-// writeError answers with an error in place of an answer.
+// writeError writes an error as the complete response.
 func writeError(writer http.ResponseWriter, err *failure.Error, requestID string) {
-	errorHeaders(writer.Header(), err)
+	setErrorHeaders(writer.Header(), err)
 	writer.WriteHeader(statusFor(err.Kind))
-	_, _ = writer.Write(errorText(err, requestID)) // the caller may be gone
+	_, _ = writer.Write(encodeError(err, requestID)) // the caller may have disconnected
 }
--- a/gateway/keyed.go
+++ b/gateway/keyed.go
@@ -12,56 +12,56 @@
 )
 
 const (
-	// keyedGrace is how long a keyed request may go on after its deadline, so that
-	// its outcome can be stored and asked for.
+	// keyedGrace is how long a keyed request may run past its deadline, so that its outcome
+	// can be stored for a retry.
 	keyedGrace = 2 * time.Minute
-	// settleMargin is the time allowed to store an outcome.
-	settleMargin = 30 * time.Second
-	// lookInterval is how often a repeat looks whether the first has ended.
-	lookInterval = 250 * time.Millisecond
-	// maxLookTime is how long a repeat waits before it is told to come back.
-	maxLookTime = 10 * time.Second
-	storeTries  = 20
-	storePause  = time.Second
+	// outcomeStoreMargin is the time allowed for storing an outcome.
+	outcomeStoreMargin = 30 * time.Second
+	// claimPollInterval is the time between checks whether the claimed request has ended.
+	claimPollInterval = 250 * time.Millisecond
+	// maxClaimPollTime is how long a retry waits for the claimed request to end.
+	maxClaimPollTime = 10 * time.Second
+	maxStoreAttempts = 20
+	storeRetryDelay  = time.Second
 )
 
-// runKeyed serves a call with an idempotency key: it runs only under a claim, and
-// goes on to its end without its caller, so that a repeat gets the outcome.
-func (s *Server) runKeyed(ctx context.Context, incoming *call, out *sink) *failure.Error {
+// runKeyed serves a call with an idempotency key. The call runs only under a claim and continues
+// after its caller disconnects, so that a retry can get the outcome.
+func (s *Server) runKeyed(ctx context.Context, incoming *call, out *responseSink) *failure.Error {
 	claim, failed := s.claim(ctx, incoming, out)
 	if claim == nil {
 		return failed
 	}
-	ended := make(chan endedCall, 1)
-	running := *incoming // what runs on must not share what is logged meanwhile
+	ended := make(chan callResult, 1)
+	running := *incoming // a copy, because finish may log incoming while the call still runs
 	detached, cancel := context.WithDeadline(context.WithoutCancel(ctx), incoming.deadline.Add(keyedGrace))
 	s.background.Add(1)
 	go func() {
 		defer s.background.Done()
 		defer cancel()
 		failed := s.runClaimed(detached, &running, claim, out)
-		ended <- endedCall{failed, running.log}
+		ended <- callResult{failed, running.log}
 	}()
 	select {
-	case last := <-ended:
-		incoming.log = last.log
-		return last.failed
+	case result := <-ended:
+		incoming.log = result.log
+		return result.failed
 	case <-ctx.Done():
 	}
 	return failure.New(failure.KeyInUse, "repeat the request with the same key to get its outcome",
-		"the request still runs and its outcome will be stored").WithExecution(failure.Unknown).WithRetryAfter(retryAfterDeadline)
+		"the request is still running and its outcome will be stored").WithExecution(failure.Unknown).WithRetryAfter(defaultRetryAfter)
 }
 
-// claim claims the call's key. Without a claim the call has ended: answered from
-// the outcome that stands, or with the failure returned.
-func (s *Server) claim(ctx context.Context, incoming *call, out *sink) (*group.Claim, *failure.Error) {
-	until := time.Now().Add(maxLookTime)
+// claim claims the call's key. Without a claim the call has ended: with the stored outcome
+// of the key, or with the failure returned.
+func (s *Server) claim(ctx context.Context, incoming *call, out *responseSink) (*group.Claim, *failure.Error) {
+	until := time.Now().Add(maxClaimPollTime)
 	for {
-		claim, standing, err := s.Ledger.Claim(ctx, incoming.keyAsk(), group.Record{
+		claim, existing, err := s.Ledger.Claim(ctx, incoming.keyRequest(), group.Record{
 			RequestID:   incoming.id,
 			Fingerprint: group.Fingerprint([]byte(incoming.path), incoming.body),
 			ClaimedAt:   time.Now(),
-			SettledBy:   incoming.deadline.Add(keyedGrace + settleMargin),
+			SettledBy:   incoming.deadline.Add(keyedGrace + outcomeStoreMargin),
 		})
 		if err != nil {
 			return nil, failure.As(err)
@@ -69,32 +69,32 @@
 		if claim != nil {
 			return claim, nil
 		}
-		ended, failed := s.repeat(ctx, incoming, standing, out, until)
+		ended, failed := s.serveRepeat(ctx, incoming, existing, out, until)
 		if ended {
 			return nil, failed
 		}
-		// The claim that stood was withdrawn: its request did not run.
-		sleep.For(ctx, rand.N(lookInterval))
+		// The existing claim was released because its request did not run; claim again.
+		sleep.For(ctx, rand.N(claimPollInterval))
 	}
 }
 
-// keyAsk names the call's key. The group is of the first region that serves the
-// model, so that a repeat finds it whichever daemon it comes to.
-func (c *call) keyAsk() group.Ask {
+// keyRequest identifies the call's key. Its group belongs to the first region that serves the
+// model, so that a retry finds it through any daemon.
+func (c *call) keyRequest() group.Ask {
 	return group.Ask{Region: c.model.ServiceRegions[0], Branch: c.branch.Path, Key: c.idempotencyKey}
 }
 
-// endedCall is the end of a keyed call that its caller waited for.
-type endedCall struct {
+// callResult is the result of a keyed call, for a caller that is still connected.
+type callResult struct {
 	failed *failure.Error
 	log    callLog
 }
 
-// runClaimed runs a call under its claim and stores what came of it.
-func (s *Server) runClaimed(ctx context.Context, incoming *call, claim *group.Claim, out *sink) *failure.Error {
+// runClaimed runs a call under its claim and stores the outcome.
+func (s *Server) runClaimed(ctx context.Context, incoming *call, claim *group.Claim, out *responseSink) *failure.Error {
 	failed, execution := s.run(ctx, incoming, out)
 	ctx = context.WithoutCancel(ctx)
-	s.store(ctx, incoming, func() error {
+	s.storeOutcome(ctx, incoming, func() error {
 		switch {
 		case failed == nil:
 			return s.Ledger.Complete(ctx, claim, group.Outcome{
@@ -107,66 +107,66 @@
 	return failed
 }
 
-// store tries to write an outcome until it is written or hope is lost; the claim
-// then stands, and turns unsettled by its time.
-func (s *Server) store(ctx context.Context, incoming *call, write func() error) {
+// storeOutcome retries write until it succeeds or maxStoreAttempts is reached. A claim without an
+// outcome becomes unsettled at its SettledBy time.
+func (s *Server) storeOutcome(ctx context.Context, incoming *call, write func() error) {
 	var err error
-	for range storeTries {
+	for range maxStoreAttempts {
 		if err = write(); err == nil {
 			return
 		}
-		sleep.For(ctx, storePause)
+		sleep.For(ctx, storeRetryDelay)
 	}
-	s.Log.WithError(err).WithField("request_id", incoming.id).Error("outcome of a keyed request was not stored")
+	s.Log.WithError(err).WithField("request_id", incoming.id).Error("failed to store the outcome of a keyed request")
 }
 
-// repeat answers a repeat of a claimed key without running anything, unless the
-// claim that stood is withdrawn: then it has not ended.
-func (s *Server) repeat(ctx context.Context, incoming *call, standing *group.Record, out *sink, until time.Time) (ended bool, failed *failure.Error) {
-	for standing.State == group.Claimed {
+// serveRepeat responds to a retry of a claimed key without running the call. ended is false if the
+// existing claim was released.
+func (s *Server) serveRepeat(ctx context.Context, incoming *call, existing *group.Record, out *responseSink, until time.Time) (ended bool, failed *failure.Error) {
+	for existing.State == group.Claimed {
 		if ctx.Err() != nil || time.Now().After(until) {
 			return true, failure.New(failure.KeyInUse, "repeat the request with the same key to get its outcome",
-				"the first request with this key still runs").WithExecution(failure.Unknown).WithRetryAfter(retryAfterDeadline)
+				"the first request with this key is still running").WithExecution(failure.Unknown).WithRetryAfter(defaultRetryAfter)
 		}
-		sleep.For(ctx, lookInterval)
-		looked, err := s.Ledger.Look(ctx, incoming.keyAsk())
+		sleep.For(ctx, claimPollInterval)
+		current, err := s.Ledger.Look(ctx, incoming.keyRequest())
 		switch {
 		case err != nil:
-			continue // the group may answer before the time is up
-		case looked == nil:
+			continue // the group may recover before the wait ends
+		case current == nil:
 			return false, nil
 		}
-		standing = looked
+		existing = current
 	}
-	if standing.State == group.Unsettled {
+	if existing.State == group.Unsettled {
 		return true, failure.New(failure.OutcomeUnknown, "find out by other means whether it took effect before using a new key",
 			"the first request with this key may have run; its outcome was lost").WithExecution(failure.Unknown)
 	}
-	outcome, err := standing.Plain()
+	outcome, err := existing.Plain()
 	if err != nil || outcome.Dropped {
-		return true, failure.New(failure.KeyInUse, "none: it ran once; its answer cannot be given again",
-			"the request completed and its answer was too long to keep").WithExecution(failure.Completed)
+		return true, failure.New(failure.KeyInUse, "none: the request ran once and its response cannot be replayed",
+			"the request completed, but its response was too long to store").WithExecution(failure.Completed)
 	}
-	out.begin(outcome.Status, outcome.ContentType, map[string]string{HeaderReplayed: "true"})
-	_ = out.write(outcome.Body) // the caller may be gone; it can repeat
+	out.writeHead(outcome.Status, outcome.ContentType, map[string]string{HeaderReplayed: "true"})
+	_ = out.write(outcome.Body) // a caller that has disconnected can repeat the request
 	return true, nil
 }
 
-// serveCall is the handler of both completion interfaces.
+// serveCall returns the handler of a completion path.
 func (s *Server) serveCall(path string) http.HandlerFunc {
 	return func(writer http.ResponseWriter, httpRequest *http.Request) {
 		incoming, err := s.readCall(writer, httpRequest, path)
 		if err != nil {
-			s.refuse(writer, failure.As(err))
+			s.reject(writer, failure.As(err))
 			return
 		}
 		writer.Header().Set(headerRequestID, incoming.id)
-		s.budget.Deposit()
+		s.retryBudget.Deposit()
 		s.metrics.inFlight.Inc()
 		defer s.metrics.inFlight.Dec()
 		ctx, cancel := context.WithDeadline(httpRequest.Context(), incoming.deadline)
 		defer cancel()
-		out := newSink(writer, incoming.id, incoming.idempotencyKey != "")
+		out := newResponseSink(writer, incoming.id, incoming.idempotencyKey != "")
 		var failed *failure.Error
 		if incoming.idempotencyKey != "" {
 			failed = s.runKeyed(ctx, incoming, out)
--- a/gateway/main_test.go
+++ b/gateway/main_test.go
@@ -6,7 +6,7 @@
 	"github.com/finchspoke/finchspoke/testseed"
 )
 
-// Enough to catch each deliberate bug of docs/MUTATIONS.md.
+// High enough to detect each mutation in docs/MUTATIONS.md.
 const (
 	checks = 3000
 	steps  = 40
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -4,7 +4,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics are the gateway's Prometheus metrics.
+// metrics holds the gateway's Prometheus metrics.
 type metrics struct {
 	requests    *prometheus.CounterVec
 	firstByte   *prometheus.HistogramVec
@@ -22,10 +22,10 @@
 			Name: "finchspoke_requests_total", Help: "Requests ended, by class and outcome.",
 		}, []string{"class", "outcome"}),
 		firstByte: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "finchspoke_first_byte_seconds", Help: "Time from arrival to the first byte of the answer.", Buckets: buckets,
+			Name: "finchspoke_first_byte_seconds", Help: "Time from arrival to the first byte of the response.", Buckets: buckets,
 		}, []string{"class"}),
 		waited: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "finchspoke_queue_wait_seconds", Help: "Time from arrival to the grant of a slot.", Buckets: buckets,
+			Name: "finchspoke_queue_wait_seconds", Help: "Time from arrival until a slot is granted.", Buckets: buckets,
 		}, []string{"class"}),
 		dispatches: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "finchspoke_dispatches_total", Help: "Dispatches to engines, by result.",
@@ -34,11 +34,11 @@
 			Name: "finchspoke_requests_in_flight", Help: "Requests being served by this gateway.",
 		}),
 		relayEvents: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "finchspoke_relay_events_total", Help: "Stream events passed on to callers.",
+			Name: "finchspoke_relay_events_total", Help: "Stream events relayed to callers.",
 		}),
 	}
 	created.resumes = prometheus.NewCounter(prometheus.CounterOpts{
-		Name: "finchspoke_stream_resumes_total", Help: "Broken streams taken up where they broke.",
+		Name: "finchspoke_stream_resumes_total", Help: "Interrupted streams resumed at the point of interruption.",
 	})
 	registerer.MustRegister(created.resumes)
 	registerer.MustRegister(created.requests, created.firstByte, created.waited, created.dispatches, created.inFlight, created.relayEvents)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -9,44 +9,43 @@
 
 const (
 	relayBufferBytes = 16 << 10
-	// maxEventBytes bounds one event of a stream.
+	// maxEventBytes bounds the size of one stream event.
 	maxEventBytes = 4 << 20
 )
 
-// endMark is the last event of a whole stream.
-var endMark = []byte("data: [DONE]")
+// doneMarker is the start of the last event of a complete stream.
+var doneMarker = []byte("data: [DONE]")
 
-// relayer copies a stream of events; it is pooled, so that a token costs no
-// allocation.
-type relayer struct {
+// eventRelay holds the buffers of a relay; relayPool reuses them to avoid allocations per stream.
+type eventRelay struct {
 	reader *bufio.Reader
 	event  []byte
 }
 
-var relayers = sync.Pool{New: func() any {
-	return &relayer{reader: bufio.NewReaderSize(nil, relayBufferBytes)}
+var relayPool = sync.Pool{New: func() any {
+	return &eventRelay{reader: bufio.NewReaderSize(nil, relayBufferBytes)}
 }}
 
-// relayed is how a relay ended.
-type relayed struct {
+// relayResult describes how a relay ended.
+type relayResult struct {
 	events   int
-	whole    bool  // the end mark was passed on
-	readErr  error // why the engine's side ended early
-	writeErr error // why the caller's side did
+	complete bool  // the done marker was forwarded
+	readErr  error // why reading from the engine failed
+	writeErr error // why writing to the caller failed
 }
 
-// relay copies events from an engine's answer until the end mark. Only whole
-// events are passed on, so a stream that breaks can be ended cleanly. first is
-// called before the first event.
-func relay(source io.Reader, first func(), write func([]byte) error, flush func()) relayed {
-	r := relayers.Get().(*relayer)
+// relay copies events from an engine's response until the done marker. It forwards only complete
+// events, so that the gateway can append an error event to a broken stream. It calls first before
+// the first event.
+func relay(source io.Reader, first func(), write func([]byte) error, flush func()) relayResult {
+	r := relayPool.Get().(*eventRelay)
 	defer func() {
 		r.reader.Reset(nil)
-		relayers.Put(r)
+		relayPool.Put(r)
 	}()
 	r.reader.Reset(source)
 	r.event = r.event[:0]
-	var result relayed
+	var result relayResult
 	for {
 		line, err := r.reader.ReadSlice('\n')
 		r.event = append(r.event, line...)
@@ -58,7 +57,7 @@
 			return result
 		}
 		if len(line) > 1 && !bytes.Equal(line, []byte("\r\n")) {
-			continue // the event goes on
+			continue // the event is not complete yet
 		}
 		if result.events == 0 {
 			first()
@@ -67,13 +66,13 @@
 			return result
 		}
 		result.events++
-		if bytes.HasPrefix(r.event, endMark) {
-			result.whole = true
+		if bytes.HasPrefix(r.event, doneMarker) {
+			result.complete = true
 			flush()
 			return result
 		}
 		r.event = r.event[:0]
-		// Events that arrived together leave together.
+		// Flush once for all events that are already buffered.
 		if r.reader.Buffered() == 0 {
 			flush()
 		}
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -1,7 +1,6 @@
-// Package gateway is the caller interface: OpenAI-compatible HTTP. It checks a
-// request against the settings of the caller's branch, asks the model's home for
-// a slot, dispatches to the engine and relays the answer. It owns the request
-// until its one end.
+// Package gateway serves the OpenAI-compatible HTTP interface for callers. It checks a request
+// against the settings of the caller's branch, acquires a slot from the model's home, dispatches
+// the request to the engine and relays the response.
 package gateway
 
 import (
@@ -34,13 +33,13 @@
 	idleTimeout       = 2 * time.Minute
 	objectList        = "list"
 	objectModel       = "model"
-	// retryShare is how many retries each request pays for; retryReserve bounds
-	// what is saved up.
-	retryShare   = 0.1
+	// retryRatio is the share of a retry that each request adds to the budget; retryReserve caps
+	// the budget.
+	retryRatio   = 0.1
 	retryReserve = 50
 )
 
-// Dependencies are what the gateway works with.
+// Dependencies holds what the gateway is built from.
 type Dependencies struct {
 	Settings       *settings.Store
 	Engines        *engine.Client
@@ -50,21 +49,21 @@
 	MaxConnections int
 }
 
-// Server is the gateway. It is a suture service.
+// Server is the gateway; it implements suture.Service.
 type Server struct {
 	Dependencies
-	homes      *home.Client
-	frontend   *frontend.Server
-	metrics    *metrics
-	budget     *core.RetryBudget
-	lastEnded  endedRing
-	background sync.WaitGroup // keyed requests whose caller may be gone
+	homes         *home.Client
+	frontend      *frontend.Server
+	metrics       *metrics
+	retryBudget   *core.RetryBudget
+	recentlyEnded endedRing
+	background    sync.WaitGroup // keyed requests, which outlive their callers
 }
 
-// New returns a gateway on a listener.
+// New returns a gateway that serves callers on listener.
 func New(dependencies Dependencies, homes *home.Client, listener net.Listener) *Server {
 	server := &Server{
-		Dependencies: dependencies, homes: homes, metrics: newMetrics(dependencies.Registerer), budget: &core.RetryBudget{Ratio: retryShare, Reserve: retryReserve},
+		Dependencies: dependencies, homes: homes, metrics: newMetrics(dependencies.Registerer), retryBudget: &core.RetryBudget{Ratio: retryRatio, Reserve: retryReserve},
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+engine.PathChat, server.serveCall(engine.PathChat))
@@ -79,19 +78,19 @@
 	return server
 }
 
-// String names the service in the supervisor's events.
+// String returns the service name that the supervisor reports in its events.
 func (s *Server) String() string { return "gateway" }
 
-// Serve implements suture.Service. It leaves requests running when ctx ends;
-// Drain is what waits for them.
+// Serve implements suture.Service. Running requests continue after ctx is done; Drain waits for
+// them.
 func (s *Server) Serve(ctx context.Context) error {
 	return s.frontend.Serve(ctx)
 }
 
-// Drain takes no new connections, serves what was sent, and waits for the requests that run.
+// Drain stops accepting connections and waits for running requests, until ctx is done.
 func (s *Server) Drain(ctx context.Context) error {
 	if err := s.frontend.Drain(ctx); err != nil {
-		return errors.Wrap(err, "requests still run")
+		return errors.Wrap(err, "requests are still running")
 	}
 	finished := make(chan struct{})
 	go func() {
@@ -102,22 +101,22 @@
 	case <-finished:
 		return nil
 	case <-ctx.Done():
-		return errors.Wrap(ctx.Err(), "keyed requests still run")
+		return errors.Wrap(ctx.Err(), "keyed requests are still running")
 	}
 }
 
-// refuse answers a request that was not read.
-func (s *Server) refuse(writer http.ResponseWriter, failed *failure.Error) {
+// reject responds with an error to a request that the gateway does not serve.
+func (s *Server) reject(writer http.ResponseWriter, failed *failure.Error) {
 	requestID := uuid.NewString()
 	writer.Header().Set(headerRequestID, requestID)
 	writeError(writer, failed, requestID)
 	s.metrics.requests.WithLabelValues("none", string(failed.Kind)).Inc()
-	s.Log.WithFields(logrus.Fields{"request_id": requestID, "outcome": failed.Kind}).Info("request refused")
-	s.lastEnded.add(Ended{RequestID: requestID, Outcome: string(failed.Kind), Message: failed.Message, Remedy: failed.Remedy,
+	s.Log.WithFields(logrus.Fields{"request_id": requestID, "outcome": failed.Kind}).Info("request rejected")
+	s.recentlyEnded.add(RequestSummary{RequestID: requestID, Outcome: string(failed.Kind), Message: failed.Message, Remedy: failed.Remedy,
 		Execution: failed.Execution, EndedAt: time.Now().UTC()})
 }
 
-// finish counts and logs a call's end.
+// finish counts, logs and records the end of a call.
 func (s *Server) finish(incoming *call, failed *failure.Error) {
 	outcome := "answered"
 	execution := failure.Completed
@@ -135,7 +134,7 @@
 		entry = entry.WithField("cause", failed.Unwrap().Error())
 	}
 	entry.Info("request ended")
-	ended := Ended{
+	ended := RequestSummary{
 		RequestID: incoming.id, Branch: incoming.branch.Path, Model: incoming.target.Name, Class: incoming.class.String(), Outcome: outcome,
 		Execution: execution, Home: incoming.log.home, Engine: incoming.log.engine, WaitedMs: incoming.log.waited.Milliseconds(),
 		FirstByteMs: incoming.log.firstByte.Milliseconds(), DurationMs: time.Since(incoming.arrived).Milliseconds(), EndedAt: time.Now().UTC(),
@@ -143,10 +142,10 @@
 	if failed != nil {
 		ended.Message, ended.Remedy = failed.Message, failed.Remedy
 	}
-	s.lastEnded.add(ended)
+	s.recentlyEnded.add(ended)
 }
 
-// modelObject is a model in the OpenAI form.
+// modelObject is a model in the OpenAI format.
 type modelObject struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -162,7 +161,7 @@
 func (s *Server) serveModels(writer http.ResponseWriter, httpRequest *http.Request) {
 	branch, tree, err := s.authenticate(httpRequest)
 	if err != nil {
-		s.refuse(writer, failure.As(err))
+		s.reject(writer, failure.As(err))
 		return
 	}
 	list := modelList{Object: objectList, Data: []modelObject{}}
@@ -178,25 +177,25 @@
 func (s *Server) serveModel(writer http.ResponseWriter, httpRequest *http.Request) {
 	branch, tree, err := s.authenticate(httpRequest)
 	if err != nil {
-		s.refuse(writer, failure.As(err))
+		s.reject(writer, failure.As(err))
 		return
 	}
 	name := httpRequest.PathValue("model")
 	_, model, allowed := tree.Allowed(branch, name)
 	if !allowed {
-		s.refuse(writer, failure.New(failure.ModelNotAllowed, "list the models you may use with GET /v1/models",
-			"model %q is not given to branch %s", name, branch.Path))
+		s.reject(writer, failure.New(failure.ModelNotAllowed, "list the models you may use with GET /v1/models",
+			"model %q is not available to branch %s", name, branch.Path))
 		return
 	}
 	writeJSON(writer, modelObject{ID: name, Object: objectModel, OwnedBy: model.Branch})
 }
 
 func (s *Server) serveUnknown(writer http.ResponseWriter, httpRequest *http.Request) {
-	s.refuse(writer, failure.New(failure.InvalidRequest,
-		"use POST /v1/chat/completions, POST /v1/completions or GET /v1/models", "there is no %s %s", httpRequest.Method, httpRequest.URL.Path))
+	s.reject(writer, failure.New(failure.InvalidRequest,
+		"use POST /v1/chat/completions, POST /v1/completions or GET /v1/models", "no such endpoint: %s %s", httpRequest.Method, httpRequest.URL.Path))
 }
 
 func writeJSON(writer http.ResponseWriter, value any) {
 	writer.Header().Set("Content-Type", contentTypeJSON)
-	_ = json.NewEncoder(writer).Encode(value) // the caller may be gone
+	_ = json.NewEncoder(writer).Encode(value) // the caller may have disconnected
 }
--- a/gateway/sink.go
+++ b/gateway/sink.go
@@ -7,35 +7,35 @@
 	"github.com/finchspoke/finchspoke/failure"
 )
 
-// sink is where an answer goes: to the caller, and for a keyed request also into
-// a record that outlives the caller.
-type sink struct {
-	mutex      sync.Mutex
-	writer     http.ResponseWriter
-	controller *http.ResponseController // reaches through what wraps the writer
-	requestID  string
-	detached   bool // the caller is answered otherwise or gone
-	began      bool // the head was written
-	record     *recorded
+// responseSink writes a response to the caller. For a keyed request it also records the response,
+// which outlives the caller.
+type responseSink struct {
+	mutex       sync.Mutex
+	writer      http.ResponseWriter
+	controller  *http.ResponseController // unwraps middleware to reach Flush
+	requestID   string
+	detached    bool // the caller got an error or has disconnected
+	headWritten bool // status and headers were written
+	record      *recordedResponse
 }
 
-// recorded is a copy of an answer.
-type recorded struct {
+// recordedResponse is a copy of a response.
+type recordedResponse struct {
 	status      int
 	contentType string
 	body        []byte
 }
 
-func newSink(writer http.ResponseWriter, requestID string, record bool) *sink {
-	created := &sink{writer: writer, controller: http.NewResponseController(writer), requestID: requestID}
+func newResponseSink(writer http.ResponseWriter, requestID string, record bool) *responseSink {
+	created := &responseSink{writer: writer, controller: http.NewResponseController(writer), requestID: requestID}
 	if record {
-		created.record = &recorded{}
+		created.record = &recordedResponse{}
 	}
 	return created
 }
 
-// begin writes the head of an answer.
-func (s *sink) begin(status int, contentType string, headers map[string]string) {
+// writeHead writes status and headers.
+func (s *responseSink) writeHead(status int, contentType string, headers map[string]string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.record != nil {
@@ -44,7 +44,7 @@
 	if s.detached {
 		return
 	}
-	s.began = true
+	s.headWritten = true
 	header := s.writer.Header()
 	header.Set("Content-Type", contentType)
 	for name, value := range headers {
@@ -53,9 +53,9 @@
 	s.writer.WriteHeader(status)
 }
 
-// write passes data on; its error says that the caller is gone, which only
-// matters where nothing is recorded.
-func (s *sink) write(data []byte) error {
+// write writes part of the body. It fails if the caller has disconnected, unless the response
+// is recorded.
+func (s *responseSink) write(data []byte) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.record != nil {
@@ -70,28 +70,28 @@
 	return nil
 }
 
-func (s *sink) flush() {
+func (s *responseSink) flush() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if !s.detached {
-		_ = s.controller.Flush() // the caller may be gone, or the writer not one that gathers
+		_ = s.controller.Flush() // the caller may have disconnected, or the writer does not buffer
 	}
 }
 
-// fail ends the answer with an error: in its place if it has not begun, and as a
-// last event of a stream if it has. After it nothing reaches the caller.
-func (s *sink) fail(err *failure.Error) {
+// fail ends the response with an error: as an error response if the head is not written yet, else
+// as the last event of the stream. Nothing is sent to the caller afterwards.
+func (s *responseSink) fail(err *failure.Error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.detached {
 		return
 	}
 	s.detached = true
-	if !s.began {
+	if !s.headWritten {
 		writeError(s.writer, err, s.requestID)
 		return
 	}
-	event := append([]byte("data: "), errorText(err, s.requestID)...)
-	_, _ = s.writer.Write(append(event, "\n\n"...)) // the caller may be gone
-	_ = s.controller.Flush()                        // as above
+	event := append([]byte("data: "), encodeError(err, s.requestID)...)
+	_, _ = s.writer.Write(append(event, "\n\n"...)) // the caller may have disconnected
+	_ = s.controller.Flush()
 }
--- a/gateway/sink_test.go
+++ b/gateway/sink_test.go
@@ -13,19 +13,18 @@
 	"github.com/finchspoke/finchspoke/frontend"
 )
 
-// The frontend wraps what answers are written to; an event must still reach its caller before the
-// next one is there.
-func TestAnEventIsSentOnItsWayBehindTheFrontend(t *testing.T) {
+// Guards against events that stay buffered because the frontend wraps the response writer.
+func TestEventIsFlushedThroughFrontendWriter(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	heard := make(chan struct{})
+	firstReceived := make(chan struct{})
 	handler := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
-		out := newSink(writer, "id", false)
-		out.begin(http.StatusOK, "text/event-stream", nil)
+		out := newResponseSink(writer, "id", false)
+		out.writeHead(http.StatusOK, "text/event-stream", nil)
 		_ = out.write([]byte("data: first\n"))
 		out.flush()
 		select {
-		case <-heard:
+		case <-firstReceived:
 		case <-time.After(5 * time.Second):
 		}
 		_ = out.write([]byte("data: second\n"))
@@ -42,8 +41,8 @@
 	first, err := reader.ReadString('\n')
 	require.NoError(t, err)
 	require.Equal(t, "data: first\n", first)
-	require.Less(t, time.Since(began), 4*time.Second, "it came only with the end")
-	close(heard)
+	require.Less(t, time.Since(began), 4*time.Second, "the first event arrived only with the end of the response")
+	close(firstReceived)
 	second, err := reader.ReadString('\n')
 	require.NoError(t, err)
 	require.Equal(t, "data: second\n", second)
--- a/lab/system_test.go
+++ b/lab/system_test.go
@@ -348,7 +348,7 @@
 	require.Contains(t, strings.Join(loaded.Lines, "\n"), "replica on "+answer.Header.Get(gateway.HeaderEngine))
 	require.NoError(t, admin.Get(ctx, adminapi.PathExplainModel+"next-pick-renca", &idle))
 	require.Contains(t, strings.Join(idle.Lines, "\n"), "no replica is planned")
-	var ended gateway.Ended
+	var ended gateway.RequestSummary
 	require.NoError(t, adminapi.Client{Address: system.Daemons[0].Addresses().Admin}.Get(ctx, adminapi.PathExplainRequest+answer.Header.Get("X-Request-Id"), &ended))
 	require.Equal(t, "answered", ended.Outcome)
 	require.Error(t, admin.Get(ctx, adminapi.PathExplainRequest+"unknown", &ended))
--- a/placement/decide_test.go
+++ b/placement/decide_test.go
@@ -101,7 +101,7 @@
 	w.plan, w.state = decision.Plan, decision.State
 	for id, simulated := range w.engines {
 		if simulated.fence.Epoch < w.plan.Fence.Epoch {
-			simulated.pending = append(simulated.pending, engine.Order{Operation: engine.Seal, Fence: w.plan.Fence})
+			simulated.pending = append(simulated.pending, engine.Order{Operation: engine.RaiseFence, Fence: w.plan.Fence})
 		}
 		for _, assignment := range w.plan.Engines[id].Assignments {
 			order := engine.Order{Operation: engine.Load, Fence: w.plan.Fence, ReplicaID: assignment.ReplicaID, Model: assignment.Model,
@@ -121,7 +121,7 @@
 		return
 	}
 	s.fence = order.Fence
-	if order.Operation == engine.Seal {
+	if order.Operation == engine.RaiseFence {
 		return
 	}
 	if order.Operation == engine.Unload {
--- a/placer/apply.go
+++ b/placer/apply.go
@@ -124,7 +124,7 @@
 	}
 	orders := append(unloads, loads...)
 	if len(orders) == 0 && state.inventory.Fence.Epoch < c.plan.Fence.Epoch {
-		orders = append(orders, engine.Order{Operation: engine.Seal})
+		orders = append(orders, engine.Order{Operation: engine.RaiseFence})
 	}
 	orders = slices.DeleteFunc(orders, func(order engine.Order) bool {
 		return now.Sub(state.ordered[orderKey(order)]) < reorderPause
--- a/standin/engines/orders.go
+++ b/standin/engines/orders.go
@@ -36,7 +36,7 @@
 	}
 	slices.Sort(described.Adapters)
 	if r.state == engine.Loading {
-		described.LoadingFor = now.Sub(r.since).Milliseconds()
+		described.LoadingForMs = now.Sub(r.since).Milliseconds()
 	}
 	return described
 }
@@ -60,29 +60,29 @@
 }
 
 // Execute acts on an order, unless the fence or the memory forbids it.
-func (e *Engine) Execute(order engine.Order) engine.OrderAnswer {
+func (e *Engine) Execute(order engine.Order) engine.OrderResponse {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if order.Fence.Less(e.fence) {
 		e.record(Entry{Kind: FenceRefused, ReplicaID: order.ReplicaID, Model: order.Model,
 			Epoch: order.Fence.Epoch, Revision: order.Fence.Revision, Detail: string(order.Operation)})
-		return engine.OrderAnswer{Reason: "fence is lower than one already seen", Fence: e.fence}
+		return engine.OrderResponse{Reason: "fence is lower than one already seen", Fence: e.fence}
 	}
 	if order.Process != e.process {
-		return engine.OrderAnswer{Reason: "the order is for an earlier process of this engine", Fence: e.fence}
+		return engine.OrderResponse{Reason: "the order is for an earlier process of this engine", Fence: e.fence}
 	}
 	if e.fence.Less(order.Fence) {
 		e.touch()
 		e.fence = order.Fence
 	}
 	reason := e.act(order)
-	return engine.OrderAnswer{Accepted: reason == "", Reason: reason, Fence: e.fence}
+	return engine.OrderResponse{Accepted: reason == "", Reason: reason, Fence: e.fence}
 }
 
 // act returns why an order is refused, or nothing.
 func (e *Engine) act(order engine.Order) string {
 	switch order.Operation {
-	case engine.Seal:
+	case engine.RaiseFence:
 		return ""
 	case engine.Load:
 		return e.load(order)
