--- a/gateway/call.go
+++ b/gateway/call.go
@@ -92,8 +92,8 @@
 		return contentText(q.Prompt)
 	}
 	parts := make([]string, 0, len(q.Messages))
-	for _, one := range q.Messages {
-		parts = append(parts, contentText(one.Content))
+	for _, message := range q.Messages {
+		parts = append(parts, contentText(message.Content))
 	}
 	return strings.Join(parts, "\n")
 }
@@ -193,12 +193,12 @@
 	}
 	allowed := c.branch.Values.Deadlines[c.class]
 	if text := header.Get(HeaderDeadline); text != "" {
-		asked, err := time.ParseDuration(text)
-		if err != nil || asked <= 0 || asked > maxDeadline {
+		requested, err := time.ParseDuration(text)
+		if err != nil || requested <= 0 || requested > maxDeadline {
 			return failure.New(failure.InvalidRequest, "use a duration above zero and up to 24h, such as 1500ms or 30s",
 				"header %s: %q is not valid", HeaderDeadline, text)
 		}
-		allowed = asked
+		allowed = requested
 	}
 	c.deadline = c.arrived.Add(allowed)
 	c.idempotencyKey = header.Get(HeaderIdempotencyKey)
--- a/gateway/ended.go
+++ b/gateway/ended.go
@@ -46,9 +46,9 @@
 func (s *Server) EndedRequest(requestID string) (RequestSummary, bool) {
 	s.recentlyEnded.mutex.Lock()
 	defer s.recentlyEnded.mutex.Unlock()
-	for _, one := range s.recentlyEnded.ring {
-		if requestID != "" && one.RequestID == requestID {
-			return one, true
+	for _, summary := range s.recentlyEnded.ring {
+		if requestID != "" && summary.RequestID == requestID {
+			return summary, true
 		}
 	}
 	return RequestSummary{}, false
--- a/gateway/keyed.go
+++ b/gateway/keyed.go
@@ -55,9 +55,9 @@
 // claim claims the call's key. Without a claim the call has ended: with the stored outcome
 // of the key, or with the failure returned.
 func (s *Server) claim(ctx context.Context, incoming *call, out *responseSink) (*group.Claim, *failure.Error) {
-	until := time.Now().Add(maxClaimPollTime)
+	pollUntil := time.Now().Add(maxClaimPollTime)
 	for {
-		claim, existing, err := s.Ledger.Claim(ctx, incoming.keyRequest(), group.Record{
+		claim, existing, err := s.Ledger.Claim(ctx, incoming.keyRef(), group.Record{
 			RequestID:   incoming.id,
 			Fingerprint: group.Fingerprint([]byte(incoming.path), incoming.body),
 			ClaimedAt:   time.Now(),
@@ -69,7 +69,7 @@
 		if claim != nil {
 			return claim, nil
 		}
-		ended, failed := s.serveRepeat(ctx, incoming, existing, out, until)
+		ended, failed := s.serveRepeat(ctx, incoming, existing, out, pollUntil)
 		if ended {
 			return nil, failed
 		}
@@ -78,9 +78,9 @@
 	}
 }
 
-// keyRequest identifies the call's key. Its group belongs to the first region that serves the
+// keyRef identifies the call's key. Its group belongs to the first region that serves the
 // model, so that a retry finds it through any daemon.
-func (c *call) keyRequest() group.Ask {
+func (c *call) keyRef() group.Ask {
 	return group.Ask{Region: c.model.ServiceRegions[0], Branch: c.branch.Path, Key: c.idempotencyKey}
 }
 
@@ -107,8 +107,8 @@
 	return failed
 }
 
-// storeOutcome retries write until it succeeds or maxStoreAttempts is reached. A claim without an
-// outcome becomes unsettled at its SettledBy time.
+// storeOutcome retries write until it succeeds or maxStoreAttempts is reached. Without an outcome,
+// the claim expires and the request counts as possibly executed.
 func (s *Server) storeOutcome(ctx context.Context, incoming *call, write func() error) {
 	var err error
 	for range maxStoreAttempts {
@@ -122,14 +122,14 @@
 
 // serveRepeat responds to a retry of a claimed key without running the call. ended is false if the
 // existing claim was released.
-func (s *Server) serveRepeat(ctx context.Context, incoming *call, existing *group.Record, out *responseSink, until time.Time) (ended bool, failed *failure.Error) {
+func (s *Server) serveRepeat(ctx context.Context, incoming *call, existing *group.Record, out *responseSink, pollUntil time.Time) (ended bool, failed *failure.Error) {
 	for existing.State == group.Claimed {
-		if ctx.Err() != nil || time.Now().After(until) {
+		if ctx.Err() != nil || time.Now().After(pollUntil) {
 			return true, failure.New(failure.KeyInUse, "repeat the request with the same key to get its outcome",
 				"the first request with this key is still running").WithExecution(failure.Unknown).WithRetryAfter(defaultRetryAfter)
 		}
 		sleep.For(ctx, claimPollInterval)
-		current, err := s.Ledger.Look(ctx, incoming.keyRequest())
+		current, err := s.Ledger.Look(ctx, incoming.keyRef())
 		switch {
 		case err != nil:
 			continue // the group may recover before the wait ends
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -29,30 +29,30 @@
 func TestRelayForwardsOnlyCompleteEvents(t *testing.T) {
 	complete := eventOne + eventTwo + eventEnd
 	for cut := range len(complete) {
-		text, ended := relayAll(iotest.OneByteReader(strings.NewReader(complete[:cut])))
+		text, result := relayAll(iotest.OneByteReader(strings.NewReader(complete[:cut])))
 		require.True(t, strings.HasPrefix(complete, text))
-		require.False(t, ended.complete, "cut at %d", cut)
-		require.Error(t, ended.readErr)
+		require.False(t, result.complete, "cut at %d", cut)
+		require.Error(t, result.readErr)
 		require.True(t, text == "" || strings.HasSuffix(text, "\n\n"), "cut at %d forwarded part of an event", cut)
 	}
-	text, ended := relayAll(strings.NewReader(complete + "data: of another answer\n\n"))
+	text, result := relayAll(strings.NewReader(complete + "data: of another response\n\n"))
 	require.Equal(t, complete, text, "nothing may follow the done marker")
-	require.True(t, ended.complete)
-	require.Equal(t, 3, ended.events)
+	require.True(t, result.complete)
+	require.Equal(t, 3, result.events)
 }
 
 func TestRelayForwardsLongEvents(t *testing.T) {
 	long := "data: " + strings.Repeat("x", 3*relayBufferBytes) + "\n\n"
-	text, ended := relayAll(strings.NewReader(long + eventEnd))
+	text, result := relayAll(strings.NewReader(long + eventEnd))
 	require.Equal(t, long+eventEnd, text)
-	require.True(t, ended.complete)
+	require.True(t, result.complete)
 }
 
 func TestRelayStopsWhenCallerDisconnects(t *testing.T) {
 	gone := errors.New("gone")
-	ended := relay(strings.NewReader(eventOne+eventEnd), func() {}, func([]byte) error { return gone }, func() {})
-	require.ErrorIs(t, ended.writeErr, gone)
-	require.False(t, ended.complete)
+	result := relay(strings.NewReader(eventOne+eventEnd), func() {}, func([]byte) error { return gone }, func() {})
+	require.ErrorIs(t, result.writeErr, gone)
+	require.False(t, result.complete)
 }
 
 // BenchmarkRelayToken measures the relay of one event per token.
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -187,15 +187,15 @@
 	}
 	body := response.Body
 	for resumes := 0; ; resumes++ {
-		ended := relay(body, first, out.write, out.flush)
+		relayed := relay(body, first, out.write, out.flush)
 		_ = body.Close() // dispatch closes the first body a second time
-		events += ended.events
-		s.metrics.relayEvents.Add(float64(ended.events))
+		events += relayed.events
+		s.metrics.relayEvents.Add(float64(relayed.events))
 		switch {
-		case ended.complete:
+		case relayed.complete:
 			return dispatchOutcome{result: core.Answered}
-		case ended.writeErr != nil:
-			return dispatchOutcome{result: core.Broken, cause: ended.writeErr}
+		case relayed.writeErr != nil:
+			return dispatchOutcome{result: core.Broken, cause: relayed.writeErr}
 		}
 		resumed, err := s.resume(ctx, incoming, slot, events, resumes)
 		if err == nil {
@@ -203,9 +203,9 @@
 			continue
 		}
 		if events == 0 {
-			return dispatchOutcome{result: core.Lost, cause: ended.readErr}
+			return dispatchOutcome{result: core.Lost, cause: relayed.readErr}
 		}
-		return dispatchOutcome{result: core.Broken, cause: ended.readErr}
+		return dispatchOutcome{result: core.Broken, cause: relayed.readErr}
 	}
 }
 
--- a/gateway/sink_test.go
+++ b/gateway/sink_test.go
@@ -33,7 +33,7 @@
 	server := frontend.New(listener, handler, frontend.Options{Log: log})
 	go func() { _ = server.Serve(t.Context()) }()
 
-	began := time.Now()
+	start := time.Now()
 	response, err := http.Get("http://" + listener.Addr().String())
 	require.NoError(t, err)
 	defer func() { _ = response.Body.Close() }()
@@ -41,7 +41,7 @@
 	first, err := reader.ReadString('\n')
 	require.NoError(t, err)
 	require.Equal(t, "data: first\n", first)
-	require.Less(t, time.Since(began), 4*time.Second, "the first event arrived only with the end of the response")
+	require.Less(t, time.Since(start), 4*time.Second, "the first event arrived only with the end of the response")
 	close(firstReceived)
 	second, err := reader.ReadString('\n')
 	require.NoError(t, err)
--- a/logging/sampling.go
+++ b/logging/sampling.go
@@ -61,9 +61,9 @@
 // withField returns a copy of entry with one more field. It copies level, message and caller
 // itself, because logrus leaves them out of the copy.
 func withField(entry *logrus.Entry, field string, value any) *logrus.Entry {
-	marked := entry.WithField(field, value)
-	marked.Level, marked.Message, marked.Caller = entry.Level, entry.Message, entry.Caller
-	return marked
+	extended := entry.WithField(field, value)
+	extended.Level, extended.Message, extended.Caller = entry.Level, entry.Message, entry.Caller
+	return extended
 }
 
 func causeOf(entry *logrus.Entry) cause {
--- a/logstory/daypage/daypage.go
+++ b/logstory/daypage/daypage.go
@@ -70,8 +70,8 @@
 			data.Terms = append(data.Terms, termStart{index, daemon})
 		}
 	}
-	for _, one := range data.Plots {
-		if err := one.draw(); err != nil {
+	for _, plot := range data.Plots {
+		if err := plot.draw(); err != nil {
 			return err
 		}
 	}
@@ -92,15 +92,15 @@
 	return []*plot{
 		{Title: "Requests", Meaning: "per second: arrivals in the second of arrival, responses in the second in which they ended",
 			lines: []line{
-				newLine("arrivals", seconds, func(one logstory.Second) int { return one.Arrived }),
-				newLine("answered in time", seconds, func(one logstory.Second) int { return one.InTime }),
-				newLine("answered late", seconds, func(one logstory.Second) int { return one.Late }),
+				newLine("arrivals", seconds, func(second logstory.Second) int { return second.Arrived }),
+				newLine("answered in time", seconds, func(second logstory.Second) int { return second.InTime }),
+				newLine("answered late", seconds, func(second logstory.Second) int { return second.Late }),
 			}},
 		{Title: "Not served, by reason", Meaning: "requests per second that ended without a complete response",
-			lines: linesByKind(seconds, func(one logstory.Second) map[string]int { return one.NotServed })},
+			lines: linesByKind(seconds, func(second logstory.Second) map[string]int { return second.NotServed })},
 		{Title: "Loads in progress", Meaning: "models and adapters, by the source of the weights, for their expected duration", lines: pendingLoads(seconds)},
 		{Title: "Lost dependencies", Meaning: "daemons per second that lost the connection to another daemon or to the key-value service, by a fault or by moving to another",
-			lines: linesByKind(seconds, func(one logstory.Second) map[string]int { return one.LostDependencies })},
+			lines: linesByKind(seconds, func(second logstory.Second) map[string]int { return second.LostDependencies })},
 	}
 }
 
@@ -129,12 +129,12 @@
 	shown := kinds[:min(maxKinds, len(kinds))]
 	var lines []line
 	for _, kind := range shown {
-		lines = append(lines, newLine(kind, seconds, func(one logstory.Second) int { return counts(one)[kind] }))
+		lines = append(lines, newLine(kind, seconds, func(current logstory.Second) int { return counts(current)[kind] }))
 	}
 	if len(kinds) > len(shown) {
-		lines = append(lines, newLine(otherKinds, seconds, func(one logstory.Second) int {
+		lines = append(lines, newLine(otherKinds, seconds, func(current logstory.Second) int {
 			sum := 0
-			for kind, count := range counts(one) {
+			for kind, count := range counts(current) {
 				if !slices.Contains(shown, kind) {
 					sum += count
 				}
@@ -166,16 +166,16 @@
 	}
 	graph := chart.Chart{Width: plotWidth, Height: plotHeight, Background: chart.Style{Padding: chart.Box{Top: legendHeight, Right: legendHeight}}, XAxis: chart.XAxis{Name: "seconds", ValueFormatter: chart.IntValueFormatter},
 		YAxis: chart.YAxis{ValueFormatter: chart.IntValueFormatter, Range: &chart.ContinuousRange{Min: 0, Max: p.maxValue()}}}
-	for _, one := range p.lines {
-		seconds := make([]float64, 0, len(one.values)+1)
-		for index := range one.values {
+	for _, series := range p.lines {
+		seconds := make([]float64, 0, len(series.values)+1)
+		for index := range series.values {
 			seconds = append(seconds, float64(index))
 		}
-		values := one.values
+		values := series.values
 		if len(values) == 1 { // the chart needs two points
 			seconds, values = append(seconds, 1), append(values, values[0])
 		}
-		graph.Series = append(graph.Series, chart.ContinuousSeries{Name: template.HTMLEscapeString(one.name), XValues: seconds, YValues: values, Style: chart.Style{StrokeWidth: lineWidth}})
+		graph.Series = append(graph.Series, chart.ContinuousSeries{Name: template.HTMLEscapeString(series.name), XValues: seconds, YValues: values, Style: chart.Style{StrokeWidth: lineWidth}})
 	}
 	graph.Elements = []chart.Renderable{chart.LegendThin(&graph)}
 	var picture bytes.Buffer
@@ -189,8 +189,8 @@
 // maxValue returns the upper end of the y axis.
 func (p *plot) maxValue() float64 {
 	maxValue := 1.0
-	for _, one := range p.lines {
-		maxValue = max(maxValue, slices.Max(one.values))
+	for _, series := range p.lines {
+		maxValue = max(maxValue, slices.Max(series.values))
 	}
 	return maxValue
 }
--- a/logstory/logstory.go
+++ b/logstory/logstory.go
@@ -33,7 +33,7 @@
 	logging.MessageLoadOrder, logging.MessageReplicaListed, logging.MessageReplicaRemoved, logging.MessageReplicaState,
 }
 
-// Line is one log line.
+// Line is a parsed log line; Fields holds all its JSON fields.
 type Line struct {
 	Time    time.Time
 	Daemon  string
