--- a/command/node.go
+++ b/command/node.go
@@ -28,8 +28,8 @@
 	if err != nil {
 		return err
 	}
-	config.MetricsOn(c.MetricsPort)
-	config.BoundMemory()
+	config.EnableMetrics(c.MetricsPort)
+	config.ApplyMemoryLimit()
 	if c.KnownByAll > 0 {
 		config.KnownByAll = c.KnownByAll
 	}
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	started.CountDropped(lines.Dropped)
+	started.CountDroppedLines(lines.Dropped)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	reloads := make(chan os.Signal, 1)
--- a/gateway/keyed.go
+++ b/gateway/keyed.go
@@ -58,10 +58,10 @@
 	pollUntil := time.Now().Add(maxClaimPollTime)
 	for {
 		claim, existing, err := s.Ledger.Claim(ctx, incoming.keyRef(), group.Record{
-			RequestID:   incoming.id,
-			Fingerprint: group.Fingerprint([]byte(incoming.path), incoming.body),
-			ClaimedAt:   time.Now(),
-			SettledBy:   incoming.deadline.Add(keyedGrace + outcomeStoreMargin),
+			RequestID:      incoming.id,
+			Fingerprint:    group.Fingerprint([]byte(incoming.path), incoming.body),
+			ClaimedAt:      time.Now(),
+			SettleDeadline: incoming.deadline.Add(keyedGrace + outcomeStoreMargin),
 		})
 		if err != nil {
 			return nil, failure.As(err)
@@ -80,8 +80,8 @@
 
 // keyRef identifies the call's key. Its group belongs to the first region that serves the
 // model, so that a retry finds it through any daemon.
-func (c *call) keyRef() group.Ask {
-	return group.Ask{Region: c.model.ServiceRegions[0], Branch: c.branch.Path, Key: c.idempotencyKey}
+func (c *call) keyRef() group.KeyRef {
+	return group.KeyRef{Region: c.model.ServiceRegions[0], Branch: c.branch.Path, Key: c.idempotencyKey}
 }
 
 // callResult is the result of a keyed call, for a caller that is still connected.
@@ -102,7 +102,7 @@
 		case execution == failure.NotRun:
 			return s.Ledger.Release(ctx, claim)
 		}
-		return s.Ledger.Unsettle(ctx, claim)
+		return s.Ledger.MarkIndeterminate(ctx, claim)
 	})
 	return failed
 }
@@ -138,11 +138,11 @@
 		}
 		existing = current
 	}
-	if existing.State == group.Unsettled {
+	if existing.State == group.Indeterminate {
 		return true, failure.New(failure.OutcomeUnknown, "find out by other means whether it took effect before using a new key",
 			"the first request with this key may have run; its outcome was lost").WithExecution(failure.Unknown)
 	}
-	outcome, err := existing.Plain()
+	outcome, err := existing.DecodeOutcome()
 	if err != nil || outcome.Dropped {
 		return true, failure.New(failure.KeyInUse, "none: the request ran once and its response cannot be replayed",
 			"the request completed, but its response was too long to store").WithExecution(failure.Completed)
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -30,7 +30,7 @@
 func (s *Server) run(ctx context.Context, incoming *call, out *responseSink) (*failure.Error, failure.Execution) {
 	lifecycle := &core.Lifecycle{Repeatable: incoming.repeatable, Deadline: incoming.deadline}
 	for {
-		slot, err := s.homes.Acquire(ctx, home.Ask{
+		slot, err := s.homes.Acquire(ctx, home.SlotRequest{
 			RequestID: incoming.id, Model: incoming.model.Name, Regions: incoming.model.ServiceRegions, Target: incoming.target.Name,
 			Branch: incoming.branch.Path, Class: incoming.class, Tokens: incoming.tokens, Prefix: incoming.prefix, Arrived: incoming.arrived, Deadline: incoming.deadline,
 		})
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -73,7 +73,7 @@
 	mux.HandleFunc("/", server.serveUnknown)
 	server.frontend = frontend.New(listener, mux, frontend.Options{
 		ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, MaxConnections: dependencies.MaxConnections,
-		IdleTime: func() time.Duration { return idleTimeout }, Log: dependencies.Log,
+		IdleTimeout: func() time.Duration { return idleTimeout }, Log: dependencies.Log,
 	})
 	return server
 }
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -114,7 +114,7 @@
 	made, err := node.New(node.Config{
 		ID: fmt.Sprintf("daemon-%04d", one.number), Zone: zoneOf(one.number / strongEach),
 		CallerAddress: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0",
-		FirstStart: true, StopTime: stopTime, TermKey: termKey, EndsPrefix: endsPrefix, SizeKey: sizeKey, LeaseTime: leaseTime, TermDelay: delay,
+		FirstStart: true, StopTimeout: stopTime, TermKey: termKey, CrashPrefix: endsPrefix, FleetSizeKey: sizeKey, LeaseTTL: leaseTime, TermDelay: delay,
 		KnownByAll: f.KnownByAll, LoadLimits: loader.Limits{Window: 5 * time.Second, Slack: 1, TermGap: termGap, FencesChecked: true},
 	}, adaptersFor(f.store), f.Log)
 	if err != nil {
@@ -220,7 +220,7 @@
 func (f *cluster) traffic() []uint64 {
 	bytes := make([]uint64, len(f.daemons))
 	for index, one := range f.daemons {
-		peers := one.node.Status().Peers
+		peers := one.node.Status().PeerTraffic
 		bytes[index] = peers.SentBytes + peers.ReceivedBytes
 	}
 	return bytes
@@ -242,7 +242,7 @@
 func (f *cluster) arrive(ctx context.Context, report *Report) (err error) {
 	f.enter()
 	known := f.next
-	report.Arrival, err = f.until(ctx, "a replica is known", func(status node.Status) bool { return !status.KnowsReplicas || status.Replicas >= known })
+	report.Arrival, err = f.until(ctx, "a replica is known", func(status node.Status) bool { return !status.KnowsAllReplicas || status.Replicas >= known })
 	return err
 }
 
@@ -252,7 +252,7 @@
 	id, _ := entryOf(f.next, f.Models)
 	f.store.remove(replicaPrefix + id)
 	known := f.next
-	report.Departure, err = f.until(ctx, "a replica is gone", func(status node.Status) bool { return !status.KnowsReplicas || status.Replicas <= known })
+	report.Departure, err = f.until(ctx, "a replica is gone", func(status node.Status) bool { return !status.KnowsAllReplicas || status.Replicas <= known })
 	return err
 }
 
@@ -265,7 +265,7 @@
 	}
 	lost := f.daemons[index]
 	f.daemons = slices.Delete(f.daemons, index, index+1)
-	lost.node.End()
+	lost.node.Kill()
 	began := time.Now()
 	for !slices.ContainsFunc(f.daemons, func(one *daemon) bool { return one.node.Status().Fence != 0 }) {
 		if time.Since(began) > settleTime || ctx.Err() != nil {
@@ -281,7 +281,7 @@
 // loseAll ends all daemons, starts them again, and measures how long it takes until they serve.
 func (f *cluster) loseAll(ctx context.Context, report *Report) error {
 	for _, one := range f.daemons {
-		one.node.End()
+		one.node.Kill()
 	}
 	for _, one := range f.daemons {
 		<-one.ended
@@ -313,7 +313,7 @@
 		if one.node == nil {
 			continue
 		}
-		one.node.End()
+		one.node.Kill()
 		<-one.ended
 	}
 }
--- a/node/notices.go
+++ b/node/notices.go
@@ -11,9 +11,9 @@
 )
 
 // Notices is how the replicas' protocol deals with what replicas say of themselves.
-type Notices struct {
+type ReplicaCallbacks struct {
 	// Hear takes in a notice, before the answer that it came with is used.
-	Hear func(fleet.Hint)
+	OnHint func(fleet.Hint)
 	// Admit tells, right before a request is written, whether its replica still takes it.
 	Admit func(replica string, held fleet.Permit) error
 }
--- a/placer/apply.go
+++ b/placer/apply.go
@@ -102,7 +102,7 @@
 	for _, assignment := range c.plan.Engines[id].Assignments {
 		planned[assignment.ReplicaID] = true
 		replica, present := held[assignment.ReplicaID]
-		if assignment.Wish == placement.Remove {
+		if assignment.DesiredState == placement.Remove {
 			unseen := state.inventory.Fence.Less(assignment.Fence)
 			if unseen || (present && replica.State != engine.Unloading) {
 				unloads = append(unloads, engine.Order{Operation: engine.Unload, ReplicaID: assignment.ReplicaID, Model: assignment.Model})
