--- a/command/explain.go
+++ b/command/explain.go
@@ -48,7 +48,7 @@
 func (c *explainRequestCommand) Execute([]string) error {
 	ctx, stop := signalContext()
 	defer stop()
-	var summary gateway.Ended
+	var summary gateway.RequestSummary
 	if err := c.client().Get(ctx, adminapi.PathExplainRequest+url.PathEscape(c.Argument.ID), &summary); err != nil {
 		return err
 	}
--- a/command/explain_logs.go
+++ b/command/explain_logs.go
@@ -28,19 +28,19 @@
 		return err
 	}
 	if c.Argument.ID == "" {
-		coverage := logstory.Count(lines)
+		coverage := logstory.CountCauses(lines)
 		return c.Write(coverage, func(writer io.Writer) error {
 			writeCoverage(writer, coverage)
 			return nil
 		})
 	}
-	story := logstory.Story(lines, c.Argument.ID)
+	story := logstory.Timeline(lines, c.Argument.ID)
 	if len(story) == 0 {
 		return failure.New(failure.InvalidRequest, "provide the logs of all daemons from the time of the request", "no log line contains request %q", c.Argument.ID)
 	}
 	return c.Write(story, func(writer io.Writer) error {
 		for _, line := range story {
-			line.Tell(writer, story[0].Time)
+			line.Print(writer, story[0].Time)
 		}
 		return nil
 	})
@@ -63,7 +63,7 @@
 	return logstory.Read(file)
 }
 
-func writeCoverage(writer io.Writer, coverage logstory.Coverage) {
+func writeCoverage(writer io.Writer, coverage logstory.CauseCoverage) {
 	percent := 100.0
 	if coverage.Failed > 0 {
 		percent = 100 * float64(coverage.WithCause) / float64(coverage.Failed)
@@ -73,7 +73,7 @@
 	for outcome, count := range coverage.ByOutcome {
 		_, _ = fmt.Fprintf(writer, "  %-20s %d\n", outcome, count)
 	}
-	for _, id := range coverage.Without {
+	for _, id := range coverage.WithoutCause {
 		_, _ = fmt.Fprintf(writer, "  no cause: %s\n", id)
 	}
 }
--- a/command/explain_losses.go
+++ b/command/explain_losses.go
@@ -44,29 +44,29 @@
 		}
 		if route.Pauses.Requests > 0 {
 			_, _ = fmt.Fprintf(writer, "          mean concurrent work on the replica of requests late because of a pause: %.1f requests of %.1f models; %.0f prompt tokens added meanwhile\n",
-				route.Pauses.Beside, route.Pauses.Models, route.Pauses.PromptTokens)
+				route.Pauses.ConcurrentRequests, route.Pauses.Models, route.Pauses.PromptTokens)
 		}
 	}
 	for _, tenant := range losses.Tenants {
-		_, _ = fmt.Fprintf(writer, "tenant %s: %d ended, %d answered, %d rejected at its limit", tenant.Name, tenant.Ended, tenant.Answered, tenant.AtLimit)
+		_, _ = fmt.Fprintf(writer, "tenant %s: %d ended, %d answered, %d rejected at its limit", tenant.Name, tenant.Ended, tenant.Answered, tenant.RateLimited)
 		for _, cause := range tenant.Causes {
 			_, _ = fmt.Fprintf(writer, ", %d %s", cause.Requests, cause.Name)
 		}
 		_, _ = fmt.Fprintln(writer)
 	}
-	writeReplicaLateness(writer, losses.Crowding)
+	writeReplicaLateness(writer, losses.Concentration)
 	_, _ = fmt.Fprintf(writer, "from           ended  in time  late  not answered  main cause\n")
 	for _, window := range losses.Windows {
-		_, _ = fmt.Fprintf(writer, "%9.1f s  %8d %8d %5d %13d  %s\n", window.From, window.Ended, window.InTime, window.Late, window.Ended-window.InTime-window.Late, window.MostFor)
+		_, _ = fmt.Fprintf(writer, "%9.1f s  %8d %8d %5d %13d  %s\n", window.From, window.Ended, window.InTime, window.Late, window.Ended-window.InTime-window.Late, window.TopCause)
 	}
 }
 
-func writeReplicaLateness(writer io.Writer, lateness logstory.Crowding) {
+func writeReplicaLateness(writer io.Writer, lateness logstory.Concentration) {
 	if lateness.Late == 0 {
 		return
 	}
 	_, _ = fmt.Fprintf(writer, "late at the replica: %d; %.0f percent of them on %d of %d replicas; by model:\n",
-		lateness.Late, 100*lateness.OnFew, lateness.FewCount, lateness.Replicas)
+		lateness.Late, 100*lateness.TopShare, lateness.TopReplicas, lateness.Replicas)
 	for _, load := range lateness.ByModel {
 		_, _ = fmt.Fprintf(writer, "  %6d of %d answers of %s, by %d replicas\n", load.Late, load.Answered, load.Model, load.Replicas)
 	}
--- a/command/node.go
+++ b/command/node.go
@@ -33,7 +33,7 @@
 	if c.KnownByAll > 0 {
 		config.KnownByAll = c.KnownByAll
 	}
-	logWriter := logging.NewBounded(os.Stdout)
+	logWriter := logging.NewBoundedWriter(os.Stdout)
 	writerCtx, stopWriter := context.WithCancel(context.Background())
 	go func() { _ = logWriter.Serve(writerCtx) }()
 	defer func() {
--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -189,7 +189,7 @@
 // logPhase logs the start of a shutdown phase with the remaining connections and requests.
 func (s *Server) logPhase(phase string) {
 	connections, requests := s.counts()
-	s.Log.WithFields(logrus.Fields{logging.Phase: phase, logging.Connections: connections, logging.Requests: requests}).Info(logging.MessageStopPhase)
+	s.Log.WithFields(logrus.Fields{logging.Phase: phase, logging.Connections: connections, logging.Requests: requests}).Info(logging.MessageShutdownPhase)
 }
 
 // counts returns the number of open connections and of those with an unfinished request.
--- a/node/follow.go
+++ b/node/follow.go
@@ -48,13 +48,13 @@
 				now := time.Now()
 				n.tableAppliedAt.Store(&now)
 			}
-			n.log.WithFields(logrus.Fields{logging.ConfigVersion: table.Version, logging.Outcome: applied}).WithFields(logging.AtRevision(pair.ModRevision)).
+			n.log.WithFields(logrus.Fields{logging.ConfigVersion: table.Version, logging.Outcome: applied}).WithFields(logging.RevisionFields(pair.ModRevision)).
 				Info(logging.MessageTableRead)
 			n.leader.Wake()
 			return
 		}
 	}
-	n.log.WithFields(logrus.Fields{logging.Cause: err.Error(), logging.ConfigVersion: n.routes.Version()}).WithFields(logging.AtRevision(pair.ModRevision)).
+	n.log.WithFields(logrus.Fields{logging.Cause: err.Error(), logging.ConfigVersion: n.routes.Version()}).WithFields(logging.RevisionFields(pair.ModRevision)).
 		Error("routing table rejected; the current one stays in effect")
 }
 
@@ -89,7 +89,7 @@
 	if !n.fleet.PutRestored(entry, time.Now()) {
 		return
 	}
-	n.log.WithField(logging.Replica, entry.ID).Info(logging.MessageReplicaDoubted)
+	n.log.WithField(logging.Replica, entry.ID).Info(logging.MessageRestoredReplicaOnHold)
 	time.AfterFunc(fleet.RestoredEntryHold, func() {
 		n.fleet.TrustRestored(entry.Incarnation())
 		n.leader.RegistryChanged(entry.ID)
--- a/node/notices.go
+++ b/node/notices.go
@@ -23,11 +23,11 @@
 func (n *Node) handleHint(hint fleet.Hint) {
 	now := time.Now()
 	if hint.InvalidLimit != "" {
-		n.hintLogEntry(hint).WithField(logging.Limit, hint.InvalidLimit).Warn(logging.MessageLimitUnreadable)
+		n.hintLogEntry(hint).WithField(logging.Limit, hint.InvalidLimit).Warn(logging.MessageInvalidLimit)
 	}
 	if change, changed := n.fleet.ApplyLimitHint(hint, now); changed {
 		n.hints.limitChanges.Inc()
-		n.hintLogEntry(hint).WithFields(logrus.Fields{logging.Limit: change.PerSecond, logging.LimitBefore: change.Previous}).Info(logging.MessageReplicaLimit)
+		n.hintLogEntry(hint).WithFields(logrus.Fields{logging.Limit: change.PerSecond, logging.LimitBefore: change.Previous}).Info(logging.MessageReplicaLimitChanged)
 		n.follower.LimitReported()
 		n.leader.RegistryChanged(hint.Replica)
 	}
@@ -38,11 +38,11 @@
 	n.leader.RegistryChanged(hint.Replica)
 	if newlyDraining {
 		n.hints.draining.Inc()
-		n.hintLogEntry(hint).Info(logging.MessageReplicaLeaves)
+		n.hintLogEntry(hint).Info(logging.MessageReplicaDraining)
 	}
 	if hint.Backoff > 0 {
 		n.hints.backoffs.Inc()
-		n.hintLogEntry(hint).WithField(logging.RestMs, hint.Backoff.Milliseconds()).Info(logging.MessageReplicaRests)
+		n.hintLogEntry(hint).WithField(logging.BackoffMs, hint.Backoff.Milliseconds()).Info(logging.MessageReplicaBackoff)
 	}
 }
 
--- a/node/registrylog.go
+++ b/node/registrylog.go
@@ -33,7 +33,7 @@
 		return
 	}
 	r.log.WithFields(logrus.Fields{logging.Replica: entry.ID, logging.Service: entry.Service, logging.Address: entry.Address,
-		logging.Draining: entry.Draining}).WithFields(logging.AtRevision(revision)).Info(logging.MessageReplicaListed)
+		logging.Draining: entry.Draining}).WithFields(logging.RevisionFields(revision)).Info(logging.MessageReplicaListed)
 }
 
 func (r *registryLog) logRemoved(id string, revision int64) {
@@ -41,7 +41,7 @@
 		r.addToSummary(0, 1, revision)
 		return
 	}
-	r.log.WithField(logging.Replica, id).WithFields(logging.AtRevision(revision)).Info(logging.MessageReplicaGone)
+	r.log.WithField(logging.Replica, id).WithFields(logging.RevisionFields(revision)).Info(logging.MessageReplicaRemoved)
 }
 
 // logInvalid logs that an entry cannot be decoded. The writer of the entry may repeat it often.
@@ -50,7 +50,7 @@
 		r.addToSummary(1, 0, revision)
 		return
 	}
-	r.log.WithFields(logrus.Fields{logging.Replica: id, logging.Cause: cause.Error()}).WithFields(logging.AtRevision(revision)).Warn(logging.MessageEntryRefused)
+	r.log.WithFields(logrus.Fields{logging.Replica: id, logging.Cause: cause.Error()}).WithFields(logging.RevisionFields(revision)).Warn(logging.MessageEntryRejected)
 }
 
 // maxLinesPerSecond bounds the lines of single changes. A new leader reads the entries of all replicas at once.
@@ -77,6 +77,6 @@
 	if now.Sub(r.summaryAt) < registrySummaryInterval {
 		return
 	}
-	r.log.WithFields(logrus.Fields{logging.Listed: r.listed, logging.Gone: r.removed}).WithFields(logging.AtRevision(revision)).Info(logging.MessageRegistryFollowed)
+	r.log.WithFields(logrus.Fields{logging.Listed: r.listed, logging.Removed: r.removed}).WithFields(logging.RevisionFields(revision)).Info(logging.MessageRegistrySummary)
 	r.summaryAt, r.listed, r.removed = now, 0, 0
 }
--- a/node/registrylog_test.go
+++ b/node/registrylog_test.go
@@ -25,9 +25,9 @@
 	now = now.Add(registrySummaryInterval)
 	registry.logListed(fleet.Entry{ID: "r"}, 201)
 	summary := hook.LastEntry()
-	require.Equal(t, logging.MessageRegistryFollowed, summary.Message)
+	require.Equal(t, logging.MessageRegistrySummary, summary.Message)
 	require.Equal(t, 200, summary.Data[logging.Listed], "199 changes after the first summary, and the latest one")
-	require.Equal(t, 1, summary.Data[logging.Gone])
+	require.Equal(t, 1, summary.Data[logging.Removed])
 	require.EqualValues(t, 201, summary.Data[logging.Revision])
 
 	isLeading = true
@@ -37,7 +37,7 @@
 	require.Len(t, hook.AllEntries(), 2)
 	require.Equal(t, logging.MessageReplicaListed, hook.AllEntries()[0].Message)
 	require.Equal(t, true, hook.AllEntries()[0].Data[logging.Draining])
-	require.Equal(t, logging.MessageReplicaGone, hook.AllEntries()[1].Message)
+	require.Equal(t, logging.MessageReplicaRemoved, hook.AllEntries()[1].Message)
 }
 
 // Guards against a burst of log lines when a new leader reads all replicas at once.
@@ -51,5 +51,5 @@
 	require.Len(t, hook.AllEntries(), maxLinesPerSecond+1, "lines of single changes, and one summary")
 	now = now.Add(registrySummaryInterval)
 	registry.logRemoved("r", 2)
-	require.Equal(t, logging.MessageReplicaGone, hook.LastEntry().Message)
+	require.Equal(t, logging.MessageReplicaRemoved, hook.LastEntry().Message)
 }
--- a/placement/decide_test.go
+++ b/placement/decide_test.go
@@ -102,7 +102,7 @@
 	sim.plan, sim.state = decision.Plan, decision.State
 	for id, simulated := range sim.engines {
 		if simulated.fence.Epoch < sim.plan.Fence.Epoch {
-			simulated.pending = append(simulated.pending, engine.Order{Operation: engine.Seal, Fence: sim.plan.Fence})
+			simulated.pending = append(simulated.pending, engine.Order{Operation: engine.RaiseFence, Fence: sim.plan.Fence})
 		}
 		for _, assignment := range sim.plan.Engines[id].Assignments {
 			order := engine.Order{Operation: engine.Load, Fence: sim.plan.Fence, ReplicaID: assignment.ReplicaID, Model: assignment.Model,
@@ -123,7 +123,7 @@
 		return
 	}
 	s.fence = order.Fence
-	if order.Operation == engine.Seal {
+	if order.Operation == engine.RaiseFence {
 		return
 	}
 	if order.Operation == engine.Unload {
--- a/placer/cell.go
+++ b/placer/cell.go
@@ -137,7 +137,7 @@
 		switch replica.State {
 		case engine.Loading:
 			if _, known := state.loadingSince[replica.ID]; !known {
-				state.loadingSince[replica.ID] = now.Add(-time.Duration(replica.LoadingFor) * time.Millisecond)
+				state.loadingSince[replica.ID] = now.Add(-time.Duration(replica.LoadingForMs) * time.Millisecond)
 			}
 		case engine.Ready:
 			if started, known := state.loadingSince[replica.ID]; known {
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -269,9 +269,9 @@
 	g.queuePending()
 	history := g.ledger.crashHistory(request)
 	g.Log.WithFields(logrus.Fields{
-		logging.Fingerprint: request.String(), logging.Replica: replica, logging.Ends: len(history.Replicas),
+		logging.Fingerprint: request.String(), logging.Replica: replica, logging.Crashes: len(history.Replicas),
 		logging.Outcome: map[bool]string{true: "withheld", false: "may go on"}[history.Withheld()],
-	}).Warn(logging.MessageReplicaEndedUnder)
+	}).Warn(logging.MessageReplicaCrashed)
 }
 
 // Served records that a replica served a request completely, which clears its earlier crashes. To
@@ -288,7 +288,7 @@
 	}
 	g.pending.Served = append(g.pending.Served, request[:])
 	g.queuePending()
-	g.Log.WithField(logging.Fingerprint, request.String()).Info(logging.MessageRequestCleared)
+	g.Log.WithField(logging.Fingerprint, request.String()).Info(logging.MessageSuspectCleared)
 }
 
 // hasRoom reports whether the pending report can take another fingerprint, and counts a dropped one
@@ -326,7 +326,7 @@
 	delete(g.lostReports, event.Pair.Key)
 	report, err := ParseReport(event.Pair.Value)
 	if err != nil {
-		g.Log.WithField(logging.Cause, err.Error()).WithFields(logging.AtRevision(event.Pair.ModRevision)).Warn("replica crash report could not be decoded and is ignored")
+		g.Log.WithField(logging.Cause, err.Error()).WithFields(logging.RevisionFields(event.Pair.ModRevision)).Warn("replica crash report could not be decoded and is ignored")
 		return
 	}
 	g.ledger.put(event.Pair.Key, report, event.Pair.ModRevision, g.Now())
