--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is what the command lines of finchspoke and finchlab share: parsing
-// with go-flags, exit codes, and errors with their remedy on standard error.
+// Package cli is the common part of the finchspoke and finchlab command lines: parsing with go-flags, exit codes,
+// and error output.
 package cli
 
 import (
@@ -14,60 +14,59 @@
 	"github.com/finchspoke/finchspoke/failure"
 )
 
-// Exit codes; scripts may rely on them.
+// Exit codes; they are stable for use in scripts.
 const (
 	ExitOK        = 0
 	ExitFailure   = 1
 	ExitUsage     = 2
-	ExitInvalid   = 3 // settings or configuration are not valid
-	ExitConflict  = 4 // another change came first
-	ExitUncertain = 5 // it is not known whether the change was accepted
+	ExitInvalid   = 3 // the settings or the configuration are invalid
+	ExitConflict  = 4 // the settings changed since the base revision
+	ExitUncertain = 5 // the change may or may not have been accepted
 )
 
-// Command is a subcommand.
+// Command describes a subcommand for Run.
 type Command struct {
 	Name     string
 	Short    string
 	Long     string
-	Data     flags.Commander // nil for a group of commands
+	Data     flags.Commander // nil for a group of subcommands
 	Commands []Command
 }
 
-// group is the data of a command that only holds others.
-type group struct{}
+// commandGroup is the go-flags data of a command that only has subcommands.
+type commandGroup struct{}
 
-// Run parses arguments, runs the command that they name and returns the exit
-// code.
+// Run parses the arguments, executes the selected command and returns the exit code.
 func Run(name string, commands []Command, arguments []string) int {
 	parser := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
 	for _, command := range commands {
-		if err := add(parser.Command, command); err != nil {
+		if err := addCommand(parser.Command, command); err != nil {
 			_, _ = fmt.Fprintln(os.Stderr, err)
 			return ExitFailure
 		}
 	}
 	_, err := parser.ParseArgs(arguments)
-	return report(err)
+	return reportError(err)
 }
 
-func add(parent *flags.Command, command Command) error {
+func addCommand(parent *flags.Command, command Command) error {
 	var data any = command.Data
 	if command.Data == nil {
-		data = &group{}
+		data = &commandGroup{}
 	}
 	added, err := parent.AddCommand(command.Name, command.Short, command.Long, data)
 	if err != nil {
-		return errors.Wrapf(err, "command %s", command.Name)
+		return errors.Wrapf(err, "add command %s", command.Name)
 	}
 	for _, child := range command.Commands {
-		if err := add(added, child); err != nil {
+		if err := addCommand(added, child); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func report(err error) int {
+func reportError(err error) int {
 	if err == nil {
 		return ExitOK
 	}
@@ -100,12 +99,12 @@
 	return ExitFailure
 }
 
-// Output is the option of commands whose result a script may read.
+// Output adds the option --output to a command, for results that scripts can read.
 type Output struct {
-	Format string `long:"output" choice:"text" choice:"json" default:"text" description:"form of the result"`
+	Format string `long:"output" choice:"text" choice:"json" default:"text" description:"output format"`
 }
 
-// Write writes the result: value as JSON, or what text writes.
+// Write prints the result to standard output: value as JSON, or the output of the function text.
 func (o Output) Write(value any, text func(io.Writer) error) error {
 	if o.Format != "json" {
 		return text(os.Stdout)
--- a/cmd/finchlab/main.go
+++ b/cmd/finchlab/main.go
@@ -1,4 +1,4 @@
-// Command finchlab is finchspoke's laboratory.
+// Command finchlab runs stand-ins, load and measurements for the development of finchspoke.
 package main
 
 import (
--- a/cmd/finchspoke/main.go
+++ b/cmd/finchspoke/main.go
@@ -1,4 +1,4 @@
-// Command finchspoke is the daemon and its operators' command line.
+// Command finchspoke runs the daemon and provides the command line for its operators.
 package main
 
 import (
