--- a/lab/command/judge.go
+++ b/lab/command/judge.go
@@ -12,12 +12,12 @@
 )
 
 type judgeCommand struct {
-	List string `long:"known-red" default:"KNOWN-RED.txt" description:"list of the tests that are known to fail; it may be absent"`
+	List string `long:"known-red" default:"KNOWN-RED.txt" description:"list of the tests that are known to fail; a missing file is an empty list"`
 }
 
 // Execute implements flags.Commander.
 func (c *judgeCommand) Execute([]string) error {
-	list, err := c.open()
+	list, err := c.openList()
 	if err != nil {
 		return err
 	}
@@ -31,14 +31,14 @@
 		return err
 	}
 	verdict.Write(os.Stdout)
-	if !verdict.Good() {
-		return failure.New(failure.Internal, "mend them, or list a real fault with its cause and issue in "+c.List,
-			"%d tests or packages failed that are not listed", len(verdict.Failed))
+	if !verdict.OK() {
+		return failure.New(failure.Internal, "fix them, or list a real fault with its cause and issue in "+c.List,
+			"%d tests or packages that are not listed failed", len(verdict.Failed))
 	}
 	return nil
 }
 
-func (c *judgeCommand) open() (io.ReadCloser, error) {
+func (c *judgeCommand) openList() (io.ReadCloser, error) {
 	list, err := os.Open(c.List)
 	if errors.Is(err, os.ErrNotExist) {
 		return io.NopCloser(strings.NewReader("")), nil
--- a/lab/knownred/knownred.go
+++ b/lab/knownred/knownred.go
@@ -1,6 +1,5 @@
-// Package knownred judges a run of the tests when some are known to fail: a list at
-// the root of the repository names each with its cause and issue. Only these may fail,
-// and they are printed, so that none is forgotten.
+// Package knownred evaluates the output of `go test -json` against a list of tests that are known to fail, each
+// with its cause and issue. Any other failure fails the run; listed failures are printed.
 package knownred
 
 import (
@@ -23,22 +22,22 @@
 }
 
 const (
-	separator   = "|"
-	entryFields = 3
-	comment     = "#"
+	fieldSeparator = "|"
+	entryFields    = 3
+	commentPrefix  = "#"
 )
 
-// Parse reads a list: a line each, "PACKAGE.TestName | cause | issue". Empty lines and
-// lines that begin with # are skipped.
+// Parse reads a list with one entry per line, "PACKAGE.TestName | cause | issue". It skips empty lines and lines
+// that begin with #.
 func Parse(name string, list io.Reader) ([]Entry, error) {
 	var entries []Entry
 	scanner := bufio.NewScanner(list)
 	for number := 1; scanner.Scan(); number++ {
 		line := strings.TrimSpace(scanner.Text())
-		if line == "" || strings.HasPrefix(line, comment) {
+		if line == "" || strings.HasPrefix(line, commentPrefix) {
 			continue
 		}
-		fields := strings.Split(line, separator)
+		fields := strings.Split(line, fieldSeparator)
 		for index := range fields {
 			fields[index] = strings.TrimSpace(fields[index])
 		}
@@ -48,12 +47,12 @@
 		entries = append(entries, Entry{Test: fields[0], Cause: fields[1], Issue: fields[2]})
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, failure.Wrap(err, failure.InvalidConfig, "give a readable list", "%s cannot be read", name)
+		return nil, failure.Wrap(err, failure.InvalidConfig, "pass a readable list", "%s cannot be read", name)
 	}
 	return entries, nil
 }
 
-// event is a line of `go test -json`.
+// event is a line of `go test -json` output.
 type event struct {
 	Action  string
 	Package string
@@ -61,79 +60,79 @@
 	Output  string
 }
 
-// Verdict is the judgement of a run.
+// Verdict is the evaluation of a test run.
 type Verdict struct {
-	// Known are listed tests that failed, Mended listed tests that passed.
-	Known, Mended []Entry
-	// Failed are tests that failed, or never ended, and are not listed, and packages that
-	// failed though none of their tests did.
+	// KnownFailures holds the listed tests that failed, Fixed those that passed.
+	KnownFailures, Fixed []Entry
+	// Failed holds the tests that failed or did not finish and are not listed, and the packages that failed
+	// without a failed test.
 	Failed []string
-	// Counts are of whole tests, without their parts.
+	// Counts excludes subtests.
 	Counts Counts
-	output map[string]string // of what failed
+	output map[string]string // by test or package
 }
 
-// Counts are how the tests of a run ended.
+// Counts holds the number of tests of a run by result.
 type Counts struct{ Passed, Failed, Skipped int }
 
-// String returns the counts as they are printed.
+// String formats the counts on one line.
 func (c Counts) String() string {
 	return fmt.Sprintf("%d passed, %d failed, %d skipped", c.Passed, c.Failed, c.Skipped)
 }
 
-// Good tells whether only listed tests failed.
-func (v *Verdict) Good() bool { return len(v.Failed) == 0 }
+// OK reports whether only listed tests failed.
+func (v *Verdict) OK() bool { return len(v.Failed) == 0 }
 
-// Judge reads the output of `go test -json ./...`.
-func Judge(run io.Reader, entries []Entry) (*Verdict, error) {
+// Judge evaluates the output of `go test -json ./...`.
+func Judge(input io.Reader, entries []Entry) (*Verdict, error) {
 	results, output := map[string]string{}, map[string]string{}
-	begun := map[string]string{}     // package of each test that began
-	failedTests := map[string]bool{} // packages with one
-	decoder := json.NewDecoder(run)
+	startedTests := map[string]string{}      // package by test
+	packagesWithFailure := map[string]bool{} // by package
+	decoder := json.NewDecoder(input)
 	for {
-		var read event
-		err := decoder.Decode(&read)
+		var current event
+		err := decoder.Decode(&current)
 		if err == io.EOF {
 			break
 		}
 		if err != nil {
-			return nil, failure.Wrap(err, failure.InvalidConfig, "pass the output of `go test -json` on standard input", "the run cannot be read")
+			return nil, failure.Wrap(err, failure.InvalidConfig, "pass the output of `go test -json` on standard input", "the test output cannot be parsed")
 		}
-		name := nameOf(read)
-		switch read.Action {
+		name := testName(current)
+		switch current.Action {
 		case "output":
-			output[name] += read.Output
+			output[name] += current.Output
 		case "run":
-			begun[name] = read.Package
+			startedTests[name] = current.Package
 		case "skip":
-			if !strings.Contains(read.Test, partOf) {
-				results[name] = read.Action
+			if !strings.Contains(current.Test, subtestSeparator) {
+				results[name] = current.Action
 			}
 		case "pass", "fail":
-			results[name] = read.Action
-			failedTests[read.Package] = failedTests[read.Package] || read.Test != "" && read.Action == "fail"
+			results[name] = current.Action
+			packagesWithFailure[current.Package] = packagesWithFailure[current.Package] || current.Test != "" && current.Action == "fail"
 		}
 	}
 	if len(results) == 0 {
-		return nil, failure.New(failure.InvalidConfig, "pass the output of `go test -json` on standard input", "the run holds no results")
+		return nil, failure.New(failure.InvalidConfig, "pass the output of `go test -json` on standard input", "the test output contains no results")
 	}
-	for name, itsPackage := range begun {
+	for name, packagePath := range startedTests {
 		if results[name] == "" {
-			// A panic, or the end of the time for its package, came first.
+			// The test binary panicked or timed out before the test finished.
 			results[name] = "fail"
-			output[name] += "began and has no result\n"
-			failedTests[itsPackage] = true
+			output[name] += "started but reported no result\n"
+			packagesWithFailure[packagePath] = true
 		}
 	}
-	verdict := verdictOf(results, output, failedTests, entries)
-	verdict.Counts = countOf(results, begun)
+	verdict := newVerdict(results, output, packagesWithFailure, entries)
+	verdict.Counts = countResults(results, startedTests)
 	return verdict, nil
 }
 
-// countOf counts the tests that began.
-func countOf(results, begun map[string]string) Counts {
+// countResults counts the started tests by result.
+func countResults(results, startedTests map[string]string) Counts {
 	var counts Counts
-	for name := range begun {
+	for name := range startedTests {
 		switch results[name] {
 		case "pass":
 			counts.Passed++
@@ -146,46 +145,46 @@
 	return counts
 }
 
-// partOf parts the name of a test from that of a part of it.
-const partOf = "/"
+// subtestSeparator separates the name of a test from the name of its subtest.
+const subtestSeparator = "/"
 
-// nameOf returns the name of the package, or of the test with its package. Subtests go
-// by the test that holds them.
-func nameOf(read event) string {
-	if read.Test == "" {
-		return read.Package
+// testName returns PACKAGE.TestName of an event, with the top-level test for a subtest, or only the package if the
+// event belongs to no test.
+func testName(current event) string {
+	if current.Test == "" {
+		return current.Package
 	}
-	test, _, _ := strings.Cut(read.Test, partOf)
-	return read.Package + "." + test
+	test, _, _ := strings.Cut(current.Test, subtestSeparator)
+	return current.Package + "." + test
 }
 
-func verdictOf(results, output map[string]string, failedTests map[string]bool, entries []Entry) *Verdict {
+func newVerdict(results, output map[string]string, packagesWithFailure map[string]bool, entries []Entry) *Verdict {
 	verdict := &Verdict{output: output}
 	listed := map[string]bool{}
 	for _, entry := range entries {
 		listed[entry.Test] = true
 		switch results[entry.Test] {
 		case "fail":
-			verdict.Known = append(verdict.Known, entry)
+			verdict.KnownFailures = append(verdict.KnownFailures, entry)
 		case "pass":
-			verdict.Mended = append(verdict.Mended, entry)
+			verdict.Fixed = append(verdict.Fixed, entry)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(results)) {
-		// A package fails with its tests; by itself only if it does not build, or ends.
-		if results[name] == "fail" && !listed[name] && !failedTests[name] {
+		// A package with a failed test fails too. Report a package only if it failed by itself, as on a build error.
+		if results[name] == "fail" && !listed[name] && !packagesWithFailure[name] {
 			verdict.Failed = append(verdict.Failed, name)
 		}
 	}
 	return verdict
 }
 
-// Write prints the verdict, with the output of what failed.
+// Write prints the verdict and the output of each unlisted failure.
 func (v *Verdict) Write(writer io.Writer) {
-	for _, entry := range v.Known {
+	for _, entry := range v.KnownFailures {
 		_, _ = fmt.Fprintf(writer, "known red: %s: %s (%s)\n", entry.Test, entry.Cause, entry.Issue)
 	}
-	for _, entry := range v.Mended {
+	for _, entry := range v.Fixed {
 		_, _ = fmt.Fprintf(writer, "passes now: %s; take its line out of the list\n", entry.Test)
 	}
 	for _, name := range v.Failed {
--- a/lab/knownred/knownred_test.go
+++ b/lab/knownred/knownred_test.go
@@ -10,7 +10,7 @@
 
 const list = "# tests that fail for a real fault\n\nmod/a.TestRed | the queue forgets | issue 9\nmod/a.TestMended|was slow|issue 11\n"
 
-func judged(t *testing.T, run string) *Verdict {
+func mustJudge(t *testing.T, run string) *Verdict {
 	t.Helper()
 	entries, err := Parse("KNOWN-RED.txt", strings.NewReader(list))
 	require.NoError(t, err)
@@ -19,22 +19,22 @@
 	return verdict
 }
 
-func TestOnlyListedTestsMayFailAndTheyArePrinted(t *testing.T) {
-	verdict := judged(t, `{"Action":"fail","Package":"mod/a","Test":"TestRed/once"}
+func TestListedFailuresPassTheRunAndArePrinted(t *testing.T) {
+	verdict := mustJudge(t, `{"Action":"fail","Package":"mod/a","Test":"TestRed/once"}
 {"Action":"fail","Package":"mod/a","Test":"TestRed"}
 {"Action":"pass","Package":"mod/a","Test":"TestMended"}
 {"Action":"fail","Package":"mod/a"}
 {"Action":"pass","Package":"mod/b"}
 `)
-	require.True(t, verdict.Good())
+	require.True(t, verdict.OK())
 	var out bytes.Buffer
 	verdict.Write(&out)
 	require.Equal(t, "known red: mod/a.TestRed: the queue forgets (issue 9)\npasses now: mod/a.TestMended; take its line out of the list\n0 passed, 0 failed, 0 skipped\n", out.String())
 }
 
-// A panic of a listed test ends the tests behind it; they were taken as judged.
-func TestATestThatBeganAndNeverEndedFailsTheRun(t *testing.T) {
-	verdict := judged(t, `{"Action":"run","Package":"mod/a","Test":"TestRed"}
+// Guards against ignoring the tests that did not run to their end because a listed test panicked.
+func TestUnfinishedTestFailsTheRun(t *testing.T) {
+	verdict := mustJudge(t, `{"Action":"run","Package":"mod/a","Test":"TestRed"}
 {"Action":"run","Package":"mod/a","Test":"TestBehind"}
 {"Action":"run","Package":"mod/a","Test":"TestBehind/part"}
 {"Action":"fail","Package":"mod/a","Test":"TestRed"}
@@ -44,11 +44,11 @@
 	require.Equal(t, Counts{Failed: 2}, verdict.Counts)
 	var out bytes.Buffer
 	verdict.Write(&out)
-	require.Contains(t, out.String(), "began and has no result")
+	require.Contains(t, out.String(), "started but reported no result")
 }
 
-func TestTheVerdictCountsWholeTests(t *testing.T) {
-	verdict := judged(t, `{"Action":"run","Package":"mod/a","Test":"TestMended"}
+func TestCountsExcludeSubtests(t *testing.T) {
+	verdict := mustJudge(t, `{"Action":"run","Package":"mod/a","Test":"TestMended"}
 {"Action":"run","Package":"mod/a","Test":"TestMended/part"}
 {"Action":"skip","Package":"mod/a","Test":"TestMended/part"}
 {"Action":"pass","Package":"mod/a","Test":"TestMended"}
@@ -57,19 +57,19 @@
 {"Action":"pass","Package":"mod/a"}
 {"Action":"skip","Package":"mod/without-tests"}
 `)
-	require.True(t, verdict.Good())
+	require.True(t, verdict.OK())
 	require.Equal(t, "1 passed, 0 failed, 1 skipped", verdict.Counts.String())
 }
 
-func TestWhatIsNotListedFailsTheRunWithItsOutput(t *testing.T) {
-	verdict := judged(t, `{"Action":"output","Package":"mod/a","Test":"TestOther","Output":"expected 1\n"}
+func TestUnlistedFailureFailsTheRunAndPrintsOutput(t *testing.T) {
+	verdict := mustJudge(t, `{"Action":"output","Package":"mod/a","Test":"TestOther","Output":"expected 1\n"}
 {"Action":"fail","Package":"mod/a","Test":"TestOther"}
 {"Action":"fail","Package":"mod/a","Test":"TestRed"}
 {"Action":"fail","Package":"mod/a"}
 {"Action":"output","Package":"mod/b","Output":"does not build\n"}
 {"Action":"fail","Package":"mod/b"}
 `)
-	require.False(t, verdict.Good())
+	require.False(t, verdict.OK())
 	require.Equal(t, []string{"mod/a.TestOther", "mod/b"}, verdict.Failed)
 	var out bytes.Buffer
 	verdict.Write(&out)
@@ -77,7 +77,7 @@
 	require.Contains(t, out.String(), "FAILED: mod/b\ndoes not build\n")
 }
 
-func TestAListThatCannotBeReadNamesItsLine(t *testing.T) {
+func TestInvalidInputIsRejected(t *testing.T) {
 	for _, line := range []string{"mod/a.TestRed | no issue", "mod/a | cause | issue 9", "mod/a.TestRed | | issue 9"} {
 		_, err := Parse("KNOWN-RED.txt", strings.NewReader("\n"+line))
 		require.ErrorContains(t, err, "line 2")
