--- a/integration/keyed_test.go
+++ b/integration/keyed_test.go
@@ -25,7 +25,7 @@
 // groupsMade counts the groups that stand in the key-value service.
 func (c *cluster) groupsMade() int {
 	var entries []keyvalue.Entry
-	require.NoError(c.t, processes.History(c.ctx, c.keyValue.Address, &entries))
+	require.NoError(c.t, processes.ReadHistory(c.ctx, c.keyValue.Address, &entries))
 	made := map[string]bool{}
 	for _, entry := range entries {
 		for _, key := range entry.Keys {
@@ -59,7 +59,7 @@
 				key := uuid.Must(uuid.NewV7()).String()
 				for range repeats {
 					one := c.ask(random.IntN(daemonCount), wanted, map[string]string{gateway.HeaderIdempotencyKey: key, gateway.HeaderDeadline: "5s"})
-					if one.err == nil && one.answer.Status == http.StatusOK && one.answer.Whole {
+					if one.err == nil && one.answer.Status == http.StatusOK && one.answer.Complete {
 						if known := wholeByPrompt[worker][wanted.prompt]; known != "" && known != one.answer.Text {
 							t.Errorf("%q was answered in two ways", wanted.prompt)
 						}
@@ -103,14 +103,14 @@
 			map[string]string{gateway.HeaderIdempotencyKey: key, gateway.HeaderDeadline: "10s"})
 	}
 	timed, untimed := uuid.Must(uuid.NewV7()).String(), "a key without a time"
-	require.True(t, keyed("timed", timed).answer.Whole)
-	require.True(t, keyed("untimed", untimed).answer.Whole)
+	require.True(t, keyed("timed", timed).answer.Complete)
+	require.True(t, keyed("untimed", untimed).answer.Complete)
 	c.restartDaemons(1, 2)
 	for _, daemon := range c.daemons {
 		require.NoError(t, processes.WaitReady(c.ctx, daemon.Admin, 1, daemonCount))
 	}
 	require.Eventually(t, func() bool {
-		return keyed("new "+uuid.NewString(), uuid.Must(uuid.NewV7()).String()).answer.Whole
+		return keyed("new "+uuid.NewString(), uuid.Must(uuid.NewV7()).String()).answer.Complete
 	}, 40*time.Second, 100*time.Millisecond, "keys made after the loss are taken")
 	for range 3 {
 		keyed("timed", timed)
--- a/lab/ask.go
+++ b/lab/ask.go
@@ -12,18 +12,18 @@
 	"github.com/pkg/errors"
 )
 
-// Answer is what came back to a request.
-type Answer struct {
+// Completion is the response to a chat completion request.
+type Completion struct {
 	Status    int
 	Header    http.Header
-	Text      string // of the answer, or the error's body
-	Whole     bool   // the answer came to its end
+	Text      string // generated text, or the body of an error response
+	Complete  bool   // the response arrived up to its end
 	FirstByte time.Duration
 	Total     time.Duration
 }
 
-// AskOptions describe one request.
-type AskOptions struct {
+// RequestOptions configures one request.
+type RequestOptions struct {
 	Address   string // of a gateway
 	Key       string
 	Model     string
@@ -34,27 +34,27 @@
 	Client    *http.Client // http.DefaultClient if nil
 }
 
-type askBody struct {
-	Model     string       `json:"model"`
-	Stream    bool         `json:"stream"`
-	MaxTokens int          `json:"max_tokens"`
-	Messages  []askMessage `json:"messages"`
+type chatRequest struct {
+	Model     string        `json:"model"`
+	Stream    bool          `json:"stream"`
+	MaxTokens int           `json:"max_tokens"`
+	Messages  []chatMessage `json:"messages"`
 }
 
-type askMessage struct {
+type chatMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// Ask sends one chat completion and reads its answer to the end.
-func Ask(ctx context.Context, options AskOptions) (Answer, error) {
-	body, err := json.Marshal(askBody{options.Model, options.Stream, options.MaxTokens, []askMessage{{"user", options.Prompt}}})
+// SendRequest sends one chat completion request and reads the response to its end.
+func SendRequest(ctx context.Context, options RequestOptions) (Completion, error) {
+	body, err := json.Marshal(chatRequest{options.Model, options.Stream, options.MaxTokens, []chatMessage{{"user", options.Prompt}}})
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "encode request")
+		return Completion{}, errors.Wrap(err, "encode request")
 	}
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+options.Address+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "make request")
+		return Completion{}, errors.Wrap(err, "create request")
 	}
 	httpRequest.Header.Set("Authorization", "Bearer "+options.Key)
 	for name, value := range options.Headers {
@@ -64,20 +64,20 @@
 	if client == nil {
 		client = http.DefaultClient
 	}
-	began := time.Now()
-	response, err := client.Do(httpRequest)
+	start := time.Now()
+	httpResponse, err := client.Do(httpRequest)
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "ask")
+		return Completion{}, errors.Wrap(err, "send request")
 	}
-	defer func() { _ = response.Body.Close() }()
-	reader := bufio.NewReader(response.Body)
-	_, _ = reader.Peek(1) // an error comes again below
-	answer := Answer{Status: response.StatusCode, Header: response.Header, FirstByte: time.Since(began)}
+	defer func() { _ = httpResponse.Body.Close() }()
+	reader := bufio.NewReader(httpResponse.Body)
+	_, _ = reader.Peek(1) // ReadAll returns the error again
+	response := Completion{Status: httpResponse.StatusCode, Header: httpResponse.Header, FirstByte: time.Since(start)}
 	text, err := io.ReadAll(reader)
-	answer.Total = time.Since(began)
+	response.Total = time.Since(start)
 	if err != nil {
-		return answer, errors.Wrap(err, "read answer")
+		return response, errors.Wrap(err, "read response")
 	}
-	answer.Text, answer.Whole = decodeAnswer(response, text)
-	return answer, nil
+	response.Text, response.Complete = decodeResponse(httpResponse, text)
+	return response, nil
 }
--- a/lab/command/control.go
+++ b/lab/command/control.go
@@ -12,17 +12,17 @@
 
 type controlCommand struct {
 	cli.Output
-	Daemons int           `long:"daemons" default:"30" description:"daemons, all in this process"`
-	Changes int           `long:"changes" default:"10" description:"settings changes to apply"`
-	Steady  time.Duration `long:"steady" default:"10s" description:"how long the idle cost is measured"`
+	Daemons      int           `long:"daemons" default:"30" description:"number of daemons, all in this process"`
+	Changes      int           `long:"changes" default:"10" description:"number of settings changes to apply"`
+	IdleDuration time.Duration `long:"steady" default:"10s" description:"period over which the idle cost is measured"`
 }
 
 // Execute implements flags.Commander.
 func (c *controlCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	report, err := lab.Control(ctx, lab.ControlOptions{
-		Daemons: c.Daemons, Changes: c.Changes, Steady: c.Steady, Log: logging.New(os.Stderr, "error")})
+	report, err := lab.MeasureControl(ctx, lab.ControlOptions{
+		Daemons: c.Daemons, Changes: c.Changes, IdleDuration: c.IdleDuration, Log: logging.New(os.Stderr, "error")})
 	if err != nil {
 		return err
 	}
--- a/lab/command/fleet.go
+++ b/lab/command/fleet.go
@@ -14,23 +14,23 @@
 
 type fleetCommand struct {
 	cli.Output
-	Daemons    []int         `long:"daemons" default:"100" description:"daemons, all in this process; may be given again, for a fleet after the other"`
-	Replicas   int           `long:"replicas-each" default:"10" description:"replicas for each daemon"`
-	Models     int           `long:"models" default:"574" description:"models in the catalogue"`
-	KnownByAll int           `long:"known-by-all" description:"up to how many replicas every daemon knows them all; 0: the product's own number"`
-	Requests   float64       `long:"requests-each" default:"0.27" description:"requests a second at each daemon"`
-	Steady     time.Duration `long:"steady" default:"10s" description:"how long the cost of a steady fleet is measured"`
-	Seed       uint64        `long:"seed" default:"1" description:"of what callers ask for"`
+	Daemons        []int         `long:"daemons" default:"100" description:"number of daemons, all in this process; repeat the option to measure several fleets in turn"`
+	Replicas       int           `long:"replicas-each" default:"10" description:"replicas per daemon"`
+	Models         int           `long:"models" default:"574" description:"models in the catalogue"`
+	KnownByAll     int           `long:"known-by-all" description:"largest number of replicas that every daemon keeps all records of; 0: the daemon's default"`
+	Requests       float64       `long:"requests-each" default:"0.27" description:"requests per second and daemon"`
+	SteadyDuration time.Duration `long:"steady" default:"10s" description:"period over which the steady-state cost is measured"`
+	Seed           uint64        `long:"seed" default:"1" description:"seed of the requested models"`
 }
 
 // Execute implements flags.Commander.
 func (c *fleetCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
 	for _, daemons := range c.Daemons {
 		report, err := scale.Run(ctx, scale.Options{
 			Daemons: daemons, Replicas: c.Replicas * daemons, Models: c.Models, KnownByAll: c.KnownByAll,
-			RequestsPerSecond: c.Requests * float64(daemons), Steady: c.Steady, Seed: c.Seed,
+			RequestsPerSecond: c.Requests * float64(daemons), SteadyDuration: c.SteadyDuration, Seed: c.Seed,
 			Log: logging.New(os.Stderr, "error"), Progress: showProgress,
 		})
 		fmt.Fprintln(os.Stderr)
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// showProgress shows on the terminal how far a step is.
+// showProgress draws a progress bar on standard error.
 func showProgress(step string, done, of int) {
 	const width = 30
 	filled := width * done / max(1, of)
--- a/lab/command/load.go
+++ b/lab/command/load.go
@@ -10,22 +10,22 @@
 
 type loadCommand struct {
 	cli.Output
-	Addresses []string      `long:"address" required:"true" description:"gateway address; may be given more than once"`
+	Addresses []string      `long:"address" required:"true" description:"gateway address; may be repeated"`
 	Key       string        `long:"key" required:"true" description:"API key"`
-	Models    []string      `long:"model" required:"true" description:"model to ask; may be given more than once"`
-	Rate      float64       `long:"rate" default:"20" description:"requests sent a second"`
-	Duration  time.Duration `long:"duration" default:"10s" description:"how long to send"`
-	Tokens    int           `long:"tokens" default:"32" description:"tokens of each answer"`
+	Models    []string      `long:"model" required:"true" description:"model to request; may be repeated"`
+	Rate      float64       `long:"rate" default:"20" description:"requests per second"`
+	Duration  time.Duration `long:"duration" default:"10s" description:"duration of the run"`
+	Tokens    int           `long:"tokens" default:"32" description:"tokens per response"`
 	//lint:ignore SA5008 go-flags reads a choice from each tag
 	Class    string        `long:"class" default:"interactive" choice:"interactive" choice:"standard" choice:"bulk" description:"priority class"`
-	Deadline time.Duration `long:"deadline" default:"30s" description:"time to the whole answer"`
+	Deadline time.Duration `long:"deadline" default:"30s" description:"time to the complete response"`
 }
 
 // Execute implements flags.Commander.
 func (c *loadCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
-	report, err := lab.Load(ctx, lab.LoadOptions{
+	report, err := lab.GenerateLoad(ctx, lab.LoadOptions{
 		Addresses: c.Addresses, Key: c.Key, Models: c.Models, Rate: c.Rate, Duration: c.Duration,
 		Tokens: c.Tokens, Class: c.Class, Deadline: c.Deadline,
 	})
--- a/lab/command/overhead.go
+++ b/lab/command/overhead.go
@@ -13,21 +13,21 @@
 
 type overheadCommand struct {
 	cli.Output
-	Requests int `long:"requests" default:"1000" description:"short requests sent each way"`
-	Streams  int `long:"streams" default:"20" description:"long streams, for the cost of a token"`
-	Tokens   int `long:"tokens" default:"1000" description:"tokens of each long stream"`
+	Requests int `long:"requests" default:"1000" description:"number of short requests on each path"`
+	Streams  int `long:"streams" default:"20" description:"number of long streams, for the cost per token"`
+	Tokens   int `long:"tokens" default:"1000" description:"tokens per long stream"`
 }
 
 // Execute implements flags.Commander.
 func (c *overheadCommand) Execute([]string) error {
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
 	executable, err := os.Executable()
 	if err != nil {
-		return errors.Wrap(err, "find the programs")
+		return errors.Wrap(err, "locate the program")
 	}
-	report, err := lab.Overhead(ctx, lab.OverheadOptions{
-		Programs: filepath.Dir(executable), Requests: c.Requests, Streams: c.Streams, Tokens: c.Tokens})
+	report, err := lab.MeasureOverhead(ctx, lab.OverheadOptions{
+		BinDirectory: filepath.Dir(executable), Requests: c.Requests, Streams: c.Streams, Tokens: c.Tokens})
 	if err != nil {
 		return err
 	}
--- a/lab/command/standin.go
+++ b/lab/command/standin.go
@@ -18,10 +18,10 @@
 
 func standinCommands() []cli.Command {
 	return []cli.Command{
-		{Name: "key-value", Short: "The key-value service", Data: &keyValueCommand{}},
-		{Name: "weights", Short: "The weight store", Data: &weightsCommand{}},
-		{Name: "machines", Short: "The machine list; machines are posted to it", Data: &machinesCommand{}},
-		{Name: "engine", Short: "A model engine", Data: &engineCommand{}},
+		{Name: "key-value", Short: "Run a key-value service", Data: &keyValueCommand{}},
+		{Name: "weights", Short: "Run a weight store", Data: &weightsCommand{}},
+		{Name: "machines", Short: "Run a machine list; machines are added by POST", Data: &machinesCommand{}},
+		{Name: "engine", Short: "Run a model engine", Data: &engineCommand{}},
 	}
 }
 
@@ -29,9 +29,9 @@
 	Listen string `long:"listen" default:"127.0.0.1:0" description:"address to listen on"`
 }
 
-// serve prints the address and serves until interrupted.
+// serve prints the listen address and serves until the process is interrupted.
 func (o listenOption) serve(handler http.Handler) error {
-	ctx, stop := interruptible()
+	ctx, stop := interruptContext()
 	defer stop()
 	listener, err := net.Listen("tcp", o.Listen)
 	if err != nil {
@@ -51,7 +51,7 @@
 
 type keyValueCommand struct {
 	listenOption
-	Rate float64 `long:"rate" default:"200" description:"operations allowed a second"`
+	Rate float64 `long:"rate" default:"200" description:"operations allowed per second"`
 }
 
 // Execute implements flags.Commander.
@@ -59,9 +59,9 @@
 
 type weightsCommand struct {
 	listenOption
-	LoadsPerSecond  float64 `long:"loads-per-second" default:"2" description:"loads that may start a second"`
-	ConcurrentLoads int     `long:"concurrent-loads" default:"8" description:"loads at once at full speed"`
-	Bandwidth       string  `long:"bandwidth" default:"1GiB" description:"bytes a second of one load at full speed"`
+	LoadsPerSecond  float64 `long:"loads-per-second" default:"2" description:"loads that may start per second"`
+	ConcurrentLoads int     `long:"concurrent-loads" default:"8" description:"concurrent loads at full speed"`
+	Bandwidth       string  `long:"bandwidth" default:"1GiB" description:"bytes per second of one load at full speed"`
 }
 
 // Execute implements flags.Commander.
@@ -84,10 +84,10 @@
 type engineCommand struct {
 	listenOption
 	ID                string        `long:"id" required:"true" description:"machine id"`
-	Accelerators      int           `long:"accelerators" default:"4" description:"accelerators"`
-	AcceleratorMemory string        `long:"accelerator-memory" default:"24GiB" description:"memory of each for weights"`
+	Accelerators      int           `long:"accelerators" default:"4" description:"number of accelerators"`
+	AcceleratorMemory string        `long:"accelerator-memory" default:"24GiB" description:"memory per accelerator for weights"`
 	WeightStore       string        `long:"weight-store" required:"true" description:"address of the weight store"`
-	Step              time.Duration `long:"step" default:"20ms" description:"time of one decode step"`
+	StepTime          time.Duration `long:"step" default:"20ms" description:"duration of one decode step"`
 }
 
 // Execute implements flags.Commander.
@@ -97,8 +97,8 @@
 		return err
 	}
 	timing := engines.DefaultTiming()
-	timing.Step = c.Step
-	started := engines.New(engines.DefaultConfig(c.ID, c.Accelerators, memory, c.WeightStore, timing))
-	defer started.Close()
-	return c.serve(started)
+	timing.StepTime = c.StepTime
+	engine := engines.New(engines.DefaultConfig(c.ID, c.Accelerators, memory, c.WeightStore, timing))
+	defer engine.Close()
+	return c.serve(engine)
 }
--- a/lab/control.go
+++ b/lab/control.go
@@ -18,27 +18,26 @@
 	"github.com/finchspoke/finchspoke/settings"
 )
 
-// ControlOptions describe a measurement of the control plane with many daemons in
-// one process.
+// ControlOptions configures a measurement of the control plane with many daemons in one process.
 type ControlOptions struct {
-	Daemons int
-	Changes int           // settings changes applied one after another
-	Steady  time.Duration // how long the idle cost is measured
-	Log     logrus.FieldLogger
+	Daemons      int
+	Changes      int           // settings changes applied sequentially
+	IdleDuration time.Duration // period over which the idle cost is measured
+	Log          logrus.FieldLogger
 }
 
-// ControlReport is what control costs a daemon and how fast it is.
+// ControlReport is the cost and speed of the control plane.
 type ControlReport struct {
 	Daemons            int       `json:"daemons"`
-	JoinSeconds        float64   `json:"join_seconds"` // until all know all
-	Spread             Quantiles `json:"spread"`       // a change in force at every daemon
+	JoinSeconds        float64   `json:"join_seconds"` // until every daemon lists all members
+	Propagation        Quantiles `json:"spread"`       // from a change to its activation on every daemon
 	GossipBytesPerSec  float64   `json:"gossip_bytes_per_second_per_daemon"`
 	CPUPercent         float64   `json:"cpu_percent_of_core_per_daemon"`
 	HeapBytes          uint64    `json:"heap_bytes_per_daemon"`
 	KeyValueWritesIdle float64   `json:"key_value_writes_per_second_idle"`
-	// TakeOverSeconds is from the sudden end of a region's placer until another
-	// leads; zero where the region has one daemon.
-	TakeOverSeconds float64 `json:"take_over_seconds"`
+	// TakeoverSeconds is the time from the abrupt stop of a region's placer until another daemon takes over;
+	// zero where the region has only one daemon.
+	TakeoverSeconds float64 `json:"take_over_seconds"`
 }
 
 const (
@@ -52,12 +51,12 @@
     models:
       - {name: only, service: lm, version: "1", accelerators: 1, memory: 14GiB}
 `
-	controlRegions  = 4
-	controlZones    = 14
-	controlTimeout  = 3 * time.Minute
-	controlPoll     = 2 * time.Millisecond
-	maxControl      = 400
-	controlSettling = 10 * time.Second
+	controlRegions      = 4
+	controlZones        = 14
+	controlTimeout      = 3 * time.Minute
+	controlPollInterval = 2 * time.Millisecond
+	maxControlDaemons   = 400
+	controlSettleTime   = 10 * time.Second
 )
 
 func controlTreeText(share int) string {
@@ -73,10 +72,10 @@
 	return fmt.Sprintf(controlTree, regions.String(), share)
 }
 
-// Control runs daemons over 4 regions and 14 zones in this process and measures.
-func Control(ctx context.Context, options ControlOptions) (ControlReport, error) {
-	if options.Daemons < 1 || options.Daemons > maxControl {
-		return ControlReport{}, errors.Errorf("use 1 to %d daemons", maxControl)
+// MeasureControl runs daemons in 4 regions and 14 zones in this process and measures the control plane.
+func MeasureControl(ctx context.Context, options ControlOptions) (ControlReport, error) {
+	if options.Daemons < 1 || options.Daemons > maxControlDaemons {
+		return ControlReport{}, errors.Errorf("the number of daemons must be 1 to %d", maxControlDaemons)
 	}
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
@@ -89,92 +88,92 @@
 		zone := number % controlZones
 		locations[number] = Location{Region: fmt.Sprintf("region-%d", zone%controlRegions), Zone: fmt.Sprintf("zone-%d", zone)}
 	}
-	system, err := StartSystem(Options{Tree: tree, Daemons: locations, Timing: FastTiming(), WeightBytesRate: devWeightRate, Log: options.Log, FewPeers: true})
+	system, err := StartSystem(Options{Tree: tree, Daemons: locations, Timing: FastTiming(), WeightBytesPerSecond: devWeightBytesPerSecond, Log: options.Log, LimitPeers: true})
 	if err != nil {
 		return ControlReport{}, err
 	}
 	defer system.Stop()
 	report := ControlReport{Daemons: options.Daemons}
-	began := time.Now()
+	start := time.Now()
 	if err := system.Apply(ctx); err != nil {
 		return report, err
 	}
-	report.JoinSeconds = time.Since(began).Seconds()
-	if err := system.spread(ctx, options.Changes, &report); err != nil {
+	report.JoinSeconds = time.Since(start).Seconds()
+	if err := system.measurePropagation(ctx, options.Changes, &report); err != nil {
 		return report, err
 	}
-	if err := system.idle(ctx, options.Steady, &report); err != nil {
+	if err := system.measureIdle(ctx, options.IdleDuration, &report); err != nil {
 		return report, err
 	}
-	return report, system.takeOver(ctx, &report)
+	return report, system.measureTakeover(ctx, &report)
 }
 
-// takeOver ends the placer of a region without notice and waits for the next.
-func (s *System) takeOver(ctx context.Context, report *ControlReport) error {
+// measureTakeover stops a region's placer and measures the time until another daemon takes over.
+func (s *System) measureTakeover(ctx context.Context, report *ControlReport) error {
 	const region = "region-0"
 	inRegion := 0
-	placing := ""
-	for index, started := range s.Daemons {
+	placerID := ""
+	for index, d := range s.Daemons {
 		if s.options.Daemons[index].Region != region {
 			continue
 		}
 		inRegion++
-		if started.PlacerEpoch() > 0 {
-			placing = started.ID()
+		if d.PlacerEpoch() > 0 {
+			placerID = d.ID()
 		}
 	}
-	if inRegion < 2 || placing == "" {
+	if inRegion < 2 || placerID == "" {
 		return nil
 	}
-	began := time.Now()
-	s.stops[placing]()
+	start := time.Now()
+	s.cancels[placerID]()
 	for ctx.Err() == nil {
-		for index, started := range s.Daemons {
-			if s.options.Daemons[index].Region == region && started.ID() != placing && started.PlacerEpoch() > 0 {
-				report.TakeOverSeconds = time.Since(began).Seconds()
+		for index, d := range s.Daemons {
+			if s.options.Daemons[index].Region == region && d.ID() != placerID && d.PlacerEpoch() > 0 {
+				report.TakeoverSeconds = time.Since(start).Seconds()
 				return nil
 			}
 		}
-		time.Sleep(controlPoll)
+		time.Sleep(controlPollInterval)
 	}
-	return errors.Wrap(ctx.Err(), "no other daemon took the placer's place")
+	return errors.Wrap(ctx.Err(), "no other daemon became the placer")
 }
 
-// spread applies changes and measures until each is in force at every daemon.
-func (s *System) spread(ctx context.Context, changes int, report *ControlReport) error {
-	times := hdrhistogram.New(histogramLowest, histogramHighest, histogramDigits)
+// measurePropagation applies settings changes and measures the time until each is active on every daemon.
+func (s *System) measurePropagation(ctx context.Context, changes int, report *ControlReport) error {
+	times := hdrhistogram.New(histogramMinMicros, histogramMaxMicros, histogramDigits)
 	client := adminapi.Client{Address: s.Daemons[0].Addresses().Admin}
 	for change := range changes {
 		var accepted adminapi.Revision
-		began := time.Now()
+		start := time.Now()
 		err := client.Post(ctx, adminapi.PathApply, adminapi.Application{BaseRevision: uint64(change + 1), OperationID: uuid.NewString(),
 			Author: "lab", YAML: controlTreeText(change + 2)}, &accepted)
 		if err != nil {
 			return err
 		}
-		for _, started := range s.Daemons {
-			for started.SettingsRevision() < accepted.Number {
+		for _, d := range s.Daemons {
+			for d.SettingsRevision() < accepted.Number {
 				if ctx.Err() != nil {
-					return errors.Wrapf(ctx.Err(), "revision %d is not in force at %s", accepted.Number, started.ID())
+					return errors.Wrapf(ctx.Err(), "revision %d is not active on %s", accepted.Number, d.ID())
 				}
-				time.Sleep(controlPoll)
+				time.Sleep(controlPollInterval)
 			}
 		}
-		_ = times.RecordValue(time.Since(began).Microseconds()) // within range
+		_ = times.RecordValue(time.Since(start).Microseconds()) // within range
 	}
-	report.Spread = quantiles(times)
+	report.Propagation = quantiles(times)
 	return nil
 }
 
-// idle measures what a daemon costs without requests.
-func (s *System) idle(ctx context.Context, duration time.Duration, report *ControlReport) error {
+// measureIdle measures the cost of a daemon without requests.
+func (s *System) measureIdle(ctx context.Context, duration time.Duration, report *ControlReport) error {
 	pause := func(wait time.Duration) {
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait):
 		}
 	}
-	pause(controlSettling)
+	pause(controlSettleTime)
 	runtime.GC()
 	before, cpuBefore, writesBefore := s.gossipBytes(), processCPU(), s.KeyValue.History.Count()
 	pause(duration)
@@ -190,17 +189,17 @@
 	return ctx.Err()
 }
 
-// gossipBytes sums what daemons sent and received.
+// gossipBytes returns the gossip traffic of all daemons, sent and received.
 func (s *System) gossipBytes() uint64 {
 	total := uint64(0)
-	for _, started := range s.Daemons {
-		sent, received := started.GossipTraffic()
+	for _, d := range s.Daemons {
+		sent, received := d.GossipTraffic()
 		total += sent + received
 	}
 	return total
 }
 
-// processCPU is the processor time that this process has used.
+// processCPU returns the CPU time that this process has used.
 func processCPU() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -209,15 +208,15 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report as text.
 func (r ControlReport) WriteText(writer io.Writer) error {
 	lines := []string{
-		fmt.Sprintf("%d daemons; all know all after %.1f s", r.Daemons, r.JoinSeconds),
-		"a change in force everywhere  " + r.Spread.String(),
-		fmt.Sprintf("idle, per daemon: membership %.0f B/s sent and received, %.2f%% of a core, %.2f MB of heap",
+		fmt.Sprintf("%d daemons; membership complete after %.1f s", r.Daemons, r.JoinSeconds),
+		"change active on all daemons  " + r.Propagation.String(),
+		fmt.Sprintf("idle, per daemon: %.0f B/s of gossip (sent and received), %.2f%% of a core, %.2f MB of heap",
 			r.GossipBytesPerSec, r.CPUPercent, float64(r.HeapBytes)/float64(settings.MiB)),
-		fmt.Sprintf("key-value writes, idle, all daemons: %.2f a second", r.KeyValueWritesIdle),
-		fmt.Sprintf("placer ended without notice; another leads after %.1f s", r.TakeOverSeconds),
+		fmt.Sprintf("key-value writes, idle, all daemons: %.2f per second", r.KeyValueWritesIdle),
+		fmt.Sprintf("placer stopped abruptly; another took over after %.1f s", r.TakeoverSeconds),
 	}
 	_, err := fmt.Fprintln(writer, strings.Join(lines, "\n"))
 	return errors.Wrap(err, "write report")
--- a/lab/decode.go
+++ b/lab/decode.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// answerBody is what is read of an answer or of one event of it.
-type answerBody struct {
+// responseBody is the decoded part of a response or of one stream event.
+type responseBody struct {
 	Choices []struct {
 		Message struct {
 			Content string `json:"content"`
@@ -18,32 +18,31 @@
 	} `json:"choices"`
 }
 
-// decodeAnswer returns the text of an answer, and whether it is whole; of an
-// error it returns the body.
-func decodeAnswer(response *http.Response, body []byte) (text string, whole bool) {
+// decodeResponse returns the generated text and whether it is complete, or the raw body of an error response.
+func decodeResponse(response *http.Response, body []byte) (text string, complete bool) {
 	if response.StatusCode != http.StatusOK {
 		return string(body), false
 	}
 	if !strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
-		var parsed answerBody
+		var parsed responseBody
 		if err := json.Unmarshal(body, &parsed); err != nil || len(parsed.Choices) == 0 {
 			return string(body), false
 		}
 		return parsed.Choices[0].Message.Content, true
 	}
-	var gathered strings.Builder
+	var content strings.Builder
 	for _, line := range strings.Split(string(body), "\n") {
 		data, found := strings.CutPrefix(line, "data: ")
 		if !found {
 			continue
 		}
 		if data == "[DONE]" {
-			return gathered.String(), true
+			return content.String(), true
 		}
-		var event answerBody
+		var event responseBody
 		if err := json.Unmarshal([]byte(data), &event); err == nil && len(event.Choices) > 0 {
-			gathered.WriteString(event.Choices[0].Delta.Content)
+			content.WriteString(event.Choices[0].Delta.Content)
 		}
 	}
-	return gathered.String(), false
+	return content.String(), false
 }
--- a/lab/dev.go
+++ b/lab/dev.go
@@ -18,37 +18,36 @@
 	"github.com/finchspoke/finchspoke/standin/engines"
 )
 
-// DevOptions describe the demonstration.
+// DevOptions configures the demonstration system.
 type DevOptions struct {
 	Output io.Writer
 	Log    logrus.FieldLogger
-	// Hold keeps the system up until the context ends.
-	Hold bool
+	// KeepRunning keeps the system running until the context ends.
+	KeepRunning bool
 }
 
 const (
-	devWeightRate   = 24 << 30 // bytes a second: a 14 GiB model in about 0.6 s
-	devReadyTimeout = 20 * time.Second
-	devStep         = 10 * time.Millisecond
-	devAnswerTokens = 24
+	devWeightBytesPerSecond = 24 << 30
+	devReadyTimeout         = 20 * time.Second
+	devStepTime             = 10 * time.Millisecond
+	devMaxTokens            = 24
 )
 
-// devDaemons are three daemons in two zones.
 var devDaemons = []Location{
 	{Region: "sk-west", Zone: "nitra-a"}, {Region: "sk-west", Zone: "nitra-a"}, {Region: "cl-central", Zone: "quilicura-a"},
 }
 
-// Dev runs the whole system on loopback, sends sample requests of both
-// deployments, prints what happened and fails if any did not behave.
-func Dev(ctx context.Context, options DevOptions) error {
+// RunDev runs a complete system on loopback, sends sample requests of both example deployments and prints the
+// results. It returns an error if a check on a response fails.
+func RunDev(ctx context.Context, options DevOptions) error {
 	tree, err := settings.Parse(examples.Sources()...)
 	if err != nil {
 		return err
 	}
 	timing := engines.DefaultTiming()
-	timing.Step = devStep
+	timing.StepTime = devStepTime
 	system, err := StartSystem(Options{
-		Tree: tree, Daemons: devDaemons, Timing: timing, WeightBytesRate: devWeightRate, Log: options.Log,
+		Tree: tree, Daemons: devDaemons, Timing: timing, WeightBytesPerSecond: devWeightBytesPerSecond, Log: options.Log,
 		ProbeInterval: 200 * time.Millisecond,
 	})
 	if err != nil {
@@ -57,21 +56,21 @@
 	defer system.Stop()
 	ready, cancel := context.WithTimeout(ctx, devReadyTimeout)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	if err := system.Apply(ready); err != nil {
 		return err
 	}
 	run := &devRun{DevOptions: options, system: system}
 	run.printf("finchspoke is up: %d daemons in 2 zones, %d engines, %d models and adapters (%.1f s)\n\n",
-		len(system.Daemons), len(system.Engines), len(tree.Targets), time.Since(began).Seconds())
-	run.samples(ctx)
-	run.printf("\n%d of %d checks held\n", run.held, run.checks)
-	if options.Hold {
-		run.printHints()
+		len(system.Daemons), len(system.Engines), len(tree.Targets), time.Since(start).Seconds())
+	run.sendSamples(ctx)
+	run.printf("\n%d of %d checks passed\n", run.passed, run.checks)
+	if options.KeepRunning {
+		run.printUsage()
 		<-ctx.Done()
 	}
-	if run.held != run.checks {
-		return errors.Errorf("%d checks did not hold", run.checks-run.held)
+	if run.passed != run.checks {
+		return errors.Errorf("%d checks failed", run.checks-run.passed)
 	}
 	return nil
 }
@@ -80,28 +79,28 @@
 	DevOptions
 	system *System
 	checks int
-	held   int
+	passed int
 }
 
 func (r *devRun) printf(format string, args ...any) {
-	_, _ = fmt.Fprintf(r.Output, format, args...) // a closed terminal ends the run anyhow
+	_, _ = fmt.Fprintf(r.Output, format, args...) // output to a closed terminal is lost
 }
 
-func (r *devRun) check(name string, holds bool) {
+func (r *devRun) check(name string, ok bool) {
 	r.checks++
 	mark := "ok  "
-	if holds {
-		r.held++
+	if ok {
+		r.passed++
 	} else {
 		mark = "FAIL"
 	}
 	r.printf("    %s %s\n", mark, name)
 }
 
-// devAsk is one sample request.
-type devAsk struct {
+// devRequest is a sample request.
+type devRequest struct {
 	title   string
-	daemon  int // index
+	daemon  int // index in System.Daemons
 	key     string
 	model   string
 	prompt  string
@@ -109,60 +108,60 @@
 	headers map[string]string
 }
 
-func (r *devRun) samples(ctx context.Context) {
-	cold := r.ask(ctx, devAsk{title: "cold proof check (interactive, streamed)", daemon: 0, key: "sample-key-designers",
+func (r *devRun) sendSamples(ctx context.Context) {
+	cold := r.send(ctx, devRequest{title: "proof check, model not loaded (interactive, streamed)", daemon: 0, key: "sample-key-designers",
 		model: "proof-check-sk", prompt: "check the brewery label 4711", stream: true})
-	r.checkWhole("proof-check-sk", "check the brewery label 4711", cold)
-	warm := r.ask(ctx, devAsk{title: "warm proof check, through another daemon", daemon: 1, key: "sample-key-designers",
+	r.checkComplete("proof-check-sk", "check the brewery label 4711", cold)
+	warm := r.send(ctx, devRequest{title: "proof check, model loaded, through another daemon", daemon: 1, key: "sample-key-designers",
 		model: "proof-check-sk", prompt: "check the brewery label 4712", stream: true})
-	r.checkWhole("proof-check-sk", "check the brewery label 4712", warm)
-	r.check("the warm one is faster to the first byte", warm.FirstByte < cold.FirstByte)
-	bulk := r.ask(ctx, devAsk{title: "bulk compliance draft with an adapter (whole answer)", daemon: 1, key: "sample-key-compliance",
+	r.checkComplete("proof-check-sk", "check the brewery label 4712", warm)
+	r.check("the time to first byte is shorter when the model is loaded", warm.FirstByte < cold.FirstByte)
+	bulk := r.send(ctx, devRequest{title: "bulk compliance draft with an adapter (not streamed)", daemon: 1, key: "sample-key-compliance",
 		model: "allergen-compliance-eu.dairy", prompt: "draft the allergen statement for yoghurt"})
-	r.checkWhole("allergen-compliance-eu.dairy", "draft the allergen statement for yoghurt", bulk)
-	r.approval(ctx)
-	pick := r.ask(ctx, devAsk{title: "next pick from a handheld, through a daemon of the other region", daemon: 0, key: "sample-key-handhelds",
+	r.checkComplete("allergen-compliance-eu.dairy", "draft the allergen statement for yoghurt", bulk)
+	r.sendApproval(ctx)
+	pick := r.send(ctx, devRequest{title: "next pick from a handheld, through a daemon of the other region", daemon: 0, key: "sample-key-handhelds",
 		model: "next-pick-renca", prompt: "next pick for cart 12", stream: true})
-	r.checkWhole("next-pick-renca", "next pick for cart 12", pick)
-	denied := r.ask(ctx, devAsk{title: "a model that the caller may not use", daemon: 0, key: "sample-key-designers",
+	r.checkComplete("next-pick-renca", "next pick for cart 12", pick)
+	denied := r.send(ctx, devRequest{title: "a model that the caller may not use", daemon: 0, key: "sample-key-designers",
 		model: "slot-confirm", prompt: "confirm slot A-12"})
-	r.check("it is let in nowhere, and told that nothing ran",
+	r.check("the request is rejected and reported as not run",
 		denied.Status == http.StatusNotFound && denied.Header.Get(gateway.HeaderExecution) == "not_run")
 }
 
-// approval sends one approval twice with one key, to two daemons.
-func (r *devRun) approval(ctx context.Context) {
+// sendApproval sends the same request to two daemons with the same idempotency key.
+func (r *devRun) sendApproval(ctx context.Context) {
 	const model, prompt = "approval-clerk", "record approval of job 9001"
 	headers := map[string]string{gateway.HeaderIdempotencyKey: uuid.NewString()}
-	first := r.ask(ctx, devAsk{title: "approval that may not be repeated", daemon: 0, key: "sample-key-job-desk",
+	first := r.send(ctx, devRequest{title: "approval with an idempotency key", daemon: 0, key: "sample-key-job-desk",
 		model: model, prompt: prompt, headers: headers})
-	second := r.ask(ctx, devAsk{title: "the same approval again, with the same key", daemon: 1, key: "sample-key-job-desk",
+	second := r.send(ctx, devRequest{title: "the same approval again, with the same key", daemon: 1, key: "sample-key-job-desk",
 		model: model, prompt: prompt, headers: headers})
-	r.checkWhole(model, prompt, first)
-	r.check("the repeat got the same answer", second.Text == first.Text && second.Header.Get(gateway.HeaderReplayed) == "true")
-	runs := r.system.Starts(first.Header.Get("X-Request-Id")) + r.system.Starts(second.Header.Get("X-Request-Id"))
-	r.check(fmt.Sprintf("engines ran it once (%d)", runs), runs == 1)
+	r.checkComplete(model, prompt, first)
+	r.check("the repeated request got the same response", second.Text == first.Text && second.Header.Get(gateway.HeaderReplayed) == "true")
+	runs := r.system.CountStarts(first.Header.Get("X-Request-Id")) + r.system.CountStarts(second.Header.Get("X-Request-Id"))
+	r.check(fmt.Sprintf("engines executed it once (%d)", runs), runs == 1)
 }
 
-func (r *devRun) checkWhole(model, prompt string, answer Answer) {
-	wanted := strings.Join(engines.Answer(model, prompt, devAnswerTokens), "")
-	r.check("the caller got the whole answer to its own request", answer.Whole && answer.Text == wanted)
+func (r *devRun) checkComplete(model, prompt string, response Completion) {
+	want := strings.Join(engines.Completion(model, prompt, devMaxTokens), "")
+	r.check("the caller got the complete response to its own request", response.Complete && response.Text == want)
 }
 
-func (r *devRun) ask(ctx context.Context, sample devAsk) Answer {
-	answer, err := Ask(ctx, AskOptions{
+func (r *devRun) send(ctx context.Context, sample devRequest) Completion {
+	response, err := SendRequest(ctx, RequestOptions{
 		Address: r.system.Daemons[sample.daemon].Addresses().Gateway, Key: sample.key, Model: sample.model,
-		Prompt: sample.prompt, MaxTokens: devAnswerTokens, Stream: sample.stream, Headers: sample.headers,
+		Prompt: sample.prompt, MaxTokens: devMaxTokens, Stream: sample.stream, Headers: sample.headers,
 	})
 	r.printf("%s\n", sample.title)
 	if err != nil {
 		r.printf("    %v\n", err)
-		return Answer{Header: http.Header{}}
+		return Completion{Header: http.Header{}}
 	}
-	r.printf("    %s -> %d, first byte %.0f ms, all %.0f ms, home %s, engine %s\n", sample.model, answer.Status,
-		milliseconds(answer.FirstByte), milliseconds(answer.Total), orNone(answer.Header.Get(gateway.HeaderHome)),
-		orNone(answer.Header.Get(gateway.HeaderEngine)))
-	return answer
+	r.printf("    %s -> %d, first byte %.0f ms, complete %.0f ms, home %s, engine %s\n", sample.model, response.Status,
+		milliseconds(response.FirstByte), milliseconds(response.Total), orNone(response.Header.Get(gateway.HeaderHome)),
+		orNone(response.Header.Get(gateway.HeaderEngine)))
+	return response
 }
 
 func orNone(text string) string {
@@ -176,7 +175,7 @@
 	return float64(duration) / float64(time.Millisecond)
 }
 
-func (r *devRun) printHints() {
+func (r *devRun) printUsage() {
 	gatewayAddress := r.system.Daemons[0].Addresses().Gateway
 	adminAddress := r.system.Daemons[0].Addresses().Admin
 	r.printf(`
--- a/lab/overhead.go
+++ b/lab/overhead.go
@@ -17,26 +17,26 @@
 	"github.com/finchspoke/finchspoke/settings"
 )
 
-// OverheadOptions describe a measurement of what finchspoke adds.
+// OverheadOptions configures a measurement of the overhead that finchspoke adds to a request.
 type OverheadOptions struct {
-	Programs string // directory of the built programs
-	Requests int    // of each kind, for the times
-	Streams  int    // long streams, for the cost of a token
-	Tokens   int    // of each long stream
+	BinDirectory string // directory of the finchspoke and finchlab programs
+	Requests     int    // on each path, for the latencies
+	Streams      int    // long streams, for the cost per token
+	Tokens       int    // of each long stream
 }
 
-// OverheadReport compares requests through two daemons with requests sent to the
-// engine stand-in directly, in turn in one run.
+// OverheadReport compares requests proxied by two daemons with requests sent directly to the engine stand-in,
+// interleaved in one run.
 type OverheadReport struct {
-	Direct            Quantiles `json:"direct_first_token"`
-	Through           Quantiles `json:"through_first_token"`
-	Keyed             Quantiles `json:"keyed_first_token"` // through, with an idempotency key
-	DirectPerTokenMs  float64   `json:"direct_per_token_ms"`
-	ThroughPerTokenMs float64   `json:"through_per_token_ms"`
-	GatewayRequestUs  float64   `json:"gateway_cpu_us_per_request"`
-	HomeRequestUs     float64   `json:"home_cpu_us_per_request"`
-	GatewayTokensMs   float64   `json:"gateway_cpu_ms_per_1000_tokens"`
-	GatewayResident   uint64    `json:"gateway_resident_bytes"`
+	Direct                    Quantiles `json:"direct_first_token"`
+	Proxied                   Quantiles `json:"through_first_token"`
+	Keyed                     Quantiles `json:"keyed_first_token"` // proxied, with an idempotency key
+	DirectPerTokenMs          float64   `json:"direct_per_token_ms"`
+	ProxiedPerTokenMs         float64   `json:"through_per_token_ms"`
+	GatewayCPUPerRequestUs    float64   `json:"gateway_cpu_us_per_request"`
+	HomeCPUPerRequestUs       float64   `json:"home_cpu_us_per_request"`
+	GatewayCPUPer1000TokensMs float64   `json:"gateway_cpu_ms_per_1000_tokens"`
+	GatewayResidentBytes      uint64    `json:"gateway_resident_bytes"`
 }
 
 const (
@@ -56,38 +56,38 @@
     models:
       - {name: measured, service: lm, version: "1", accelerators: 1, memory: 14GiB}
 `
-	overheadTokens = 16
-	overheadStep   = "1ms"
-	warmRequests   = 200
-	overheadStart  = 30 * time.Second
+	overheadTokens       = 16
+	overheadStepTime     = "1ms"
+	warmupRequests       = 200
+	overheadStartTimeout = 30 * time.Second
 )
 
-// overheadRun is a running measurement.
+// overheadRun is a measurement in progress.
 type overheadRun struct {
 	OverheadOptions
-	engine  *processes.Process
-	gateway *processes.Daemon // not the model's home
-	home    *processes.Daemon
-	number  int
+	engine       *processes.Process
+	gateway      *processes.Daemon // the daemon that is not the model's home
+	home         *processes.Daemon
+	requestCount int
 }
 
-// Overhead measures on real processes that it starts on loopback.
-func Overhead(ctx context.Context, options OverheadOptions) (OverheadReport, error) {
-	cluster := &processes.Cluster{Directory: options.Programs}
+// MeasureOverhead starts processes on loopback and measures latency and CPU cost of requests through them.
+func MeasureOverhead(ctx context.Context, options OverheadOptions) (OverheadReport, error) {
+	cluster := &processes.Cluster{Directory: options.BinDirectory}
 	defer cluster.Stop()
 	run := &overheadRun{OverheadOptions: options}
 	if err := run.start(ctx, cluster); err != nil {
 		return OverheadReport{}, err
 	}
 	var report OverheadReport
-	if err := run.times(ctx, &report); err != nil {
+	if err := run.measureLatency(ctx, &report); err != nil {
 		return report, err
 	}
-	return report, run.costs(ctx, &report)
+	return report, run.measureCosts(ctx, &report)
 }
 
 func (r *overheadRun) start(ctx context.Context, cluster *processes.Cluster) error {
-	ctx, cancel := context.WithTimeout(ctx, overheadStart)
+	ctx, cancel := context.WithTimeout(ctx, overheadStartTimeout)
 	defer cancel()
 	keyValue, err := cluster.Standin("key-value")
 	if err != nil {
@@ -101,7 +101,7 @@
 	if err != nil {
 		return err
 	}
-	r.engine, err = cluster.Standin("engine", "--id", "engine-1", "--weight-store", weights.Address, "--accelerators", "1", "--step", overheadStep)
+	r.engine, err = cluster.Standin("engine", "--id", "engine-1", "--weight-store", weights.Address, "--accelerators", "1", "--step", overheadStepTime)
 	if err != nil {
 		return err
 	}
@@ -114,11 +114,11 @@
 	if err != nil {
 		return err
 	}
-	if _, err := processes.Apply(ctx, daemons[0].Admin, 0, fmt.Sprintf(overheadTree, settings.HashKey(overheadKey))); err != nil {
+	if _, err := processes.ApplySettings(ctx, daemons[0].Admin, 0, fmt.Sprintf(overheadTree, settings.HashKey(overheadKey))); err != nil {
 		return err
 	}
-	for _, started := range daemons {
-		if err := processes.WaitReady(ctx, started.Admin, 1, len(daemons)); err != nil {
+	for _, d := range daemons {
+		if err := processes.WaitReady(ctx, d.Admin, 1, len(daemons)); err != nil {
 			return err
 		}
 	}
@@ -133,28 +133,28 @@
 		for _, peer := range daemons {
 			arguments = append(arguments, "--peer", peer.RPC)
 		}
-		started, err := cluster.Daemon(fmt.Sprintf("daemon-%d", number+1), arguments...)
+		d, err := cluster.Daemon(fmt.Sprintf("daemon-%d", number+1), arguments...)
 		if err != nil {
 			return nil, err
 		}
-		daemons = append(daemons, started)
+		daemons = append(daemons, d)
 	}
 	return daemons, nil
 }
 
-// findHome tells the daemons apart by who is home to the model.
+// findHome finds out which daemon is the model's home, then warms up all paths.
 func (r *overheadRun) findHome(ctx context.Context, daemons []*processes.Daemon) error {
 	r.gateway, r.home = daemons[0], daemons[1]
-	answer, err := r.ask(ctx, through, 1)
+	response, err := r.send(ctx, proxied, 1)
 	if err != nil {
 		return err
 	}
-	if answer.Header.Get(gateway.HeaderHome) == daemons[0].Name {
+	if response.Header.Get(gateway.HeaderHome) == daemons[0].Name {
 		r.gateway, r.home = daemons[1], daemons[0]
 	}
-	for range warmRequests {
-		for way := range overheadWays {
-			if _, err := r.ask(ctx, way, overheadTokens); err != nil {
+	for range warmupRequests {
+		for path := range overheadPathCount {
+			if _, err := r.send(ctx, path, overheadTokens); err != nil {
 				return err
 			}
 		}
@@ -162,66 +162,65 @@
 	return nil
 }
 
-// overheadWay is how a request is sent.
-type overheadWay int
+// overheadPath is the path of a request to the engine.
+type overheadPath int
 
 const (
-	direct overheadWay = iota
-	through
+	direct overheadPath = iota
+	proxied
 	keyed
-	overheadWays
+	overheadPathCount
 )
 
-// ask sends one stream, through the daemons or to the engine directly.
-func (r *overheadRun) ask(ctx context.Context, way overheadWay, tokens int) (Answer, error) {
-	r.number++
+// send sends one streaming request on a path and reads the complete response.
+func (r *overheadRun) send(ctx context.Context, path overheadPath, tokens int) (Completion, error) {
+	r.requestCount++
 	address := r.gateway.Gateway
 	headers := map[string]string{}
-	switch way {
+	switch path {
 	case direct:
 		address = r.engine.Address
 	case keyed:
 		headers[gateway.HeaderIdempotencyKey] = uuid.NewString()
 	}
-	answer, err := Ask(ctx, AskOptions{Address: address, Key: overheadKey, Model: overheadModel,
-		Prompt: fmt.Sprintf("request %d", r.number), MaxTokens: tokens, Stream: true, Headers: headers})
-	if err == nil && !answer.Whole {
-		err = errors.Errorf("request %d ended with status %d: %s", r.number, answer.Status, answer.Text)
+	response, err := SendRequest(ctx, RequestOptions{Address: address, Key: overheadKey, Model: overheadModel,
+		Prompt: fmt.Sprintf("request %d", r.requestCount), MaxTokens: tokens, Stream: true, Headers: headers})
+	if err == nil && !response.Complete {
+		err = errors.Errorf("request %d ended with status %d: %s", r.requestCount, response.Status, response.Text)
 	}
-	return answer, err
+	return response, err
 }
 
-// times sends requests both ways in turn.
-func (r *overheadRun) times(ctx context.Context, report *OverheadReport) error {
-	var first [overheadWays]*hdrhistogram.Histogram
-	var perToken [overheadWays]time.Duration
-	for way := range first {
-		first[way] = hdrhistogram.New(histogramLowest, histogramHighest, histogramDigits)
+// measureLatency measures the latencies of short requests, alternating between the paths.
+func (r *overheadRun) measureLatency(ctx context.Context, report *OverheadReport) error {
+	var firstToken [overheadPathCount]*hdrhistogram.Histogram
+	var perToken [overheadPathCount]time.Duration
+	for path := range firstToken {
+		firstToken[path] = hdrhistogram.New(histogramMinMicros, histogramMaxMicros, histogramDigits)
 	}
 	for range r.Requests {
-		for way := range first {
-			answer, err := r.ask(ctx, overheadWay(way), overheadTokens)
+		for path := range firstToken {
+			response, err := r.send(ctx, overheadPath(path), overheadTokens)
 			if err != nil {
 				return err
 			}
-			_ = first[way].RecordValue(answer.FirstByte.Microseconds()) // within range
-			perToken[way] += (answer.Total - answer.FirstByte) / (overheadTokens - 1)
+			_ = firstToken[path].RecordValue(response.FirstByte.Microseconds()) // within range
+			perToken[path] += (response.Total - response.FirstByte) / (overheadTokens - 1)
 		}
 	}
-	report.Direct, report.Through, report.Keyed = quantiles(first[direct]), quantiles(first[through]), quantiles(first[keyed])
+	report.Direct, report.Proxied, report.Keyed = quantiles(firstToken[direct]), quantiles(firstToken[proxied]), quantiles(firstToken[keyed])
 	report.DirectPerTokenMs = milliseconds(perToken[direct]) / float64(r.Requests)
-	report.ThroughPerTokenMs = milliseconds(perToken[through]) / float64(r.Requests)
+	report.ProxiedPerTokenMs = milliseconds(perToken[proxied]) / float64(r.Requests)
 	return nil
 }
 
-// costs reads the daemons' processor time around many short requests, then
-// around long streams.
-func (r *overheadRun) costs(ctx context.Context, report *OverheadReport) error {
-	gatewayRequest, homeRequest, err := r.spend(ctx, r.Requests, 1)
+// measureCosts measures the daemons' CPU time for many short requests, then for long streams.
+func (r *overheadRun) measureCosts(ctx context.Context, report *OverheadReport) error {
+	gatewayRequest, homeRequest, err := r.measureCPU(ctx, r.Requests, 1)
 	if err != nil {
 		return err
 	}
-	gatewayStream, _, err := r.spend(ctx, r.Streams, r.Tokens)
+	gatewayStream, _, err := r.measureCPU(ctx, r.Streams, r.Tokens)
 	if err != nil {
 		return err
 	}
@@ -230,17 +229,17 @@
 		return err
 	}
 	perRequest := gatewayRequest / time.Duration(r.Requests)
-	report.GatewayRequestUs = float64(perRequest.Microseconds())
-	report.HomeRequestUs = float64((homeRequest / time.Duration(r.Requests)).Microseconds())
+	report.GatewayCPUPerRequestUs = float64(perRequest.Microseconds())
+	report.HomeCPUPerRequestUs = float64((homeRequest / time.Duration(r.Requests)).Microseconds())
 	streams := gatewayStream - time.Duration(r.Streams)*perRequest
 	const thousand = 1000
-	report.GatewayTokensMs = milliseconds(streams) * thousand / float64(r.Streams*r.Tokens)
-	report.GatewayResident = usage.ResidentBytes
+	report.GatewayCPUPer1000TokensMs = milliseconds(streams) * thousand / float64(r.Streams*r.Tokens)
+	report.GatewayResidentBytes = usage.ResidentBytes
 	return nil
 }
 
-// spend returns the processor time that requests cost the two daemons.
-func (r *overheadRun) spend(ctx context.Context, requests, tokens int) (atGateway, atHome time.Duration, err error) {
+// measureCPU sends requests and returns the CPU time that the two daemons spent on them.
+func (r *overheadRun) measureCPU(ctx context.Context, requests, tokens int) (atGateway, atHome time.Duration, err error) {
 	read := func() (gatewayCPU, homeCPU time.Duration, err error) {
 		first, err := r.gateway.Usage(ctx)
 		if err != nil {
@@ -254,7 +253,7 @@
 		return 0, 0, err
 	}
 	for range requests {
-		if _, err := r.ask(ctx, through, tokens); err != nil {
+		if _, err := r.send(ctx, proxied, tokens); err != nil {
 			return 0, 0, err
 		}
 	}
@@ -262,17 +261,17 @@
 	return gatewayAfter - gatewayBefore, homeAfter - homeBefore, err
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report as text.
 func (r OverheadReport) WriteText(writer io.Writer) error {
 	lines := []string{
 		"first token, direct   " + r.Direct.String(),
-		"first token, through  " + r.Through.String(),
+		"first token, proxied  " + r.Proxied.String(),
 		"first token, keyed    " + r.Keyed.String(),
-		fmt.Sprintf("added to the first token: p50 %.3f ms, p99 %.3f ms", r.Through.P50-r.Direct.P50, r.Through.P99-r.Direct.P99),
-		fmt.Sprintf("time between tokens: direct %.3f ms, through %.3f ms", r.DirectPerTokenMs, r.ThroughPerTokenMs),
-		fmt.Sprintf("processor time: gateway %.0f us and home %.0f us a request; gateway %.2f ms per 1000 tokens",
-			r.GatewayRequestUs, r.HomeRequestUs, r.GatewayTokensMs),
-		fmt.Sprintf("gateway's resident memory %.1f MB", float64(r.GatewayResident)/float64(settings.MiB)),
+		fmt.Sprintf("added to the first token: p50 %.3f ms, p99 %.3f ms", r.Proxied.P50-r.Direct.P50, r.Proxied.P99-r.Direct.P99),
+		fmt.Sprintf("time between tokens: direct %.3f ms, proxied %.3f ms", r.DirectPerTokenMs, r.ProxiedPerTokenMs),
+		fmt.Sprintf("CPU time: gateway %.0f us and home %.0f us per request; gateway %.2f ms per 1000 tokens",
+			r.GatewayCPUPerRequestUs, r.HomeCPUPerRequestUs, r.GatewayCPUPer1000TokensMs),
+		fmt.Sprintf("resident memory of the gateway %.1f MB", float64(r.GatewayResidentBytes)/float64(settings.MiB)),
 	}
 	_, err := fmt.Fprintln(writer, strings.Join(lines, "\n"))
 	return errors.Wrap(err, "write report")
--- a/lab/overload.go
+++ b/lab/overload.go
@@ -15,20 +15,20 @@
 	"github.com/finchspoke/finchspoke/standin/engines"
 )
 
-// OverloadOptions describe a measurement around and beyond capacity.
+// OverloadOptions configures a measurement at and beyond capacity.
 type OverloadOptions struct {
 	Multiples []float64 // of capacity
 	Duration  time.Duration
 	Log       logrus.FieldLogger
 }
 
-// OverloadStep is what came of one multiple, by class.
+// OverloadStep is the result at one multiple of capacity, by class.
 type OverloadStep struct {
 	Multiple float64               `json:"multiple"`
 	Classes  map[string]LoadReport `json:"classes"`
 }
 
-// OverloadReport is the result of all multiples.
+// OverloadReport holds the results at all multiples of capacity.
 type OverloadReport struct {
 	CapacityPerSecond float64        `json:"capacity_requests_per_second"`
 	Steps             []OverloadStep `json:"steps"`
@@ -38,8 +38,8 @@
 	overloadKey      = "overload-key"
 	overloadModel    = "loaded"
 	overloadReplicas = 2
-	overloadBatch    = 8
-	overloadAnswer   = 20
+	overloadMaxBatch = 8
+	overloadTokens   = 20
 	overloadStepTime = 20 * time.Millisecond
 	overloadTree     = `regions:
   - name: here
@@ -57,8 +57,8 @@
 `
 )
 
-// overloadClasses are the classes with their share of the load and their deadline.
-// Interactive load alone stays below capacity at every multiple up to 4.
+// overloadClasses lists each class with its share of the load and its deadline. Interactive load alone stays below
+// capacity at multiples up to 4.
 var overloadClasses = []struct {
 	name     string
 	share    float64
@@ -69,17 +69,17 @@
 	{"bulk", 0.4, 10 * time.Second},
 }
 
-// Overload sends all classes together at each multiple of what the engines carry.
-func Overload(ctx context.Context, options OverloadOptions) (OverloadReport, error) {
-	perRequest := time.Duration(overloadAnswer+1) * overloadStepTime
-	report := OverloadReport{CapacityPerSecond: overloadReplicas * overloadBatch / perRequest.Seconds()}
+// MeasureOverload sends requests of all classes concurrently, at each multiple of the engines' capacity.
+func MeasureOverload(ctx context.Context, options OverloadOptions) (OverloadReport, error) {
+	perRequest := time.Duration(overloadTokens+1) * overloadStepTime
+	report := OverloadReport{CapacityPerSecond: overloadReplicas * overloadMaxBatch / perRequest.Seconds()}
 	tree, err := settings.Parse(settings.Source{Name: "overload", Data: fmt.Appendf(nil, overloadTree, settings.HashKey(overloadKey))})
 	if err != nil {
 		return report, err
 	}
 	timing := engines.DefaultTiming()
-	timing.Step, timing.MaxBatch = overloadStepTime, overloadBatch
-	system, err := StartSystem(Options{Tree: tree, Timing: timing, WeightBytesRate: devWeightRate, Log: options.Log,
+	timing.StepTime, timing.MaxBatch = overloadStepTime, overloadMaxBatch
+	system, err := StartSystem(Options{Tree: tree, Timing: timing, WeightBytesPerSecond: devWeightBytesPerSecond, Log: options.Log,
 		Daemons: []Location{{"here", "zone-1"}, {"here", "zone-2"}, {"here", "zone-3"}}})
 	if err != nil {
 		return report, err
@@ -88,11 +88,11 @@
 	if err := system.Apply(ctx); err != nil {
 		return report, err
 	}
-	if _, err := system.overload(ctx, report.CapacityPerSecond/2, time.Second); err != nil { // warms up
+	if _, err := system.sendAllClasses(ctx, report.CapacityPerSecond/2, time.Second); err != nil { // warm-up
 		return report, err
 	}
 	for _, multiple := range options.Multiples {
-		classes, err := system.overload(ctx, multiple*report.CapacityPerSecond, options.Duration)
+		classes, err := system.sendAllClasses(ctx, multiple*report.CapacityPerSecond, options.Duration)
 		if err != nil {
 			return report, err
 		}
@@ -101,24 +101,24 @@
 	return report, nil
 }
 
-// overload sends all classes side by side at a rate in all.
-func (s *System) overload(ctx context.Context, rate float64, duration time.Duration) (map[string]LoadReport, error) {
+// sendAllClasses sends requests of all classes concurrently; rate is their total.
+func (s *System) sendAllClasses(ctx context.Context, rate float64, duration time.Duration) (map[string]LoadReport, error) {
 	var addresses []string
-	for _, started := range s.Daemons {
-		addresses = append(addresses, started.Addresses().Gateway)
+	for _, d := range s.Daemons {
+		addresses = append(addresses, d.Addresses().Gateway)
 	}
 	reports := make([]LoadReport, len(overloadClasses))
 	failures := make([]error, len(overloadClasses))
-	var open sync.WaitGroup
+	var inFlight sync.WaitGroup
 	for index, class := range overloadClasses {
-		open.Add(1)
+		inFlight.Add(1)
 		go func() {
-			defer open.Done()
-			reports[index], failures[index] = Load(ctx, LoadOptions{Addresses: addresses, Key: overloadKey, Models: []string{overloadModel},
-				Rate: rate * class.share, Duration: duration, Tokens: overloadAnswer, Class: class.name, Deadline: class.deadline})
+			defer inFlight.Done()
+			reports[index], failures[index] = GenerateLoad(ctx, LoadOptions{Addresses: addresses, Key: overloadKey, Models: []string{overloadModel},
+				Rate: rate * class.share, Duration: duration, Tokens: overloadTokens, Class: class.name, Deadline: class.deadline})
 		}()
 	}
-	open.Wait()
+	inFlight.Wait()
 	classes := map[string]LoadReport{}
 	for index, class := range overloadClasses {
 		if failures[index] != nil {
@@ -129,16 +129,16 @@
 	return classes, nil
 }
 
-// WriteText writes the report for people.
+// WriteText writes the report as text.
 func (r OverloadReport) WriteText(writer io.Writer) error {
-	lines := []string{fmt.Sprintf("capacity %.1f requests a second", r.CapacityPerSecond)}
+	lines := []string{fmt.Sprintf("capacity %.1f requests per second", r.CapacityPerSecond)}
 	for _, step := range r.Steps {
 		for _, class := range overloadClasses {
-			one := step.Classes[class.name]
-			refused := one.Sent - one.Whole
-			lines = append(lines, fmt.Sprintf("%4.1fx %-12s sent %4d, whole %4d (%.1f/s), refused or late %4d, wrong %d; first byte p50 %.0f p99 %.0f p99.9 %.0f ms; all max %.0f ms %v",
-				step.Multiple, class.name, one.Sent, one.Whole, float64(one.Whole)/one.Seconds, refused, one.Wrong,
-				one.FirstByte.P50, one.FirstByte.P99, one.FirstByte.P999, one.Total.Max, one.Outcomes))
+			result := step.Classes[class.name]
+			failed := result.Sent - result.Complete
+			lines = append(lines, fmt.Sprintf("%4.1fx %-12s sent %4d, complete %4d (%.1f/s), rejected or late %4d, wrong %d; first byte p50 %.0f p99 %.0f p99.9 %.0f ms; complete max %.0f ms %v",
+				step.Multiple, class.name, result.Sent, result.Complete, float64(result.Complete)/result.Seconds, failed, result.Wrong,
+				result.FirstByte.P50, result.FirstByte.P99, result.FirstByte.P999, result.Total.Max, result.Outcomes))
 		}
 	}
 	_, err := fmt.Fprintln(writer, strings.Join(lines, "\n"))
--- a/lab/processes/processes.go
+++ b/lab/processes/processes.go
@@ -1,5 +1,5 @@
-// Package processes starts real finchspoke and finchlab processes on loopback,
-// for integration tests and measurements. It ends only what it started.
+// Package processes starts finchspoke and finchlab processes on loopback for integration tests and measurements.
+// It only stops processes that it started.
 package processes
 
 import (
@@ -23,24 +23,24 @@
 	"github.com/finchspoke/finchspoke/machinelist"
 )
 
-// Cluster is a set of processes built from the programs in a directory.
+// Cluster is a set of processes started from the programs in a directory.
 type Cluster struct {
-	Directory string // of the built programs
+	Directory string // contains the finchspoke and finchlab programs
 
 	mutex   sync.Mutex
 	running []*Process
 }
 
-// Process is one process.
+// Process is a started daemon or stand-in.
 type Process struct {
 	Name    string
-	Address string // first line of a stand-in's output; empty for a daemon
+	Address string // read from the first line of a stand-in's output; empty for a daemon
 	command *exec.Cmd
 	output  *logBuffer
-	ended   chan struct{}
+	exited  chan struct{}
 }
 
-// logBuffer keeps the last output of a process for failure reports.
+// logBuffer keeps up to maxLogBytes of a process's output, for failure reports.
 type logBuffer struct {
 	mutex sync.Mutex
 	data  bytes.Buffer
@@ -53,12 +53,12 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.data.Len() < maxLogBytes {
-		_, _ = l.data.Write(data) // a bytes.Buffer takes every write
+		_, _ = l.data.Write(data) // never fails
 	}
 	return len(data), nil
 }
 
-// Build builds the programs into a directory.
+// Build builds all programs of the module into a directory.
 func Build(ctx context.Context, moduleRoot, directory string) error {
 	build := exec.CommandContext(ctx, "go", "build", "-o", directory+string(filepath.Separator), "./cmd/...")
 	build.Dir = moduleRoot
@@ -66,43 +66,43 @@
 	return errors.Wrapf(err, "go build: %s", output)
 }
 
-// start starts a program; with address set its first line of output is awaited.
-func (c *Cluster) start(name, program string, address bool, arguments ...string) (*Process, error) {
-	started := &Process{Name: name, command: exec.Command(filepath.Join(c.Directory, program), arguments...),
-		output: &logBuffer{}, ended: make(chan struct{})}
-	started.command.Stderr = started.output
-	stdout, err := started.command.StdoutPipe()
+// start starts a program. With readAddress it waits for the first output line and stores it as the address.
+func (c *Cluster) start(name, program string, readAddress bool, arguments ...string) (*Process, error) {
+	process := &Process{Name: name, command: exec.Command(filepath.Join(c.Directory, program), arguments...),
+		output: &logBuffer{}, exited: make(chan struct{})}
+	process.command.Stderr = process.output
+	stdout, err := process.command.StdoutPipe()
 	if err != nil {
-		return nil, errors.Wrap(err, "connect output")
+		return nil, errors.Wrap(err, "create output pipe")
 	}
-	if err := started.command.Start(); err != nil {
+	if err := process.command.Start(); err != nil {
 		return nil, errors.Wrapf(err, "start %s", name)
 	}
 	c.mutex.Lock()
-	c.running = append(c.running, started)
+	c.running = append(c.running, process)
 	c.mutex.Unlock()
 	reader := bufio.NewReader(stdout)
-	if address {
+	if readAddress {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			return nil, errors.Wrapf(err, "%s gave no address: %s", name, started.Log())
+			return nil, errors.Wrapf(err, "%s printed no address: %s", name, process.Output())
 		}
-		started.Address = strings.TrimSpace(line)
+		process.Address = strings.TrimSpace(line)
 	}
 	go func() {
-		_, _ = reader.WriteTo(started.output) // until the process ends
-		_ = started.command.Wait()
-		close(started.ended)
+		_, _ = reader.WriteTo(process.output) // until the process exits
+		_ = process.command.Wait()
+		close(process.exited)
 	}()
-	return started, nil
+	return process, nil
 }
 
-// Standin starts a stand-in and waits for its address.
+// Standin starts a stand-in of a kind and waits until it has printed its address.
 func (c *Cluster) Standin(kind string, arguments ...string) (*Process, error) {
 	return c.start(kind, "finchlab", true, append([]string{"standin", kind}, arguments...)...)
 }
 
-// Daemon is a daemon process with its addresses.
+// Daemon is a daemon process and its addresses.
 type Daemon struct {
 	*Process
 	Gateway string
@@ -111,79 +111,79 @@
 }
 
 const (
-	daemonStart = 10 * time.Second
-	pollPause   = 10 * time.Millisecond
+	daemonStartTimeout = 10 * time.Second
+	pollInterval       = 10 * time.Millisecond
 )
 
-// startedLine is the log line that names a daemon's addresses.
-type startedLine struct {
+// startedEntry is the log entry in which a daemon reports its addresses.
+type startedEntry struct {
 	Message string `json:"message"`
 	Gateway string `json:"gateway"`
 	RPC     string `json:"rpc"`
 	Admin   string `json:"admin"`
 }
 
-// Daemon starts a daemon on free ports and waits until it listens.
+// Daemon starts a daemon on free ports and waits until it has logged its addresses.
 func (c *Cluster) Daemon(id string, arguments ...string) (*Daemon, error) {
 	arguments = append([]string{"serve", "--id", id, "--listen-gateway", "127.0.0.1:0", "--listen-rpc", "127.0.0.1:0",
 		"--listen-gossip", "127.0.0.1:0", "--listen-admin", "127.0.0.1:0"}, arguments...)
-	started, err := c.start(id, "finchspoke", false, arguments...)
+	process, err := c.start(id, "finchspoke", false, arguments...)
 	if err != nil {
 		return nil, err
 	}
-	for deadline := time.Now().Add(daemonStart); time.Now().Before(deadline); time.Sleep(pollPause) {
-		for _, line := range strings.Split(started.Log(), "\n") {
-			var told startedLine
-			if json.Unmarshal([]byte(line), &told) == nil && told.Message == "daemon started" {
-				return &Daemon{Process: started, Gateway: told.Gateway, RPC: told.RPC, Admin: told.Admin}, nil
+	for deadline := time.Now().Add(daemonStartTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
+		for _, line := range strings.Split(process.Output(), "\n") {
+			var entry startedEntry
+			if json.Unmarshal([]byte(line), &entry) == nil && entry.Message == "daemon started" {
+				return &Daemon{Process: process, Gateway: entry.Gateway, RPC: entry.RPC, Admin: entry.Admin}, nil
 			}
 		}
-		if started.Ended() {
+		if process.HasExited() {
 			break
 		}
 	}
-	return nil, errors.Errorf("daemon %s did not start: %s", id, started.Log())
+	return nil, errors.Errorf("daemon %s did not start: %s", id, process.Output())
 }
 
-// Log returns what the process has written.
-func (p *Process) Log() string {
+// Output returns what the process has written to standard output and standard error.
+func (p *Process) Output() string {
 	p.output.mutex.Lock()
 	defer p.output.mutex.Unlock()
 	return p.output.data.String()
 }
 
-// Signal sends a signal to the process.
+// Signal sends a signal to the process, without waiting for its effect.
 func (p *Process) Signal(signal syscall.Signal) error {
 	return errors.Wrapf(p.command.Process.Signal(signal), "signal %s", p.Name)
 }
 
-// Kill ends the process at once and waits for it.
+// Kill kills the process and waits until it has exited.
 func (p *Process) Kill() {
-	_ = p.command.Process.Kill() // it may have ended
-	<-p.ended
+	_ = p.command.Process.Kill() // the process may have exited already
+	<-p.exited
 }
 
-// Ended tells whether the process has ended.
-func (p *Process) Ended() bool {
+// HasExited reports whether the process has exited.
+func (p *Process) HasExited() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return true
 	default:
 		return false
 	}
 }
 
-// Wait waits for the process to end and returns its exit code.
+// Wait waits for the process to exit and returns its exit code.
 func (p *Process) Wait(ctx context.Context) (int, error) {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return p.command.ProcessState.ExitCode(), nil
 	case <-ctx.Done():
-		return 0, errors.Wrapf(ctx.Err(), "%s still runs", p.Name)
+		return 0, errors.Wrapf(ctx.Err(), "%s is still running", p.Name)
 	}
 }
 
-// Stop kills all processes that were started.
+// Stop kills all processes of the cluster.
 func (c *Cluster) Stop() {
 	c.mutex.Lock()
 	running := c.running
@@ -193,7 +193,7 @@
 	}
 }
 
-// PostJSON posts a message to a stand-in's control interface.
+// PostJSON posts a message to the control API of a stand-in.
 func PostJSON(ctx context.Context, address, path string, message any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
@@ -205,17 +205,17 @@
 	}
 	response, err := http.DefaultClient.Do(httpRequest)
 	if err != nil {
-		return errors.Wrap(err, "post")
+		return errors.Wrap(err, "send request")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return errors.Errorf("%s answered status %d", path, response.StatusCode)
+		return errors.Errorf("%s returned status %d", path, response.StatusCode)
 	}
 	return nil
 }
 
-// History reads a stand-in's history into entries, a pointer to a slice.
-func History(ctx context.Context, address string, entries any) error {
+// ReadHistory decodes a stand-in's history into entries, a pointer to a slice.
+func ReadHistory(ctx context.Context, address string, entries any) error {
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/history", nil)
 	if err != nil {
 		return errors.Wrap(err, "make request")
@@ -228,21 +228,20 @@
 	return errors.Wrap(json.NewDecoder(response.Body).Decode(entries), "read history")
 }
 
-// AddMachine lists an engine's machine.
+// AddMachine adds a machine to the machine list stand-in.
 func AddMachine(ctx context.Context, listAddress string, machine machinelist.Machine) error {
 	return PostJSON(ctx, listAddress, machinelist.Path, machine)
 }
 
-// Apply puts a settings tree in force through a daemon.
-func Apply(ctx context.Context, admin string, base uint64, text string) (uint64, error) {
+// ApplySettings submits a settings tree, based on revision base, to a daemon and returns the accepted revision.
+func ApplySettings(ctx context.Context, admin string, base uint64, text string) (uint64, error) {
 	var accepted adminapi.Revision
 	err := adminapi.Client{Address: admin}.Post(ctx, adminapi.PathApply, adminapi.Application{
 		BaseRevision: base, OperationID: uuid.NewString(), Author: "lab", YAML: text}, &accepted)
 	return accepted.Number, err
 }
 
-// WaitReady waits until a daemon is ready with a revision and knows a number of
-// running members.
+// WaitReady waits until a daemon is ready, has at least the settings revision and lists exactly members as alive.
 func WaitReady(ctx context.Context, admin string, revision uint64, members int) error {
 	for {
 		var status adminapi.Status
@@ -259,18 +258,18 @@
 		select {
 		case <-ctx.Done():
 			return errors.Wrapf(ctx.Err(), "daemon at %s is not ready: %d of %d members, revision %d", admin, running, members, status.SettingsRevision)
-		case <-time.After(pollPause):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// Usage is what a process has used so far.
+// Usage is the CPU time and memory of a process.
 type Usage struct {
 	CPU           time.Duration
 	ResidentBytes uint64
 }
 
-// Usage reads the metrics of a daemon.
+// Usage reads the daemon's CPU time and resident memory from its metrics.
 func (d *Daemon) Usage(ctx context.Context) (Usage, error) {
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Admin+"/metrics", nil)
 	if err != nil {
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -1,10 +1,6 @@
-// Package scale runs the daemons of a whole fleet in one process, and measures what their roles spend
-// and how long it takes until all have heard.
-//
-// The daemons are the product's own (package node), over loopback, with a key-value service in memory
-// and replicas that exist in the registry only. What is not modelled: bounds of links, processors and
-// descriptors, and delays between machines. So the figures are what the daemons ask of their machines,
-// not what happens where machines do not have it.
+// Package scale runs a fleet of daemons (package node) in one process and measures the cost of each role and how
+// fast changes propagate. The daemons communicate over loopback, with an in-memory key-value service and replicas
+// that exist only in its registry. Network delays and per-machine resource limits are not simulated.
 package scale
 
 import (
@@ -23,69 +19,68 @@
 	"github.com/finchspoke/finchspoke/node"
 )
 
-// Options are the sizes of a fleet.
+// Options configures a simulated fleet.
 type Options struct {
 	Daemons  int
 	Replicas int
 	Models   int
-	// KnownByAll is up to how many replicas every daemon knows them all; zero: the product's own.
+	// KnownByAll is the largest number of replicas of which every daemon keeps all records; zero: node.KnownByAll.
 	KnownByAll int
-	// RequestsPerSecond is how often a daemon's callers ask for a model, over all daemons.
+	// RequestsPerSecond is the total rate of simulated requests, over all daemons.
 	RequestsPerSecond float64
-	// Steady is how long the cost of an idle fleet is measured.
-	Steady time.Duration
-	Seed   uint64
-	Log    logrus.FieldLogger
-	// Progress is told what is being done; nil: nobody is.
+	// SteadyDuration is the period over which the steady-state cost is measured.
+	SteadyDuration time.Duration
+	Seed           uint64
+	Log            logrus.FieldLogger
+	// Progress is called when a step advances; it may be nil.
 	Progress func(step string, done, of int)
 }
 
 const (
-	zones = 5
-	// strongEach is every how many daemons one is on a strong machine.
-	strongEach  = 20
-	strongDelay = 75 * time.Millisecond
-	weakDelay   = 312 * time.Millisecond
-	// settleTime bounds each wait for all daemons.
-	settleTime = 2 * time.Minute
-	settlePoll = 5 * time.Millisecond
-	termGap    = 3 * time.Second
-	stopTime   = 2 * time.Second
-	// calmTime is how long the daemons have to find their directories before the cost is measured.
-	calmTime = 8 * time.Second
-	// registered is how many replicas enter the registry a second, as on the users' days.
-	registered = 500
+	zoneCount = 5
+	// One daemon in largeMachineInterval runs on a large machine, which campaigns for the term earlier.
+	largeMachineInterval  = 20
+	largeMachineTermDelay = 75 * time.Millisecond
+	smallMachineTermDelay = 312 * time.Millisecond
+	// settleTimeout limits each wait for all daemons.
+	settleTimeout      = 2 * time.Minute
+	settlePollInterval = 5 * time.Millisecond
+	termGap            = 3 * time.Second
+	stopTimeout        = 2 * time.Second
+	// warmupTime lets the daemons connect to their directories before the cost is measured.
+	warmupTime             = 8 * time.Second
+	registrationsPerSecond = 500
 )
 
-func zoneOf(number int) string { return fmt.Sprintf("zone-%d", number%zones) }
+func zoneOf(number int) string { return fmt.Sprintf("zone-%d", number%zoneCount) }
 
-// cluster are the daemons of a run.
+// cluster is the state of a run.
 type cluster struct {
 	Options
-	store   *store
-	random  *rand.Rand
-	daemons []*daemon
-	version int64
-	next    int // number of the next replica
+	store         *store
+	rng           *rand.Rand
+	daemons       []*daemon
+	configVersion int64
+	nextReplica   int // number of the next replica to add
 }
 
-// daemon is one of them; its node is replaced when it is started again.
+// daemon is a daemon of the cluster; a restart replaces its node.
 type daemon struct {
 	number int
 	node   *node.Node
-	ended  chan struct{}
+	exited chan struct{}
 }
 
-// Run starts a fleet, measures it and ends it.
+// Run starts a fleet, runs all measurements and stops it.
 func Run(ctx context.Context, options Options) (Report, error) {
 	if options.Daemons < 3 || options.Replicas < 1 || options.Models < 1 {
-		return Report{}, errors.New("use 3 daemons, a replica and a model at least")
+		return Report{}, errors.New("use 3 daemons, one replica and one model at least")
 	}
-	f := &cluster{Options: options, store: newStore(), random: rand.New(rand.NewPCG(options.Seed, 0))}
-	f.configure()
-	defer f.end()
+	c := &cluster{Options: options, store: newStore(), rng: rand.New(rand.NewPCG(options.Seed, 0))}
+	c.configure()
+	defer c.stopAll()
 	report := Report{Daemons: options.Daemons, Replicas: options.Replicas, Models: options.Models}
-	for _, step := range []func(context.Context, *Report) error{f.begin, f.steady, f.change, f.arrive, f.depart, f.restoreStore, f.loseHolder, f.loseAll} {
+	for _, step := range []func(context.Context, *Report) error{c.startAll, c.measureSteady, c.measureConfigChange, c.measureReplicaAdded, c.measureReplicaRemoved, c.measureStoreRestored, c.measureLeaderLost, c.measureAllLost} {
 		if err := step(ctx, &report); err != nil {
 			return report, err
 		}
@@ -93,205 +88,205 @@
 	return report, nil
 }
 
-func (f *cluster) progress(step string, done, of int) {
-	if f.Progress != nil {
-		f.Progress(step, done, of)
+func (c *cluster) progress(step string, done, of int) {
+	if c.Progress != nil {
+		c.Progress(step, done, of)
 	}
 }
 
-// configure writes the next routing table.
-func (f *cluster) configure() {
-	f.version++
-	f.store.put(tableKey, tableOf(f.version, f.Models))
+// configure writes a routing table with the next version.
+func (c *cluster) configure() {
+	c.configVersion++
+	c.store.put(tableKey, encodeTable(c.configVersion, c.Models))
 }
 
-// start starts a daemon.
-func (f *cluster) start(ctx context.Context, one *daemon) error {
-	delay := weakDelay
-	if one.number%strongEach == 0 {
-		delay = strongDelay
+// start starts a node for the daemon.
+func (c *cluster) start(ctx context.Context, d *daemon) error {
+	delay := smallMachineTermDelay
+	if d.number%largeMachineInterval == 0 {
+		delay = largeMachineTermDelay
 	}
-	made, err := node.New(node.Config{
-		ID: fmt.Sprintf("daemon-%04d", one.number), Zone: zoneOf(one.number / strongEach),
+	newNode, err := node.New(node.Config{
+		ID: fmt.Sprintf("daemon-%04d", d.number), Zone: zoneOf(d.number / largeMachineInterval),
 		CallerAddress: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0",
-		FirstStart: true, StopTime: stopTime, TermKey: termKey, EndsPrefix: endsPrefix, SizeKey: sizeKey, LeaseTime: leaseTime, TermDelay: delay,
-		KnownByAll: f.KnownByAll, LoadLimits: loader.Limits{Window: 5 * time.Second, Slack: 1, TermGap: termGap, FencesChecked: true},
-	}, adaptersFor(f.store), f.Log)
+		FirstStart: true, StopTime: stopTimeout, TermKey: termKey, EndsPrefix: crashPrefix, SizeKey: sizeKey, LeaseTime: leaseTTL, TermDelay: delay,
+		KnownByAll: c.KnownByAll, LoadLimits: loader.Limits{Window: 5 * time.Second, Slack: 1, TermGap: termGap, FencesChecked: true},
+	}, newAdapters(c.store), c.Log)
 	if err != nil {
-		return errors.Wrapf(err, "start daemon %d of %d; see how many open files a process may have", one.number, f.Daemons)
+		return errors.Wrapf(err, "start daemon %d of %d; check the limit of open files", d.number, c.Daemons)
 	}
-	one.node, one.ended = made, make(chan struct{})
+	d.node, d.exited = newNode, make(chan struct{})
 	go func() {
-		_ = made.Run(ctx)
-		close(one.ended)
+		_ = newNode.Run(ctx)
+		close(d.exited)
 	}()
 	return nil
 }
 
-// begin starts all daemons, and lets the replicas enter the registry.
-func (f *cluster) begin(ctx context.Context, report *Report) error {
-	for number := range f.Daemons {
-		one := &daemon{number: number}
-		if err := f.start(ctx, one); err != nil {
+// startAll starts all daemons and registers the replicas.
+func (c *cluster) startAll(ctx context.Context, report *Report) error {
+	for number := range c.Daemons {
+		d := &daemon{number: number}
+		if err := c.start(ctx, d); err != nil {
 			return err
 		}
-		f.daemons = append(f.daemons, one)
-		f.progress("daemons start", number+1, f.Daemons)
+		c.daemons = append(c.daemons, d)
+		c.progress("start daemons", number+1, c.Daemons)
 	}
-	for f.next < f.Replicas {
-		f.enter()
-		if f.next%registered == 0 {
-			f.progress("replicas enter the registry", f.next, f.Replicas)
+	for c.nextReplica < c.Replicas {
+		c.addReplica()
+		if c.nextReplica%registrationsPerSecond == 0 {
+			c.progress("register replicas", c.nextReplica, c.Replicas)
 			time.Sleep(time.Second)
 		}
 	}
-	taken, err := f.until(ctx, "all daemons serve", func(status node.Status) bool { return status.Ready && status.ConfigVersion == f.version })
-	report.Start = taken
+	propagation, err := c.waitForAll(ctx, "all daemons ready", func(status node.Status) bool { return status.Ready && status.ConfigVersion == c.configVersion })
+	report.Start = propagation
 	if err != nil {
 		return err
 	}
-	_, err = f.until(ctx, "the holder knows all replicas", func(status node.Status) bool { return status.Fence == 0 || status.Replicas >= f.Replicas })
+	_, err = c.waitForAll(ctx, "leader has all replicas", func(status node.Status) bool { return status.Fence == 0 || status.Replicas >= c.Replicas })
 	return err
 }
 
-// enter lets a replica enter the registry.
-func (f *cluster) enter() (id string) {
-	id, value := entryOf(f.next, f.Models)
-	f.next++
-	f.store.put(replicaPrefix+id, value)
+// addReplica registers the next replica.
+func (c *cluster) addReplica() (id string) {
+	id, value := newEntry(c.nextReplica, c.Models)
+	c.nextReplica++
+	c.store.put(replicaPrefix+id, value)
 	return id
 }
 
-// until waits until something holds at all daemons, and returns when it held at some shares of them.
-func (f *cluster) until(ctx context.Context, what string, holds func(node.Status) bool) (Reach, error) {
-	began := time.Now()
-	reached := make([]time.Duration, 0, len(f.daemons))
-	done := make([]bool, len(f.daemons))
-	for len(reached) < len(f.daemons) {
-		for index, one := range f.daemons {
-			if !done[index] && holds(one.node.Status()) {
+// waitForAll waits until the status of every daemon satisfies holds and returns the times at which they did.
+func (c *cluster) waitForAll(ctx context.Context, step string, holds func(node.Status) bool) (Propagation, error) {
+	start := time.Now()
+	reached := make([]time.Duration, 0, len(c.daemons))
+	done := make([]bool, len(c.daemons))
+	for len(reached) < len(c.daemons) {
+		for index, d := range c.daemons {
+			if !done[index] && holds(d.node.Status()) {
 				done[index] = true
-				reached = append(reached, time.Since(began))
+				reached = append(reached, time.Since(start))
 			}
 		}
-		f.progress(what, len(reached), len(f.daemons))
-		if time.Since(began) > settleTime || ctx.Err() != nil {
-			return reachOf(reached, len(f.daemons)), errors.Errorf("%s: %d of %d daemons after %s", what, len(reached), len(f.daemons), time.Since(began).Round(time.Second))
+		c.progress(step, len(reached), len(c.daemons))
+		if time.Since(start) > settleTimeout || ctx.Err() != nil {
+			return newPropagation(reached, len(c.daemons)), errors.Errorf("%s: %d of %d daemons after %s", step, len(reached), len(c.daemons), time.Since(start).Round(time.Second))
 		}
-		time.Sleep(settlePoll)
+		time.Sleep(settlePollInterval)
 	}
-	return reachOf(reached, len(f.daemons)), nil
+	return newPropagation(reached, len(c.daemons)), nil
 }
 
-// steady measures what the roles spend while nothing but callers' requests happens.
-func (f *cluster) steady(ctx context.Context, report *Report) error {
-	f.progress("a steady fleet", 0, 1)
-	f.ask(ctx, calmTime)
-	before, callsBefore := f.traffic(), f.calls()
-	cpu, began := processTime(), time.Now()
-	f.ask(ctx, f.Steady)
-	seconds := time.Since(began).Seconds()
-	report.CPUShare = (processTime() - cpu).Seconds() / seconds / float64(f.Daemons)
-	report.StoreCalls = float64(f.calls()-callsBefore) / seconds
-	after := f.traffic()
-	for index, one := range f.daemons {
-		report.add(one.node.Status(), float64(after[index]-before[index])/seconds)
+// measureSteady measures the cost of each role under simulated requests only.
+func (c *cluster) measureSteady(ctx context.Context, report *Report) error {
+	c.progress("a steady fleet", 0, 1)
+	c.simulateRequests(ctx, warmupTime)
+	before, callsBefore := c.peerBytes(), c.storeCalls()
+	cpu, start := processTime(), time.Now()
+	c.simulateRequests(ctx, c.SteadyDuration)
+	seconds := time.Since(start).Seconds()
+	report.CPUShare = (processTime() - cpu).Seconds() / seconds / float64(c.Daemons)
+	report.StoreCallsPerSecond = float64(c.storeCalls()-callsBefore) / seconds
+	after := c.peerBytes()
+	for index, d := range c.daemons {
+		report.add(d.node.Status(), float64(after[index]-before[index])/seconds)
 	}
 	var memory runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&memory)
-	report.HeapBytes = (memory.HeapAlloc + memory.StackInuse) / uint64(f.Daemons)
-	f.progress("a steady fleet", 1, 1)
+	report.HeapBytes = (memory.HeapAlloc + memory.StackInuse) / uint64(c.Daemons)
+	c.progress("a steady fleet", 1, 1)
 	return ctx.Err()
 }
 
-// ask lets callers ask for models, as often as the options say.
-func (f *cluster) ask(ctx context.Context, length time.Duration) {
+// simulateRequests reports requests for random models to random daemons at the configured rate.
+func (c *cluster) simulateRequests(ctx context.Context, duration time.Duration) {
 	const tick = 20 * time.Millisecond
-	owed := 0.0
-	for until := time.Now().Add(length); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(tick) {
-		for owed += f.RequestsPerSecond * tick.Seconds(); owed >= 1; owed-- {
-			one := f.daemons[f.random.IntN(len(f.daemons))]
-			one.node.Ask(serviceName, modelName(f.random.IntN(f.Models)))
+	due := 0.0
+	for until := time.Now().Add(duration); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(tick) {
+		for due += c.RequestsPerSecond * tick.Seconds(); due >= 1; due-- {
+			d := c.daemons[c.rng.IntN(len(c.daemons))]
+			d.node.Ask(serviceName, modelName(c.rng.IntN(c.Models)))
 		}
 	}
 }
 
-func (f *cluster) traffic() []uint64 {
-	bytes := make([]uint64, len(f.daemons))
-	for index, one := range f.daemons {
-		peers := one.node.Status().Peers
+func (c *cluster) peerBytes() []uint64 {
+	bytes := make([]uint64, len(c.daemons))
+	for index, d := range c.daemons {
+		peers := d.node.Status().Peers
 		bytes[index] = peers.SentBytes + peers.ReceivedBytes
 	}
 	return bytes
 }
 
-func (f *cluster) calls() int {
-	calls, _ := f.store.spent()
-	return calls
+func (c *cluster) storeCalls() int {
+	storeCalls, _ := c.store.usage()
+	return storeCalls
 }
 
-// change measures how long a routing table takes to all daemons.
-func (f *cluster) change(ctx context.Context, report *Report) (err error) {
-	f.configure()
-	report.Change, err = f.until(ctx, "a configuration is in force", func(status node.Status) bool { return status.ConfigVersion == f.version })
+// measureConfigChange measures how long a new routing table takes to become active on all daemons.
+func (c *cluster) measureConfigChange(ctx context.Context, report *Report) (err error) {
+	c.configure()
+	report.ConfigChange, err = c.waitForAll(ctx, "configuration active", func(status node.Status) bool { return status.ConfigVersion == c.configVersion })
 	return err
 }
 
-// arrive measures how long a new replica takes to the daemons that know all replicas.
-func (f *cluster) arrive(ctx context.Context, report *Report) (err error) {
-	f.enter()
-	known := f.next
-	report.Arrival, err = f.until(ctx, "a replica is known", func(status node.Status) bool { return !status.KnowsReplicas || status.Replicas >= known })
+// measureReplicaAdded measures how long a new replica takes to reach the daemons that keep all replica records.
+func (c *cluster) measureReplicaAdded(ctx context.Context, report *Report) (err error) {
+	c.addReplica()
+	known := c.nextReplica
+	report.ReplicaAdded, err = c.waitForAll(ctx, "replica added", func(status node.Status) bool { return !status.KnowsReplicas || status.Replicas >= known })
 	return err
 }
 
-// depart measures the same for one that is gone.
-func (f *cluster) depart(ctx context.Context, report *Report) (err error) {
-	f.next--
-	id, _ := entryOf(f.next, f.Models)
-	f.store.remove(replicaPrefix + id)
-	known := f.next
-	report.Departure, err = f.until(ctx, "a replica is gone", func(status node.Status) bool { return !status.KnowsReplicas || status.Replicas <= known })
+// measureReplicaRemoved measures how long these daemons take to drop a removed replica.
+func (c *cluster) measureReplicaRemoved(ctx context.Context, report *Report) (err error) {
+	c.nextReplica--
+	id, _ := newEntry(c.nextReplica, c.Models)
+	c.store.remove(replicaPrefix + id)
+	known := c.nextReplica
+	report.ReplicaRemoved, err = c.waitForAll(ctx, "replica removed", func(status node.Status) bool { return !status.KnowsReplicas || status.Replicas <= known })
 	return err
 }
 
-// loseHolder ends the holder of load orders, and measures how long it takes until the next has all
-// others.
-func (f *cluster) loseHolder(ctx context.Context, report *Report) (err error) {
-	index := slices.IndexFunc(f.daemons, func(one *daemon) bool { return one.node.Status().Fence != 0 })
+// measureLeaderLost kills the leader and measures the time until another daemon leads, then until all others are
+// attached to it.
+func (c *cluster) measureLeaderLost(ctx context.Context, report *Report) (err error) {
+	index := slices.IndexFunc(c.daemons, func(d *daemon) bool { return d.node.Status().Fence != 0 })
 	if index < 0 {
-		return errors.New("no daemon holds the load orders")
+		return errors.New("no daemon is the leader")
 	}
-	lost := f.daemons[index]
-	f.daemons = slices.Delete(f.daemons, index, index+1)
+	lost := c.daemons[index]
+	c.daemons = slices.Delete(c.daemons, index, index+1)
 	lost.node.End()
-	began := time.Now()
-	for !slices.ContainsFunc(f.daemons, func(one *daemon) bool { return one.node.Status().Fence != 0 }) {
-		if time.Since(began) > settleTime || ctx.Err() != nil {
-			return errors.New("no other daemon took the load orders")
+	start := time.Now()
+	for !slices.ContainsFunc(c.daemons, func(d *daemon) bool { return d.node.Status().Fence != 0 }) {
+		if time.Since(start) > settleTimeout || ctx.Err() != nil {
+			return errors.New("no other daemon became the leader")
 		}
-		time.Sleep(settlePoll)
+		time.Sleep(settlePollInterval)
 	}
-	report.NextTerm = time.Since(began).Seconds()
-	report.Holder, err = f.until(ctx, "the next holder has all daemons", func(status node.Status) bool { return status.Fence == 0 || status.Attached >= len(f.daemons) })
+	report.NextTermSeconds = time.Since(start).Seconds()
+	report.LeaderLost, err = c.waitForAll(ctx, "new leader has all daemons", func(status node.Status) bool { return status.Fence == 0 || status.Attached >= len(c.daemons) })
 	return err
 }
 
-// loseAll ends all daemons, starts them again, and measures how long it takes until they serve.
-func (f *cluster) loseAll(ctx context.Context, report *Report) error {
-	for _, one := range f.daemons {
-		one.node.End()
+// measureAllLost kills and restarts all daemons and measures the time until they are ready.
+func (c *cluster) measureAllLost(ctx context.Context, report *Report) error {
+	for _, d := range c.daemons {
+		d.node.End()
 	}
-	for _, one := range f.daemons {
-		<-one.ended
+	for _, d := range c.daemons {
+		<-d.exited
 	}
-	calls, bytes := f.store.spent()
+	calls, bytes := c.store.usage()
 	var starting sync.WaitGroup
-	failed := make(chan error, len(f.daemons))
-	for _, one := range f.daemons {
+	failed := make(chan error, len(c.daemons))
+	for _, d := range c.daemons {
 		starting.Go(func() {
-			if err := f.start(ctx, one); err != nil {
+			if err := c.start(ctx, d); err != nil {
 				failed <- err
 			}
 		})
@@ -300,20 +295,20 @@
 	if len(failed) > 0 {
 		return <-failed
 	}
-	reach, err := f.until(ctx, "all daemons serve again", func(status node.Status) bool { return status.Ready && status.ConfigVersion == f.version })
-	report.AllLost = reach
-	callsAfter, bytesAfter := f.store.spent()
+	propagation, err := c.waitForAll(ctx, "all daemons ready again", func(status node.Status) bool { return status.Ready && status.ConfigVersion == c.configVersion })
+	report.AllLost = propagation
+	callsAfter, bytesAfter := c.store.usage()
 	report.AllLostCalls, report.AllLostBytes = callsAfter-calls, bytesAfter-bytes
 	return err
 }
 
-// end ends what still runs.
-func (f *cluster) end() {
-	for _, one := range f.daemons {
-		if one.node == nil {
+// stopAll kills the daemons that are still running.
+func (c *cluster) stopAll() {
+	for _, d := range c.daemons {
+		if d.node == nil {
 			continue
 		}
-		one.node.End()
-		<-one.ended
+		d.node.End()
+		<-d.exited
 	}
 }
--- a/lab/scale/restore.go
+++ b/lab/scale/restore.go
@@ -9,37 +9,37 @@
 	"github.com/finchspoke/finchspoke/node"
 )
 
-// awayTime is how long the key-value service does not answer before it comes back from a copy.
-const awayTime = 2 * time.Second
+// outageDuration is the outage of the key-value service before it is restored from a backup.
+const outageDuration = 2 * time.Second
 
-// storeCopy is what a store held at a moment.
-type storeCopy struct {
-	pairs map[string]kv.Pair
-	count int64
+// storeSnapshot is a backup of the store's records and revision counter.
+type storeSnapshot struct {
+	pairs   map[string]kv.Pair
+	counter int64
 }
 
-func (s *store) copied() storeCopy {
+func (s *store) snapshot() storeSnapshot {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return storeCopy{maps.Clone(s.pairs), kv.CounterOf(s.revision)}
+	return storeSnapshot{maps.Clone(s.pairs), kv.CounterOf(s.revision)}
 }
 
-// stop makes the store answer nothing until it is restored.
-func (s *store) stop() {
+// makeUnavailable makes all calls to the store fail until it is restored.
+func (s *store) makeUnavailable() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.away = true
-	s.wake()
+	s.unavailable = true
+	s.notifyWaiters()
 }
 
-// restore makes the store go on from a copy in its next era, without the leases and the history of before.
-func (s *store) restore(from storeCopy) {
+// restore replaces the store's records by a snapshot, starts a new era and drops all leases and the history.
+func (s *store) restore(from storeSnapshot) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	era := kv.EraOf(s.revision) + 1
-	s.away, s.keys, s.history = false, nil, nil
-	s.revision = kv.MakeRevision(era, from.count)
-	s.forgotten = s.revision
+	s.unavailable, s.keys, s.history = false, nil, nil
+	s.revision = kv.MakeRevision(era, from.counter)
+	s.compacted = s.revision
 	s.pairs = map[string]kv.Pair{}
 	for key, pair := range from.pairs {
 		pair.ModRevision = kv.MakeRevision(era, kv.CounterOf(pair.ModRevision))
@@ -49,24 +49,24 @@
 		timer.Stop()
 	}
 	s.leases = map[kv.LeaseID]*time.Timer{}
-	s.wake()
+	s.notifyWaiters()
 }
 
-// restoreStore lets the key-value service come back from a copy of before the newest configuration, which the
-// operator writes again with a further one, and measures how long that takes to all daemons.
-func (f *cluster) restoreStore(ctx context.Context, report *Report) (err error) {
-	earlier := f.store.copied()
-	f.configure()
-	if _, err = f.until(ctx, "a configuration is in force", func(status node.Status) bool { return status.ConfigVersion == f.version }); err != nil {
+// measureStoreRestored restores the key-value service from a snapshot older than the active configuration and measures
+// how long the configuration that is written next takes to become active on all daemons.
+func (c *cluster) measureStoreRestored(ctx context.Context, report *Report) (err error) {
+	backup := c.store.snapshot()
+	c.configure()
+	if _, err = c.waitForAll(ctx, "configuration active", func(status node.Status) bool { return status.ConfigVersion == c.configVersion }); err != nil {
 		return err
 	}
-	f.store.stop()
-	time.Sleep(awayTime)
-	calls, bytes := f.store.spent()
-	f.store.restore(earlier)
-	f.configure()
-	report.Restore, err = f.until(ctx, "a configuration after a restore", func(status node.Status) bool { return status.ConfigVersion == f.version })
-	callsAfter, bytesAfter := f.store.spent()
+	c.store.makeUnavailable()
+	time.Sleep(outageDuration)
+	calls, bytes := c.store.usage()
+	c.store.restore(backup)
+	c.configure()
+	report.StoreRestored, err = c.waitForAll(ctx, "configuration after restore", func(status node.Status) bool { return status.ConfigVersion == c.configVersion })
+	callsAfter, bytesAfter := c.store.usage()
 	report.RestoreCalls, report.RestoreBytes = callsAfter-calls, bytesAfter-bytes
 	return err
 }
--- a/lab/scale/store.go
+++ b/lab/scale/store.go
@@ -11,28 +11,26 @@
 )
 
 const (
-	// mostChanges and pageSize bound an answer, as the users' service does.
-	mostChanges = 128
-	pageSize    = 500
-	// historyTime is how long changes are kept.
-	historyTime = 20 * time.Second
-	// callTime is how long an answer takes.
-	callTime = 4 * time.Millisecond
+	// maxChanges and pageSize limit a response, in changes and in listed records.
+	maxChanges       = 128
+	pageSize         = 500
+	historyRetention = 20 * time.Second
+	callLatency      = 4 * time.Millisecond
 )
 
-// store is a key-value service in memory, shared by all daemons of the model.
+// store is an in-memory key-value service, shared by all daemons of the simulation.
 type store struct {
-	mutex     sync.Mutex
-	pairs     map[string]kv.Pair
-	keys      []string // sorted; nil: to be sorted again
-	history   []change
-	forgotten int64 // changes up to this revision are not kept
-	revision  int64
-	leases    map[kv.LeaseID]*time.Timer
-	changed   chan struct{}
-	calls     int
-	bytes     int // of answers
-	away      bool
+	mutex       sync.Mutex
+	pairs       map[string]kv.Pair
+	keys        []string // sorted; nil after keys were added or removed
+	history     []change
+	compacted   int64 // changes up to this revision are not in the history
+	revision    int64
+	leases      map[kv.LeaseID]*time.Timer
+	changed     chan struct{}
+	calls       int
+	bytes       int // of responses
+	unavailable bool
 }
 
 type change struct {
@@ -44,78 +42,76 @@
 	return &store{pairs: map[string]kv.Pair{}, leases: map[kv.LeaseID]*time.Timer{}, changed: make(chan struct{})}
 }
 
-// spent returns the calls so far, and the bytes of their answers.
-func (s *store) spent() (calls, bytes int) {
+// usage returns the number of calls so far and the bytes of their responses.
+func (s *store) usage() (calls, bytes int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.calls, s.bytes
 }
 
-// put writes a record.
 func (s *store) put(key string, value []byte) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.write(kv.Event{Pair: kv.Pair{Key: key, Value: value}})
-	s.wake()
+	s.notifyWaiters()
 }
 
-// remove takes a record away.
 func (s *store) remove(key string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.write(kv.Event{Pair: kv.Pair{Key: key}, Deleted: true})
-	s.wake()
+	s.notifyWaiters()
 }
 
-// write notes a change; the mutex is held.
+// write applies a change and adds it to the history. The caller holds the mutex.
 func (s *store) write(event kv.Event) {
 	s.revision++
 	event.Pair.ModRevision = s.revision
-	_, known := s.pairs[event.Pair.Key]
+	_, existed := s.pairs[event.Pair.Key]
 	if event.Deleted {
 		delete(s.pairs, event.Pair.Key)
 	} else {
 		s.pairs[event.Pair.Key] = event.Pair
 	}
-	if known == event.Deleted {
+	if existed == event.Deleted {
 		s.keys = nil
 	}
 	now := time.Now()
 	s.history = append(s.history, change{event, now})
-	old := 0
-	for old < len(s.history) && now.Sub(s.history[old].at) > historyTime {
-		s.forgotten = s.history[old].event.Pair.ModRevision
-		old++
+	expired := 0
+	for expired < len(s.history) && now.Sub(s.history[expired].at) > historyRetention {
+		s.compacted = s.history[expired].event.Pair.ModRevision
+		expired++
 	}
-	s.history = s.history[old:]
+	s.history = s.history[expired:]
 }
 
-// wake lets those that wait for changes look again; the mutex is held.
-func (s *store) wake() {
+// notifyWaiters wakes the pending calls of Changes. The caller holds the mutex.
+func (s *store) notifyWaiters() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// call counts a call and takes its time.
-func (s *store) call(ctx context.Context) error {
+// simulateCall counts a call, waits for its latency and fails while the store is unavailable.
+func (s *store) simulateCall(ctx context.Context) error {
 	s.mutex.Lock()
 	s.calls++
-	away := s.away
+	unavailable := s.unavailable
 	s.mutex.Unlock()
-	if away {
+	if unavailable {
 		return kv.ErrUnavailable
 	}
 	select {
 	case <-ctx.Done():
 		return kv.ErrUnavailable
-	case <-time.After(callTime):
+	case <-time.After(callLatency):
 		return nil
 	}
 }
 
 // Get implements kv.Store.
 func (s *store) Get(ctx context.Context, key string) (kv.Pair, bool, error) {
-	if err := s.call(ctx); err != nil {
+	if err := s.simulateCall(ctx); err != nil {
 		return kv.Pair{}, false, err
 	}
 	s.mutex.Lock()
@@ -130,11 +126,11 @@
 }
 
 // ListPages implements kv.PageLister.
-func (s *store) ListPages(ctx context.Context, prefix string, came func(kv.Page) bool) ([]kv.Pair, int64, error) {
+func (s *store) ListPages(ctx context.Context, prefix string, onPage func(kv.Page) bool) ([]kv.Pair, int64, error) {
 	var all []kv.Pair
 	revision, after := int64(0), ""
 	for {
-		if err := s.call(ctx); err != nil {
+		if err := s.simulateCall(ctx); err != nil {
 			return nil, 0, err
 		}
 		page, at := s.page(prefix, after)
@@ -142,7 +138,7 @@
 			revision = at
 		}
 		all = append(all, page.Pairs...)
-		if goOn := came(page); !goOn || !page.More {
+		if proceed := onPage(page); !proceed || !page.More {
 			return all, revision, nil
 		}
 		after = page.Pairs[len(page.Pairs)-1].Key
@@ -175,13 +171,13 @@
 
 // Changes implements kv.LongPollStore.
 func (s *store) Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]kv.Event, int64, error) {
-	if err := s.call(ctx); err != nil {
+	if err := s.simulateCall(ctx); err != nil {
 		return nil, after, err
 	}
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
-		events, at, changed, err := s.since(prefix, after)
+		events, at, changed, err := s.changesAfter(prefix, after)
 		if err != nil || len(events) > 0 {
 			return events, at, err
 		}
@@ -195,27 +191,27 @@
 	}
 }
 
-func (s *store) since(prefix string, after int64) (events []kv.Event, at int64, changed <-chan struct{}, err error) {
+func (s *store) changesAfter(prefix string, after int64) (events []kv.Event, at int64, changed <-chan struct{}, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch {
-	case s.away:
+	case s.unavailable:
 		return nil, after, nil, kv.ErrUnavailable
 	case kv.EraOf(after) < kv.EraOf(s.revision):
 		return nil, after, nil, kv.ErrRestored
-	case after < s.forgotten:
+	case after < s.compacted:
 		return nil, after, nil, kv.ErrCompacted
 	}
-	first, _ := slices.BinarySearchFunc(s.history, after+1, func(one change, revision int64) int {
-		return int(one.event.Pair.ModRevision - revision)
+	first, _ := slices.BinarySearchFunc(s.history, after+1, func(entry change, revision int64) int {
+		return int(entry.event.Pair.ModRevision - revision)
 	})
-	for _, one := range s.history[first:] {
-		if len(events) == mostChanges {
-			return events, events[mostChanges-1].Pair.ModRevision, s.changed, nil
+	for _, entry := range s.history[first:] {
+		if len(events) == maxChanges {
+			return events, events[maxChanges-1].Pair.ModRevision, s.changed, nil
 		}
-		if strings.HasPrefix(one.event.Pair.Key, prefix) {
-			events = append(events, one.event)
-			s.bytes += len(one.event.Pair.Key) + len(one.event.Pair.Value)
+		if strings.HasPrefix(entry.event.Pair.Key, prefix) {
+			events = append(events, entry.event)
+			s.bytes += len(entry.event.Pair.Key) + len(entry.event.Pair.Value)
 		}
 	}
 	return events, s.revision, s.changed, nil
@@ -223,16 +219,16 @@
 
 // Commit implements kv.Store.
 func (s *store) Commit(ctx context.Context, txn kv.Txn) (kv.TxnResult, error) {
-	if err := s.call(ctx); err != nil {
+	if err := s.simulateCall(ctx); err != nil {
 		return kv.TxnResult{}, err
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	result := kv.TxnResult{Succeeded: true}
 	for _, condition := range txn.Conditions {
-		known := s.pairs[condition.Key]
-		result.Current = append(result.Current, known)
-		result.Succeeded = result.Succeeded && known.ModRevision == condition.ModRevision
+		current := s.pairs[condition.Key]
+		result.Current = append(result.Current, current)
+		result.Succeeded = result.Succeeded && current.ModRevision == condition.ModRevision
 	}
 	if !result.Succeeded {
 		return result, nil
@@ -240,54 +236,53 @@
 	for _, put := range txn.Puts {
 		s.write(kv.Event{Pair: kv.Pair{Key: put.Key, Value: put.Value}})
 		if timer := s.leases[put.Lease]; timer != nil {
-			s.bind(put.Lease, put.Key)
+			s.attachLease(put.Lease, put.Key)
 		}
 	}
 	for _, key := range txn.Deletes {
 		s.write(kv.Event{Pair: kv.Pair{Key: key}, Deleted: true})
 	}
 	result.Revision = s.revision
-	s.wake()
+	s.notifyWaiters()
 	return result, nil
 }
 
-// leaseTime is how long a lease lasts without renewal.
-const leaseTime = 2100 * time.Millisecond
+const leaseTTL = 2100 * time.Millisecond
 
-// bind makes a key end with a lease; the mutex is held.
-func (s *store) bind(lease kv.LeaseID, key string) {
+// attachLease removes the key when the lease expires, unless the key is written again. The caller holds the mutex.
+func (s *store) attachLease(lease kv.LeaseID, key string) {
 	revision := s.revision
 	s.leases[lease].Stop()
-	s.leases[lease] = time.AfterFunc(leaseTime, func() {
+	s.leases[lease] = time.AfterFunc(leaseTTL, func() {
 		s.mutex.Lock()
 		delete(s.leases, lease)
-		isMine := s.pairs[key].ModRevision == revision
+		unchanged := s.pairs[key].ModRevision == revision
 		s.mutex.Unlock()
-		if isMine {
+		if unchanged {
 			s.remove(key)
 		}
 	})
 }
 
-// Watch implements kv.Store; daemons ask for changes.
+// Watch implements kv.Store. It is unavailable, as daemons use Changes.
 func (s *store) Watch(context.Context, string, int64, func(kv.Event)) error { return kv.ErrUnavailable }
 
 // GrantLease implements kv.Store.
 func (s *store) GrantLease(ctx context.Context, _ time.Duration) (kv.LeaseID, error) {
-	if err := s.call(ctx); err != nil {
+	if err := s.simulateCall(ctx); err != nil {
 		return kv.LeaseID{}, err
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.revision++
 	lease := kv.LeaseID{Number: kv.CounterOf(s.revision), Era: kv.EraOf(s.revision)}
-	s.leases[lease] = time.AfterFunc(leaseTime, func() {})
+	s.leases[lease] = time.AfterFunc(leaseTTL, func() {})
 	return lease, nil
 }
 
 // RenewLease implements kv.LeaseStore.
 func (s *store) RenewLease(ctx context.Context, lease kv.LeaseID) error {
-	if err := s.call(ctx); err != nil {
+	if err := s.simulateCall(ctx); err != nil {
 		return err
 	}
 	s.mutex.Lock()
@@ -296,7 +291,7 @@
 		return kv.ErrRestored
 	}
 	timer := s.leases[lease]
-	if timer == nil || !timer.Reset(leaseTime) {
+	if timer == nil || !timer.Reset(leaseTTL) {
 		return kv.ErrLeaseNotFound
 	}
 	return nil
@@ -304,7 +299,7 @@
 
 // RevokeLease implements kv.LeaseStore.
 func (s *store) RevokeLease(ctx context.Context, lease kv.LeaseID) error {
-	if err := s.call(ctx); err != nil {
+	if err := s.simulateCall(ctx); err != nil {
 		return err
 	}
 	s.mutex.Lock()
--- a/lab/system.go
+++ b/lab/system.go
@@ -1,5 +1,5 @@
-// Package lab is the laboratory: whole systems of daemons and stand-ins on
-// loopback, in one process, and the load that drives them.
+// Package lab runs complete systems of daemons and stand-ins on loopback, generates load against them and
+// measures latency, overhead and control-plane cost.
 package lab
 
 import (
@@ -32,33 +32,33 @@
 	Zone   string
 }
 
-// Options describe a system.
+// Options configures a system.
 type Options struct {
-	Tree            *settings.Tree
-	Daemons         []Location
-	Timing          engines.Timing
-	WeightBytesRate float64 // of one load from the weight store, bytes a second
-	KeyValueRate    float64 // operations a second; zero means the default
-	ProbeInterval   time.Duration
-	// FewPeers gives each daemon the first three as peers only, as in production.
-	FewPeers bool
-	Log      logrus.FieldLogger
+	Tree                 *settings.Tree
+	Daemons              []Location
+	Timing               engines.Timing
+	WeightBytesPerSecond float64 // of one load from the weight store
+	KeyValueOpsPerSecond float64 // of the key-value stand-in; zero means its default
+	ProbeInterval        time.Duration
+	// LimitPeers configures each daemon with only the first few daemons as peers, instead of all earlier ones.
+	LimitPeers bool
+	Log        logrus.FieldLogger
 }
 
-// fewPeers is how many daemons others are told of with FewPeers.
-const fewPeers = 3
+// maxLimitedPeers is the number of configured peers with Options.LimitPeers.
+const maxLimitedPeers = 3
 
-// FastTiming is that of engines that cost a test little time.
+// FastTiming returns the timing of engines that load and decode fast enough for tests.
 func FastTiming() engines.Timing {
 	timing := engines.DefaultTiming()
-	timing.Step = 2 * time.Millisecond
-	timing.AdapterLoad = 20 * time.Millisecond
+	timing.StepTime = 2 * time.Millisecond
+	timing.AdapterLoadTime = 20 * time.Millisecond
 	timing.DiskBytesPerSecond = 100 << 30
 	timing.MemoryBytesPerSecond = 400 << 30
 	return timing
 }
 
-// System is a running system. Its stand-ins' faults and histories are open.
+// System is a running system. Callers may inject faults into its stand-ins and read their histories.
 type System struct {
 	KeyValue        *keyvalue.Server
 	KeyValueAddress string
@@ -68,24 +68,24 @@
 	Engines         map[string]*engines.Engine // by machine id
 	Daemons         []*daemon.Daemon
 
-	options  Options
-	servers  []*http.Server
-	stop     context.CancelFunc
-	ctx      context.Context
-	finished sync.WaitGroup
-	stops    map[string]context.CancelFunc // by daemon id
+	options Options
+	servers []*http.Server
+	cancel  context.CancelFunc
+	ctx     context.Context
+	workers sync.WaitGroup
+	cancels map[string]context.CancelFunc // by daemon id
 }
 
-// readyPoll is how often a waiting caller looks again.
-const readyPoll = 5 * time.Millisecond
+// readyPollInterval is the pause between two status requests to a daemon that is not ready.
+const readyPollInterval = 5 * time.Millisecond
 
-// StartSystem starts stand-ins for every engine that the tree's services name,
-// and the daemons. The tree is not applied yet; see Apply.
+// StartSystem starts the daemons and a stand-in for every engine of the tree's services. It does not apply
+// the tree; see Apply.
 func StartSystem(options Options) (*System, error) {
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	system := &System{
-		options: options, ctx: ctx, stop: stop, Weights: map[string]*weights.Server{}, Engines: map[string]*engines.Engine{},
-		stops: map[string]context.CancelFunc{},
+		options: options, ctx: ctx, cancel: cancel, Weights: map[string]*weights.Server{}, Engines: map[string]*engines.Engine{},
+		cancels: map[string]context.CancelFunc{},
 	}
 	if err := system.start(); err != nil {
 		system.Stop()
@@ -96,7 +96,7 @@
 
 func (s *System) start() error {
 	var err error
-	s.KeyValue = keyvalue.New(s.options.KeyValueRate)
+	s.KeyValue = keyvalue.New(s.options.KeyValueOpsPerSecond)
 	if s.KeyValueAddress, err = s.serve(s.KeyValue); err != nil {
 		return err
 	}
@@ -116,12 +116,12 @@
 	return nil
 }
 
-// startEngines starts the engines of each service in turn over its zones.
+// startEngines starts the engines of each service, distributed round-robin over the region's zones.
 func (s *System) startEngines() ([]machinelist.Machine, error) {
 	var listed []machinelist.Machine
 	for _, region := range sortedRegions(s.options.Tree) {
 		s.Weights[region.Name] = weights.New(weights.Limits{
-			LoadsPerSecond: region.LoadsPerSecond, ConcurrentLoads: region.ConcurrentLoads, BytesPerSecond: s.options.WeightBytesRate})
+			LoadsPerSecond: region.LoadsPerSecond, ConcurrentLoads: region.ConcurrentLoads, BytesPerSecond: s.options.WeightBytesPerSecond})
 		address, err := s.serve(s.Weights[region.Name])
 		if err != nil {
 			return nil, err
@@ -139,11 +139,11 @@
 	return listed, nil
 }
 
-func (s *System) startEngine(service settings.Service, region settings.Region, number int, store string) (machinelist.Machine, error) {
+func (s *System) startEngine(service settings.Service, region settings.Region, number int, storeAddress string) (machinelist.Machine, error) {
 	id := fmt.Sprintf("%s-%s-%d", service.Name, region.Name, number)
-	started := engines.New(engines.DefaultConfig(id, service.Accelerators, service.AcceleratorMemoryBytes, store, s.options.Timing))
-	s.Engines[id] = started
-	address, err := s.serve(started)
+	newEngine := engines.New(engines.DefaultConfig(id, service.Accelerators, service.AcceleratorMemoryBytes, storeAddress, s.options.Timing))
+	s.Engines[id] = newEngine
+	address, err := s.serve(newEngine)
 	return machinelist.Machine{
 		ID: id, Address: address, Region: region.Name, Zone: region.Zones[number%len(region.Zones)],
 		Service: service.Name, State: machinelist.Live,
@@ -158,48 +158,48 @@
 	}
 	server := &http.Server{Handler: handler, ErrorLog: nil}
 	s.servers = append(s.servers, server)
-	s.finished.Add(1)
+	s.workers.Add(1)
 	go func() {
-		defer s.finished.Done()
-		_ = server.Serve(listener) // ends with Close
+		defer s.workers.Done()
+		_ = server.Serve(listener) // returns after Close
 	}()
 	return listener.Addr().String(), nil
 }
 
-// StartDaemon starts one more daemon.
+// StartDaemon adds a daemon to the system, with the daemons started before it as peers.
 func (s *System) StartDaemon(id string, location Location) (*daemon.Daemon, error) {
-	settingsFile := config.Default()
-	settingsFile.ID, settingsFile.Region, settingsFile.Zone = id, location.Region, location.Zone
-	settingsFile.Listen = config.Listen{Gateway: "127.0.0.1:0", RPC: "127.0.0.1:0", Gossip: "127.0.0.1:0", Admin: "127.0.0.1:0"}
-	settingsFile.Platform = config.Platform{KeyValue: s.KeyValueAddress, MachineList: s.MachinesAddress}
+	daemonConfig := config.Default()
+	daemonConfig.ID, daemonConfig.Region, daemonConfig.Zone = id, location.Region, location.Zone
+	daemonConfig.Listen = config.Listen{Gateway: "127.0.0.1:0", RPC: "127.0.0.1:0", Gossip: "127.0.0.1:0", Admin: "127.0.0.1:0"}
+	daemonConfig.Platform = config.Platform{KeyValue: s.KeyValueAddress, MachineList: s.MachinesAddress}
 	if s.options.ProbeInterval > 0 {
-		settingsFile.ProbeInterval = s.options.ProbeInterval
+		daemonConfig.ProbeInterval = s.options.ProbeInterval
 	}
 	peers := s.Daemons
-	if s.options.FewPeers {
-		peers = peers[:min(fewPeers, len(peers))]
+	if s.options.LimitPeers {
+		peers = peers[:min(maxLimitedPeers, len(peers))]
 	}
 	for _, peer := range peers {
-		settingsFile.Peers = append(settingsFile.Peers, peer.Addresses().RPC)
+		daemonConfig.Peers = append(daemonConfig.Peers, peer.Addresses().RPC)
 	}
-	started, err := daemon.New(settingsFile, s.options.Log)
+	newDaemon, err := daemon.New(daemonConfig, s.options.Log)
 	if err != nil {
 		return nil, err
 	}
-	s.Daemons = append(s.Daemons, started)
-	ctx, stop := context.WithCancel(s.ctx)
-	s.stops[id] = stop
-	s.finished.Add(1)
+	s.Daemons = append(s.Daemons, newDaemon)
+	ctx, cancel := context.WithCancel(s.ctx)
+	s.cancels[id] = cancel
+	s.workers.Add(1)
 	go func() {
-		defer s.finished.Done()
-		if err := started.Run(ctx); err != nil {
-			s.options.Log.WithError(err).Warn("daemon ended")
+		defer s.workers.Done()
+		if err := newDaemon.Run(ctx); err != nil {
+			s.options.Log.WithError(err).Warn("daemon stopped with an error")
 		}
 	}()
-	return started, nil
+	return newDaemon, nil
 }
 
-// Apply puts the system's tree in force, through its first daemon.
+// Apply submits the system's settings tree through the first daemon and waits until all daemons are ready.
 func (s *System) Apply(ctx context.Context) error {
 	text, err := settings.Marshal(s.options.Tree.Document())
 	if err != nil {
@@ -215,10 +215,10 @@
 	return s.WaitReady(ctx)
 }
 
-// WaitReady waits until every daemon is ready and knows all others.
+// WaitReady waits until every daemon is ready and lists all daemons as members.
 func (s *System) WaitReady(ctx context.Context) error {
-	for _, started := range s.Daemons {
-		client := adminapi.Client{Address: started.Addresses().Admin}
+	for _, d := range s.Daemons {
+		client := adminapi.Client{Address: d.Addresses().Admin}
 		for {
 			var status adminapi.Status
 			err := client.Get(ctx, adminapi.PathStatus, &status)
@@ -227,19 +227,19 @@
 			}
 			select {
 			case <-ctx.Done():
-				return errors.Wrapf(ctx.Err(), "%s is not ready", started.ID())
-			case <-time.After(readyPoll):
+				return errors.Wrapf(ctx.Err(), "%s is not ready", d.ID())
+			case <-time.After(readyPollInterval):
 			}
 		}
 	}
 	return nil
 }
 
-// Starts counts how often engines started a request, over all engines.
-func (s *System) Starts(requestID string) int {
+// CountStarts returns how often the engines of the system started executing a request.
+func (s *System) CountStarts(requestID string) int {
 	count := 0
-	for _, held := range s.Engines {
-		for _, entry := range held.History.Entries() {
+	for _, engine := range s.Engines {
+		for _, entry := range engine.History.Entries() {
 			if entry.Kind == engines.RequestStarted && entry.RequestID == requestID {
 				count++
 			}
@@ -248,16 +248,16 @@
 	return count
 }
 
-// Stop ends everything that the system started.
+// Stop stops all daemons and stand-ins of the system and waits for them.
 func (s *System) Stop() {
-	s.stop()
+	s.cancel()
 	for _, server := range s.servers {
 		_ = server.Close()
 	}
-	for _, held := range s.Engines {
-		held.Close()
+	for _, engine := range s.Engines {
+		engine.Close()
 	}
-	s.finished.Wait()
+	s.workers.Wait()
 }
 
 func sortedRegions(tree *settings.Tree) []settings.Region {
@@ -272,8 +272,8 @@
 func servicesIn(tree *settings.Tree, region string) []settings.Service {
 	var services []settings.Service
 	for _, service := range tree.Services {
-		for _, served := range service.Regions {
-			if served == region {
+		for _, serviceRegion := range service.Regions {
+			if serviceRegion == region {
 				services = append(services, service)
 			}
 		}
--- a/standin/engines/answer.go
+++ b/standin/engines/answer.go
@@ -5,31 +5,30 @@
 	"strings"
 )
 
-// words make up every answer.
-var words = strings.Fields(`barcode margin allergen bleed contrast lot ean panel fold glyph ink
+// vocabulary holds the words of all generated text.
+var vocabulary = strings.Fields(`barcode margin allergen bleed contrast lot ean panel fold glyph ink
 	proof slot aisle tote pallet bin pick count shelf carton scan label plate press`)
 
-// Answer returns the tokens with which every engine answers a prompt to a model
-// or adapter: the same prompt always gets the same answer, and another prompt
-// or target another, so an oracle can tell whose answer it sees.
-func Answer(target, prompt string, count int) []string {
+// Completion returns the tokens that every engine generates for a prompt to a model or adapter. They depend only on
+// the prompt and the target, so that tests can match a response to its request.
+func Completion(target, prompt string, count int) []string {
 	tokens := make([]string, 0, count)
-	state := seedOf(target, prompt)
+	state := generatorSeed(target, prompt)
 	for len(tokens) < count {
 		const multiplier, increment, shift = 6364136223846793005, 1442695040888963407, 33
 		state = state*multiplier + increment
-		tokens = append(tokens, words[(state>>shift)%uint64(len(words))]+" ")
+		tokens = append(tokens, vocabulary[(state>>shift)%uint64(len(vocabulary))]+" ")
 	}
 	return tokens
 }
 
-func seedOf(target, prompt string) uint64 {
+func generatorSeed(target, prompt string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(target + "\x00" + prompt)) // never fails
 	return hash.Sum64()
 }
 
-// countTokens is the length of a prompt: words, at least one.
+// countTokens returns the number of words of a prompt, at least one.
 func countTokens(prompt string) int {
 	return max(1, len(strings.Fields(prompt)))
 }
--- a/standin/engines/batch.go
+++ b/standin/engines/batch.go
@@ -11,51 +11,51 @@
 	"github.com/finchspoke/finchspoke/sleep"
 )
 
-// sequence is one request being answered.
+// sequence is the state of one request.
 type sequence struct {
 	requestID string
 	target    string
 	priority  int
-	prompt    int // tokens
+	prompt    int // length in tokens
 	prefix    uint64
-	tokens    []string // the whole answer
-	asked     question
-	form      shape
+	tokens    []string // of the complete response
+	request   inferenceRequest
+	format    responseFormat
 	created   int64
 
-	mutex     sync.Mutex
-	produced  int
-	cancelled bool
-	failed    bool // the replica stopped
-	readers   int
-	changed   chan struct{} // closed and replaced on each change
-	readyAt   time.Time     // end of prefill
+	mutex         sync.Mutex
+	produced      int
+	cancelled     bool
+	failed        bool // the batch stopped before the sequence was complete
+	readers       int
+	changed       chan struct{} // closed and replaced on each change
+	prefillDoneAt time.Time
 }
 
-func (s *sequence) change(update func()) {
+func (s *sequence) update(apply func()) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	update()
+	apply()
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// progress is a reader's view of a sequence.
+// progress is a snapshot of a sequence for a reader.
 type progress struct {
 	produced int
-	ended    bool // whole, cancelled or failed
-	whole    bool
+	ended    bool // complete, cancelled or failed
+	complete bool
 	changed  <-chan struct{}
 }
 
 func (s *sequence) progress() progress {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	whole := s.produced == len(s.tokens)
-	return progress{s.produced, whole || s.cancelled || s.failed, whole, s.changed}
+	complete := s.produced == len(s.tokens)
+	return progress{s.produced, complete || s.cancelled || s.failed, complete, s.changed}
 }
 
-// batch runs the sequences of one replica, several at once, a token a step.
+// batch runs the sequences of one replica with continuous batching, one token of each active sequence per step.
 type batch struct {
 	engine   *Engine
 	mutex    sync.Mutex
@@ -64,26 +64,26 @@
 	wake     chan struct{}
 	stopped  chan struct{}
 	stopOnce sync.Once
-	prefixes *sizedCache
+	prefixes *lruCache
 }
 
-func newBatch(owner *Engine) *batch {
-	created := &batch{engine: owner, wake: make(chan struct{}, 1), stopped: make(chan struct{}),
-		prefixes: newSizedCache(int64(owner.config.PrefixCacheTokens))}
-	created.prefixes.evicted = func(key string) { owner.events.add("", parseUint(key), true) }
-	return created
+func newBatch(e *Engine) *batch {
+	b := &batch{engine: e, wake: make(chan struct{}, 1), stopped: make(chan struct{}),
+		prefixes: newLRUCache(int64(e.config.PrefixCacheTokens))}
+	b.prefixes.onEvict = func(key string) { e.events.add("", parseUintOrZero(key), true) }
+	return b
 }
 
-func (b *batch) load() (running, waiting int) {
+func (b *batch) counts() (running, waiting int) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return len(b.active), len(b.waiting)
 }
 
-// add takes a sequence in; the highest priority waits least.
-func (b *batch) add(added *sequence) {
+// add queues a sequence, ordered by priority; lower numbers are admitted first.
+func (b *batch) add(seq *sequence) {
 	b.mutex.Lock()
-	b.waiting = append(b.waiting, added)
+	b.waiting = append(b.waiting, seq)
 	sort.SliceStable(b.waiting, func(i, j int) bool { return b.waiting[i].priority < b.waiting[j].priority })
 	b.mutex.Unlock()
 	select {
@@ -96,24 +96,23 @@
 	b.stopOnce.Do(func() { close(b.stopped) })
 }
 
-// drainPoll is how often a drain looks whether the batch is empty.
-const drainPoll = 5 * time.Millisecond
+const drainPollInterval = 5 * time.Millisecond
 
-// drain waits until nothing runs or waits.
+// drain waits until the batch has no active and no waiting sequences.
 func (b *batch) drain(ctx context.Context) {
 	for {
-		running, waiting := b.load()
-		if running+waiting == 0 || !sleep.For(ctx, drainPoll) {
+		running, waiting := b.counts()
+		if running+waiting == 0 || !sleep.For(ctx, drainPollInterval) {
 			return
 		}
 	}
 }
 
-// run steps the batch until it is stopped.
+// run executes steps until the batch is stopped, then fails the remaining sequences.
 func (b *batch) run(ctx context.Context) {
 	defer b.failAll()
 	for {
-		if running, waiting := b.load(); running+waiting == 0 {
+		if running, waiting := b.counts(); running+waiting == 0 {
 			select {
 			case <-ctx.Done():
 				return
@@ -123,17 +122,17 @@
 			}
 			continue
 		}
-		if !b.pause(ctx) {
+		if !b.waitStep(ctx) {
 			return
 		}
 		b.step(time.Now())
 	}
 }
 
-func (b *batch) pause(ctx context.Context) bool {
-	step := b.engine.config.Timing.Step
-	if slow := b.engine.Faults.Get().SlowFactor; slow > 1 {
-		step = time.Duration(float64(step) * slow)
+func (b *batch) waitStep(ctx context.Context) bool {
+	step := b.engine.config.Timing.StepTime
+	if factor := b.engine.Faults.Get().SlowFactor; factor > 1 {
+		step = time.Duration(float64(step) * factor)
 	}
 	select {
 	case <-b.stopped:
@@ -143,8 +142,7 @@
 	}
 }
 
-// step admits waiting sequences into the free places and gives every active one
-// its next token.
+// step admits waiting sequences up to the batch limit and produces the next token of every active one.
 func (b *batch) step(now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -152,53 +150,53 @@
 		b.admit(b.waiting[0], now)
 		b.waiting = b.waiting[1:]
 	}
-	kept := b.active[:0]
-	for _, running := range b.active {
-		if b.advance(running, now) {
-			kept = append(kept, running)
+	remaining := b.active[:0]
+	for _, seq := range b.active {
+		if b.advance(seq, now) {
+			remaining = append(remaining, seq)
 		}
 	}
-	clear(b.active[len(kept):])
-	b.active = kept
+	clear(b.active[len(remaining):])
+	b.active = remaining
 }
 
-// admit starts a sequence: a prompt whose prefix is cached needs no prefill.
-func (b *batch) admit(admitted *sequence, now time.Time) {
-	key := strconv.FormatUint(admitted.prefix, 10)
-	admitted.readyAt = now
+// admit activates a sequence. A prompt whose prefix is cached needs no prefill.
+func (b *batch) admit(seq *sequence, now time.Time) {
+	key := strconv.FormatUint(seq.prefix, 10)
+	seq.prefillDoneAt = now
 	if !b.prefixes.touch(key) {
-		seconds := float64(admitted.prompt) / b.engine.config.Timing.PrefillTokensPerSec
-		admitted.readyAt = now.Add(time.Duration(seconds * float64(time.Second)))
-		b.prefixes.add(key, int64(admitted.prompt), engine.CachedCheckpoint{})
-		b.engine.events.add(admitted.target, admitted.prefix, false)
+		seconds := float64(seq.prompt) / b.engine.config.Timing.PrefillTokensPerSecond
+		seq.prefillDoneAt = now.Add(time.Duration(seconds * float64(time.Second)))
+		b.prefixes.add(key, int64(seq.prompt), engine.CachedCheckpoint{})
+		b.engine.events.add(seq.target, seq.prefix, false)
 	}
-	b.active = append(b.active, admitted)
+	b.active = append(b.active, seq)
 }
 
-// advance gives a token and tells whether the sequence goes on.
-func (b *batch) advance(running *sequence, now time.Time) bool {
-	running.mutex.Lock()
-	cancelled := running.cancelled
-	running.mutex.Unlock()
+// advance produces a token after prefill and reports whether the sequence remains active.
+func (b *batch) advance(seq *sequence, now time.Time) bool {
+	seq.mutex.Lock()
+	cancelled := seq.cancelled
+	seq.mutex.Unlock()
 	if cancelled {
 		return false
 	}
-	if now.Before(running.readyAt) {
+	if now.Before(seq.prefillDoneAt) {
 		return true
 	}
-	running.change(func() { running.produced++ })
-	if running.produced < len(running.tokens) {
+	seq.update(func() { seq.produced++ })
+	if seq.produced < len(seq.tokens) {
 		return true
 	}
-	b.engine.record(Entry{Kind: RequestFinished, RequestID: running.requestID, Model: running.target, Tokens: running.produced})
+	b.engine.record(Entry{Kind: RequestFinished, RequestID: seq.requestID, Model: seq.target, Tokens: seq.produced})
 	return false
 }
 
 func (b *batch) failAll() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	for _, lost := range append(b.active, b.waiting...) {
-		lost.change(func() { lost.failed = true })
+	for _, seq := range append(b.active, b.waiting...) {
+		seq.update(func() { seq.failed = true })
 	}
 	b.active, b.waiting = nil, nil
 }
--- a/standin/engines/cache.go
+++ b/standin/engines/cache.go
@@ -8,15 +8,15 @@
 	"github.com/finchspoke/finchspoke/engine"
 )
 
-// checkpointCache keeps the most recently used checkpoints in memory and, in a
-// larger space, on disk. Its methods are called with the engine's mutex held.
+// checkpointCache caches the most recently used checkpoints in memory and on the larger disk. Callers of its methods
+// hold the engine's mutex.
 type checkpointCache struct {
-	memory *sizedCache
-	disk   *sizedCache
+	memory *lruCache
+	disk   *lruCache
 }
 
 func newCheckpointCache(diskBytes, memoryBytes int64) *checkpointCache {
-	return &checkpointCache{memory: newSizedCache(memoryBytes), disk: newSizedCache(diskBytes)}
+	return &checkpointCache{memory: newLRUCache(memoryBytes), disk: newLRUCache(diskBytes)}
 }
 
 func checkpointKey(model, version string) string { return model + "@" + version }
@@ -42,13 +42,13 @@
 	listed := []engine.CachedCheckpoint{}
 	inMemory := map[string]bool{}
 	for element := c.memory.order.Front(); element != nil; element = element.Next() {
-		entry := element.Value.(*sizedEntry)
+		entry := element.Value.(*lruEntry)
 		inMemory[entry.key] = true
 		entry.checkpoint.Tier = engine.InMemory
 		listed = append(listed, entry.checkpoint)
 	}
 	for element := c.disk.order.Front(); element != nil; element = element.Next() {
-		entry := element.Value.(*sizedEntry)
+		entry := element.Value.(*lruEntry)
 		if !inMemory[entry.key] {
 			entry.checkpoint.Tier = engine.OnDisk
 			listed = append(listed, entry.checkpoint)
@@ -57,26 +57,26 @@
 	return listed
 }
 
-type sizedEntry struct {
+type lruEntry struct {
 	key        string
 	size       int64
 	checkpoint engine.CachedCheckpoint
 }
 
-// sizedCache forgets the least recently used entries beyond its limit.
-type sizedCache struct {
+// lruCache evicts the least recently used entries when their total size exceeds the limit.
+type lruCache struct {
 	limit   int64
 	used    int64
-	order   *list.List // of *sizedEntry, newest first
+	order   *list.List // of *lruEntry, most recently used first
 	entries map[string]*list.Element
-	evicted func(key string)
+	onEvict func(key string)
 }
 
-func newSizedCache(limit int64) *sizedCache {
-	return &sizedCache{limit: limit, order: list.New(), entries: map[string]*list.Element{}}
+func newLRUCache(limit int64) *lruCache {
+	return &lruCache{limit: limit, order: list.New(), entries: map[string]*list.Element{}}
 }
 
-func (c *sizedCache) touch(key string) bool {
+func (c *lruCache) touch(key string) bool {
 	element, found := c.entries[key]
 	if found {
 		c.order.MoveToFront(element)
@@ -84,30 +84,30 @@
 	return found
 }
 
-func (c *sizedCache) add(key string, size int64, checkpoint engine.CachedCheckpoint) {
+func (c *lruCache) add(key string, size int64, checkpoint engine.CachedCheckpoint) {
 	if c.touch(key) || size > c.limit {
 		return
 	}
-	c.entries[key] = c.order.PushFront(&sizedEntry{key: key, size: size, checkpoint: checkpoint})
+	c.entries[key] = c.order.PushFront(&lruEntry{key: key, size: size, checkpoint: checkpoint})
 	c.used += size
 	for c.used > c.limit {
 		oldest := c.order.Back()
-		entry := c.order.Remove(oldest).(*sizedEntry)
+		entry := c.order.Remove(oldest).(*lruEntry)
 		delete(c.entries, entry.key)
 		c.used -= entry.size
-		if c.evicted != nil {
-			c.evicted(entry.key)
+		if c.onEvict != nil {
+			c.onEvict(entry.key)
 		}
 	}
 }
 
-// eventLog keeps cache events and hands them out late, with gaps.
+// eventLog stores cache events and serves them with a delay and with losses.
 type eventLog struct {
-	mutex    sync.Mutex
-	delay    time.Duration
-	gap      int
-	sequence uint64
-	events   []timedEvent
+	mutex        sync.Mutex
+	delay        time.Duration
+	lossInterval int
+	sequence     uint64
+	events       []timedEvent
 }
 
 type timedEvent struct {
@@ -115,36 +115,36 @@
 	event engine.CacheEvent
 }
 
-// eventsKept bounds the log; a slow reader sees a gap.
-const eventsKept = 4096
+// maxEvents limits the log; a slow reader misses older events.
+const maxEvents = 4096
 
-func newEventLog(delay time.Duration, gap int) *eventLog {
-	return &eventLog{delay: delay, gap: gap}
+func newEventLog(delay time.Duration, lossInterval int) *eventLog {
+	return &eventLog{delay: delay, lossInterval: lossInterval}
 }
 
 func (l *eventLog) add(model string, prefix uint64, evicted bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.sequence++
-	if l.gap > 0 && l.sequence%uint64(l.gap) == 0 {
+	if l.lossInterval > 0 && l.sequence%uint64(l.lossInterval) == 0 {
 		return
 	}
 	l.events = append(l.events, timedEvent{time.Now(),
 		engine.CacheEvent{Sequence: l.sequence, Model: model, Prefix: prefix, Evicted: evicted}})
-	if len(l.events) > eventsKept {
-		l.events = l.events[len(l.events)-eventsKept:]
+	if len(l.events) > maxEvents {
+		l.events = l.events[len(l.events)-maxEvents:]
 	}
 }
 
-// after returns the events above a sequence number that are old enough to show.
+// after returns the events above a sequence number that are at least as old as the delay.
 func (l *eventLog) after(sequence uint64) []engine.CacheEvent {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	limit := time.Now().Add(-l.delay)
 	var events []engine.CacheEvent
-	for _, held := range l.events {
-		if held.event.Sequence > sequence && !held.at.After(limit) {
-			events = append(events, held.event)
+	for _, entry := range l.events {
+		if entry.event.Sequence > sequence && !entry.at.After(limit) {
+			events = append(events, entry.event)
 		}
 	}
 	return events
--- a/standin/engines/config.go
+++ b/standin/engines/config.go
@@ -1,9 +1,6 @@
-// Package engines is a stand-in of a model engine: several accelerators, models
-// and adapters loaded by fenced orders, continuous batching, a prefix cache in
-// limited memory, priorities, cancel and resume, and faults.
-//
-// Memory is never exceeded; every order that would exceed it is refused and
-// recorded.
+// Package engines is a stand-in of a model engine with accelerators, fenced load orders for models and adapters,
+// continuous batching, a prefix cache, priorities, cancel and resume, and fault injection. It refuses and records load
+// orders that exceed an accelerator's memory.
 package engines
 
 import (
@@ -12,99 +9,99 @@
 	"github.com/finchspoke/finchspoke/standin/fault"
 )
 
-// Config describes an engine.
+// Config configures an engine.
 type Config struct {
-	ID                 string
-	Accelerators       int
-	AcceleratorBytes   int64
-	WeightStoreAddress string // host:port
-	Timing             Timing
-	// DiskCacheBytes and MemoryCacheBytes bound the checkpoints kept.
+	ID                     string
+	Accelerators           int
+	AcceleratorMemoryBytes int64
+	WeightStoreAddress     string // host:port
+	Timing                 Timing
+	// DiskCacheBytes and MemoryCacheBytes limit the cached checkpoints.
 	DiskCacheBytes   int64
 	MemoryCacheBytes int64
-	// PrefixCacheTokens bounds the prompt tokens cached for each replica.
+	// PrefixCacheTokens limits the prompt tokens that each replica caches.
 	PrefixCacheTokens int
-	// ResumeWindow is how long an answer goes on without a reader.
+	// ResumeWindow is how long a request continues, and can be resumed, without a reader.
 	ResumeWindow time.Duration
-	// EventDelay is how late cache events are; one in EventGap is lost (0: none).
-	EventDelay time.Duration
-	EventGap   int
-	// LoadLag is how old load reports are.
-	LoadLag time.Duration
+	// EventDelay is the delay of cache events; one in EventLossInterval is lost (0: none).
+	EventDelay        time.Duration
+	EventLossInterval int
+	// LoadReportDelay is the minimum age of a served load report.
+	LoadReportDelay time.Duration
 }
 
-// Defaults of the caches, and of how late and incomplete an engine's reports are.
+// Values of DefaultConfig.
 const (
-	diskCacheFactor   = 4 // times the accelerators' memory
+	diskCacheFactor   = 4 // multiple of the accelerators' memory
 	prefixCacheTokens = 200_000
 	resumeWindow      = 2 * time.Second
 	eventDelay        = 200 * time.Millisecond
-	eventGap          = 20
-	loadLag           = 500 * time.Millisecond
+	eventLossInterval = 20
+	loadReportDelay   = 500 * time.Millisecond
 )
 
-// DefaultConfig describes an engine with the defaults for its size.
-func DefaultConfig(id string, accelerators int, acceleratorBytes int64, weightStore string, timing Timing) Config {
-	memory := int64(accelerators) * acceleratorBytes
+// DefaultConfig returns a configuration with caches sized for the engine's accelerators.
+func DefaultConfig(id string, accelerators int, acceleratorMemoryBytes int64, weightStore string, timing Timing) Config {
+	memory := int64(accelerators) * acceleratorMemoryBytes
 	return Config{
-		ID: id, Accelerators: accelerators, AcceleratorBytes: acceleratorBytes, WeightStoreAddress: weightStore, Timing: timing,
+		ID: id, Accelerators: accelerators, AcceleratorMemoryBytes: acceleratorMemoryBytes, WeightStoreAddress: weightStore, Timing: timing,
 		DiskCacheBytes: diskCacheFactor * memory, MemoryCacheBytes: memory, PrefixCacheTokens: prefixCacheTokens,
-		ResumeWindow: resumeWindow, EventDelay: eventDelay, EventGap: eventGap, LoadLag: loadLag,
+		ResumeWindow: resumeWindow, EventDelay: eventDelay, EventLossInterval: eventLossInterval, LoadReportDelay: loadReportDelay,
 	}
 }
 
-// Timing is the engine's model of time.
+// Timing sets the speed and the limits of request processing and loading.
 type Timing struct {
-	Step                  time.Duration // one decode step of a whole batch
-	PrefillTokensPerSec   float64
-	MaxBatch              int
-	DiskBytesPerSecond    float64
-	MemoryBytesPerSecond  float64
-	AdapterLoad           time.Duration
-	DefaultMaxTokens      int
-	LongestAnswerInTokens int
+	StepTime               time.Duration // one decode step of the batch
+	PrefillTokensPerSecond float64
+	MaxBatch               int
+	DiskBytesPerSecond     float64
+	MemoryBytesPerSecond   float64
+	AdapterLoadTime        time.Duration
+	DefaultMaxTokens       int
+	MaxCompletionTokens    int
 }
 
-// DefaultTiming is that of an accelerator of today: 20 ms a token.
+// DefaultTiming returns the timing of a typical accelerator.
 func DefaultTiming() Timing {
 	return Timing{
-		Step:                  20 * time.Millisecond,
-		PrefillTokensPerSec:   8000,
-		MaxBatch:              32,
-		DiskBytesPerSecond:    3 << 30,
-		MemoryBytesPerSecond:  20 << 30,
-		AdapterLoad:           150 * time.Millisecond,
-		DefaultMaxTokens:      32,
-		LongestAnswerInTokens: 100_000,
+		StepTime:               20 * time.Millisecond,
+		PrefillTokensPerSecond: 8000,
+		MaxBatch:               32,
+		DiskBytesPerSecond:     3 << 30,
+		MemoryBytesPerSecond:   20 << 30,
+		AdapterLoadTime:        150 * time.Millisecond,
+		DefaultMaxTokens:       32,
+		MaxCompletionTokens:    100_000,
 	}
 }
 
-// Faults are the failures that can be switched on.
+// Faults selects the faults to inject.
 type Faults struct {
-	// RefuseRequests answers every request with "not started".
+	// RefuseRequests rejects every request as not started.
 	RefuseRequests bool `json:"refuse_requests,omitempty"`
-	// CutAfterTokens cuts the connection of each answer after so many tokens.
+	// CutAfterTokens closes the connection of each response after this number of tokens.
 	CutAfterTokens int `json:"cut_after_tokens,omitempty"`
-	// LoseAnswers runs requests and cuts the connection before the answer.
-	LoseAnswers bool `json:"lose_answers,omitempty"`
-	// CrossAnswers names another request in each answer, as a crossed one does.
-	CrossAnswers bool `json:"cross_answers,omitempty"`
-	// SlowFactor multiplies the time of each step.
+	// DropResponses executes requests and closes the connection without a response.
+	DropResponses bool `json:"lose_answers,omitempty"`
+	// MismatchRequestIDs sends a wrong request id with each response.
+	MismatchRequestIDs bool `json:"cross_answers,omitempty"`
+	// SlowFactor multiplies the duration of each decode step.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
-	// FailLoads makes every load end in failure.
+	// FailLoads makes every load fail.
 	FailLoads bool `json:"fail_loads,omitempty"`
-	// DelayOrders holds each order back before it is looked at.
+	// DelayOrders delays the processing of each order.
 	DelayOrders fault.Duration `json:"delay_orders,omitempty"`
-	// LoseOrderAnswers acts on orders and cuts the connection.
-	LoseOrderAnswers bool `json:"lose_order_answers,omitempty"`
-	// Leaving makes the engine say that it leaves.
+	// DropOrderResponses processes orders and closes the connection without a response.
+	DropOrderResponses bool `json:"lose_order_answers,omitempty"`
+	// Leaving makes the engine report that it is leaving and reject requests.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// EntryKind is the kind of a history entry.
+// EntryKind identifies the event of a history entry.
 type EntryKind string
 
-// The kinds of history entries.
+// Kinds of history entries.
 const (
 	RequestStarted   EntryKind = "request_started"
 	RequestFinished  EntryKind = "request_finished"
@@ -118,7 +115,7 @@
 	MemoryRefused    EntryKind = "memory_refused"
 )
 
-// Entry is one event in the history.
+// Entry is an event in an engine's history.
 type Entry struct {
 	At        time.Time `json:"at"`
 	Kind      EntryKind `json:"kind"`
--- a/standin/engines/engine.go
+++ b/standin/engines/engine.go
@@ -13,7 +13,7 @@
 	"github.com/finchspoke/finchspoke/standin/fault"
 )
 
-// Engine is the stand-in.
+// Engine is an HTTP handler that simulates one model engine.
 type Engine struct {
 	Faults  fault.Switch[Faults]
 	History fault.History[Entry]
@@ -21,29 +21,29 @@
 	config  Config
 	process string
 	mux     *http.ServeMux
-	http    *http.Client // to the weight store
+	http    *http.Client // for the weight store
 	ctx     context.Context
 	stop    context.CancelFunc
 	workers sync.WaitGroup
 
-	mutex     sync.Mutex
-	version   uint64
-	changed   chan struct{} // closed and replaced when version grows
-	fence     engine.Fence
-	role      string
-	used      []int64 // bytes on each accelerator
-	replicas  map[string]*replica
-	unloaded  map[string]bool // replica ids that will not come back
-	cache     *checkpointCache
-	sequences map[string]*sequence
-	reports   []engine.LoadReport
-	events    *eventLog
+	mutex       sync.Mutex
+	version     uint64
+	changed     chan struct{} // closed and replaced when version increases
+	fence       engine.Fence
+	role        string
+	usedBytes   []int64 // by accelerator
+	replicas    map[string]*replica
+	unloaded    map[string]bool // ids of replicas with an unload order; they cannot be loaded again
+	cache       *checkpointCache
+	sequences   map[string]*sequence
+	loadReports []engine.LoadReport
+	events      *eventLog
 }
 
-// New starts an engine. Close ends it.
+// New starts an engine. Close stops it.
 func New(config Config) *Engine {
 	ctx, stop := context.WithCancel(context.Background())
-	created := &Engine{
+	e := &Engine{
 		config:    config,
 		process:   uuid.NewString(),
 		mux:       http.NewServeMux(),
@@ -53,20 +53,20 @@
 		changed:   make(chan struct{}),
 		version:   1,
 		role:      "both",
-		used:      make([]int64, config.Accelerators),
+		usedBytes: make([]int64, config.Accelerators),
 		replicas:  map[string]*replica{},
 		unloaded:  map[string]bool{},
 		cache:     newCheckpointCache(config.DiskCacheBytes, config.MemoryCacheBytes),
 		sequences: map[string]*sequence{},
-		events:    newEventLog(config.EventDelay, config.EventGap),
+		events:    newEventLog(config.EventDelay, config.EventLossInterval),
 	}
-	created.routes()
-	created.workers.Add(1)
-	go created.reportLoad()
-	return created
+	e.registerRoutes()
+	e.workers.Add(1)
+	go e.sampleLoad()
+	return e
 }
 
-func (e *Engine) routes() {
+func (e *Engine) registerRoutes() {
 	e.mux.HandleFunc("POST "+engine.PathOrders, e.serveOrder)
 	e.mux.HandleFunc("GET "+engine.PathInventory, e.serveInventory)
 	e.mux.HandleFunc("GET "+engine.PathLoad, e.serveLoad)
@@ -85,32 +85,32 @@
 	e.mux.ServeHTTP(writer, httpRequest)
 }
 
-// Close ends the engine's work and waits for it.
+// Close stops the engine's goroutines and waits for them.
 func (e *Engine) Close() {
 	e.stop()
 	e.mutex.Lock()
-	for _, held := range e.replicas {
-		held.batch.stop()
+	for _, r := range e.replicas {
+		r.batch.stop()
 	}
 	e.mutex.Unlock()
 	e.workers.Wait()
 	e.http.CloseIdleConnections()
 }
 
-// record adds a history entry stamped now.
+// record adds a history entry with the current time.
 func (e *Engine) record(entry Entry) {
 	entry.At = time.Now()
 	e.History.Add(entry)
 }
 
-// touch makes a change of the inventory visible; the mutex is held.
-func (e *Engine) touch() {
+// bumpVersion announces a change of the inventory to waiting readers. The caller holds the mutex.
+func (e *Engine) bumpVersion() {
 	e.version++
 	close(e.changed)
 	e.changed = make(chan struct{})
 }
 
-// Inventory returns what the engine holds.
+// Inventory returns the engine's accelerators, replicas and cached checkpoints.
 func (e *Engine) Inventory() engine.Inventory {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -123,24 +123,23 @@
 		Leaving: e.Faults.Get().Leaving, Role: e.role,
 		Replicas: []engine.Replica{}, Cached: e.cache.list(),
 	}
-	for _, used := range e.used {
+	for _, usedBytes := range e.usedBytes {
 		inventory.Accelerators = append(inventory.Accelerators,
-			engine.Accelerator{MemoryBytes: e.config.AcceleratorBytes, UsedBytes: used})
+			engine.Accelerator{MemoryBytes: e.config.AcceleratorMemoryBytes, UsedBytes: usedBytes})
 	}
-	for _, held := range e.replicas {
-		inventory.Replicas = append(inventory.Replicas, held.describe(time.Now()))
+	for _, r := range e.replicas {
+		inventory.Replicas = append(inventory.Replicas, r.describe(time.Now()))
 	}
 	sort.Slice(inventory.Replicas, func(i, j int) bool { return inventory.Replicas[i].ID < inventory.Replicas[j].ID })
 	return inventory
 }
 
-// inventoryPoll is how often a waiting reader looks at faults, which have no
-// signal of their own.
-const inventoryPoll = 200 * time.Millisecond
+// inventoryPollInterval is how often a long poll checks the faults, whose changes are not signalled.
+const inventoryPollInterval = 200 * time.Millisecond
 
 func (e *Engine) serveInventory(writer http.ResponseWriter, httpRequest *http.Request) {
 	query := httpRequest.URL.Query()
-	after := parseUint(query.Get("after"))
+	after := parseUintOrZero(query.Get("after"))
 	wait, err := time.ParseDuration(query.Get("wait"))
 	if err != nil {
 		wait = 0
@@ -158,7 +157,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(min(inventoryPoll, time.Until(deadline))):
+		case <-time.After(min(inventoryPollInterval, time.Until(deadline))):
 		case <-httpRequest.Context().Done():
 			return
 		case <-e.ctx.Done():
@@ -168,14 +167,14 @@
 }
 
 const (
-	reportEvery = 250 * time.Millisecond
-	reportsKept = 240
+	reportInterval = 250 * time.Millisecond
+	maxReports     = 240
 )
 
-// reportLoad samples the load so that a report can be served late.
-func (e *Engine) reportLoad() {
+// sampleLoad records load reports at an interval, for serving them with a delay.
+func (e *Engine) sampleLoad() {
 	defer e.workers.Done()
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -184,14 +183,14 @@
 		case now := <-ticker.C:
 			e.mutex.Lock()
 			report := engine.LoadReport{At: now}
-			for _, held := range e.replicas {
-				running, waiting := held.batch.load()
+			for _, r := range e.replicas {
+				running, waiting := r.batch.counts()
 				report.Running += running
 				report.Waiting += waiting
 			}
-			e.reports = append(e.reports, report)
-			if len(e.reports) > reportsKept {
-				e.reports = e.reports[1:]
+			e.loadReports = append(e.loadReports, report)
+			if len(e.loadReports) > maxReports {
+				e.loadReports = e.loadReports[1:]
 			}
 			e.mutex.Unlock()
 		}
@@ -201,10 +200,10 @@
 func (e *Engine) serveLoad(writer http.ResponseWriter, _ *http.Request) {
 	e.mutex.Lock()
 	var report engine.LoadReport
-	limit := time.Now().Add(-e.config.LoadLag)
-	for _, candidate := range e.reports {
-		if !candidate.At.After(limit) {
-			report = candidate
+	limit := time.Now().Add(-e.config.LoadReportDelay)
+	for _, sample := range e.loadReports {
+		if !sample.At.After(limit) {
+			report = sample
 		}
 	}
 	e.mutex.Unlock()
--- a/standin/engines/inference.go
+++ b/standin/engines/inference.go
@@ -16,11 +16,11 @@
 	"github.com/finchspoke/finchspoke/standin/fault"
 )
 
-// maxBodyBytes bounds a request.
+// maxBodyBytes limits a request body.
 const maxBodyBytes = 64 << 20
 
-// question is the part of an OpenAI request that matters here.
-type question struct {
+// inferenceRequest holds the fields of an OpenAI request that the stand-in uses.
+type inferenceRequest struct {
 	Model     string          `json:"model"`
 	Stream    bool            `json:"stream"`
 	MaxTokens int             `json:"max_tokens"`
@@ -35,19 +35,19 @@
 	} `json:"stream_options"`
 }
 
-// text returns the prompt: all messages, or the prompt of a completion.
-func (q question) text() string {
-	if len(q.Messages) == 0 {
-		return plain(q.Prompt)
+// text returns the contents of all messages, or the prompt of a completion request.
+func (r inferenceRequest) text() string {
+	if len(r.Messages) == 0 {
+		return plainText(r.Prompt)
 	}
-	parts := make([]string, 0, len(q.Messages))
-	for _, message := range q.Messages {
-		parts = append(parts, plain(message.Content))
+	parts := make([]string, 0, len(r.Messages))
+	for _, message := range r.Messages {
+		parts = append(parts, plainText(message.Content))
 	}
 	return strings.Join(parts, "\n")
 }
 
-func plain(raw json.RawMessage) string {
+func plainText(raw json.RawMessage) string {
 	var text string
 	if json.Unmarshal(raw, &text) == nil {
 		return text
@@ -55,118 +55,118 @@
 	return string(raw)
 }
 
-// shape is what differs between the chat and the completion interface.
-type shape struct {
-	idPrefix    string
-	chunkObject string
-	wholeObject string
-	chat        bool
+// responseFormat describes the responses of the chat or the completion API.
+type responseFormat struct {
+	idPrefix       string
+	chunkObject    string
+	completeObject string
+	chat           bool
 }
 
 var (
-	chatShape       = shape{"chatcmpl-", "chat.completion.chunk", "chat.completion", true}
-	completionShape = shape{"cmpl-", "text_completion", "text_completion", false}
+	chatFormat       = responseFormat{"chatcmpl-", "chat.completion.chunk", "chat.completion", true}
+	completionFormat = responseFormat{"cmpl-", "text_completion", "text_completion", false}
 )
 
 func (e *Engine) serveChat(writer http.ResponseWriter, httpRequest *http.Request) {
-	e.serveQuestion(writer, httpRequest, chatShape)
+	e.serveInference(writer, httpRequest, chatFormat)
 }
 
 func (e *Engine) serveCompletion(writer http.ResponseWriter, httpRequest *http.Request) {
-	e.serveQuestion(writer, httpRequest, completionShape)
+	e.serveInference(writer, httpRequest, completionFormat)
 }
 
-func (e *Engine) serveQuestion(writer http.ResponseWriter, httpRequest *http.Request, form shape) {
+func (e *Engine) serveInference(writer http.ResponseWriter, httpRequest *http.Request, format responseFormat) {
 	requestID := httpRequest.Header.Get(engine.HeaderRequestID)
 	if requestID == "" {
 		requestID = uuid.NewString()
 	}
 	writer.Header().Set(engine.HeaderRequestID, requestID)
 	body, err := io.ReadAll(http.MaxBytesReader(writer, httpRequest.Body, maxBodyBytes))
-	var asked question
+	var request inferenceRequest
 	if err == nil {
-		err = json.Unmarshal(body, &asked)
+		err = json.Unmarshal(body, &request)
 	}
 	if err != nil {
 		writer.Header().Set(engine.HeaderExecution, engine.ExecutionNotStarted)
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
-	running, reason := e.start(requestID, httpRequest.Header, asked, form)
+	seq, reason := e.startRequest(requestID, httpRequest.Header, request, format)
 	if reason != "" {
-		e.record(Entry{Kind: RequestRefused, RequestID: requestID, Model: asked.Model, Detail: reason})
+		e.record(Entry{Kind: RequestRefused, RequestID: requestID, Model: request.Model, Detail: reason})
 		writer.Header().Set(engine.HeaderExecution, engine.ExecutionNotStarted)
 		http.Error(writer, reason, http.StatusServiceUnavailable)
 		return
 	}
-	if e.Faults.Get().LoseAnswers {
+	if e.Faults.Get().DropResponses {
 		panic(http.ErrAbortHandler)
 	}
-	if e.Faults.Get().CrossAnswers {
+	if e.Faults.Get().MismatchRequestIDs {
 		writer.Header().Set(engine.HeaderRequestID, uuid.NewString())
 	}
-	answer := answerWriter{engine: e, sequence: running}
-	if asked.Stream {
-		answer.stream(writer, httpRequest, 0)
+	response := responseWriter{engine: e, sequence: seq}
+	if request.Stream {
+		response.stream(writer, httpRequest, 0)
 		return
 	}
-	answer.whole(writer, httpRequest)
+	response.complete(writer, httpRequest)
 }
 
-// start finds a ready replica and begins the request there.
-func (e *Engine) start(requestID string, header http.Header, asked question, form shape) (*sequence, string) {
+// startRequest adds the request to a ready replica, or returns the reason why it cannot.
+func (e *Engine) startRequest(requestID string, header http.Header, request inferenceRequest, format responseFormat) (*sequence, string) {
 	faults := e.Faults.Get()
 	if faults.RefuseRequests || faults.Leaving {
-		return nil, "the engine takes no requests"
+		return nil, "the engine accepts no requests"
 	}
-	count := max(asked.MaxTokens, asked.MaxNew)
+	count := max(request.MaxTokens, request.MaxNew)
 	if count <= 0 {
 		count = e.config.Timing.DefaultMaxTokens
 	}
-	count = min(count, e.config.Timing.LongestAnswerInTokens)
-	prompt := asked.text()
+	count = min(count, e.config.Timing.MaxCompletionTokens)
+	prompt := request.text()
 	rank, err := strconv.Atoi(header.Get(engine.HeaderPriority))
 	if err != nil {
 		rank = 1
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	held := e.find(asked.Model)
+	r := e.findReady(request.Model)
 	if replicaID := header.Get(engine.HeaderReplicaID); replicaID != "" {
-		held = e.replicas[replicaID]
+		r = e.replicas[replicaID]
 	}
-	if held == nil || !held.serves(asked.Model) {
-		return nil, fmt.Sprintf("model %q is not ready here", asked.Model)
+	if r == nil || !r.serves(request.Model) {
+		return nil, fmt.Sprintf("model %q is not ready on this engine", request.Model)
 	}
-	running := &sequence{
-		requestID: requestID, target: asked.Model, priority: rank, prompt: countTokens(prompt),
-		prefix: engine.PrefixHash(asked.Model, prompt), tokens: Answer(asked.Model, prompt, count),
-		asked: asked, form: form, created: time.Now().Unix(), changed: make(chan struct{}),
+	seq := &sequence{
+		requestID: requestID, target: request.Model, priority: rank, prompt: countTokens(prompt),
+		prefix: engine.PrefixHash(request.Model, prompt), tokens: Completion(request.Model, prompt, count),
+		request: request, format: format, created: time.Now().Unix(), changed: make(chan struct{}),
 	}
-	e.sequences[requestID] = running
-	e.record(Entry{Kind: RequestStarted, RequestID: requestID, ReplicaID: held.order.ReplicaID, Model: asked.Model, Prompt: prompt})
-	held.batch.add(running)
-	return running, ""
+	e.sequences[requestID] = seq
+	e.record(Entry{Kind: RequestStarted, RequestID: requestID, ReplicaID: r.order.ReplicaID, Model: request.Model, Prompt: prompt})
+	r.batch.add(seq)
+	return seq, ""
 }
 
-// find returns a ready replica of a model or adapter, the one with fewest
-// requests; the mutex is held.
-func (e *Engine) find(target string) *replica {
+// findReady returns the ready replica of a model or adapter with the fewest requests, or nil. The caller holds the
+// mutex.
+func (e *Engine) findReady(target string) *replica {
 	var best *replica
-	least := 0
-	for _, held := range e.replicas {
-		if !held.serves(target) {
+	fewest := 0
+	for _, r := range e.replicas {
+		if !r.serves(target) {
 			continue
 		}
-		running, waiting := held.batch.load()
-		if best == nil || running+waiting < least {
-			best, least = held, running+waiting
+		running, waiting := r.batch.counts()
+		if best == nil || running+waiting < fewest {
+			best, fewest = r, running+waiting
 		}
 	}
 	return best
 }
 
-// serves tells whether the replica is ready and has the model or adapter.
+// serves reports whether the replica is ready and has the model or adapter.
 func (r *replica) serves(target string) bool {
 	return r.state == engine.Ready && (r.order.Model == target || r.adapters[target])
 }
@@ -177,70 +177,70 @@
 	return e.sequences[id]
 }
 
-func (e *Engine) forget(id string) {
+func (e *Engine) removeSequence(id string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	delete(e.sequences, id)
 }
 
-// leave ends a reader; an answer that nobody reads for the resume window is
-// cancelled, and one that ended is forgotten then.
-func (e *Engine) leave(running *sequence) {
-	running.mutex.Lock()
-	running.readers--
-	running.mutex.Unlock()
+// removeReader detaches a reader. A sequence without a reader after the resume window is cancelled, if it is still
+// running, and removed.
+func (e *Engine) removeReader(seq *sequence) {
+	seq.mutex.Lock()
+	seq.readers--
+	seq.mutex.Unlock()
 	e.workers.Add(1)
 	go func() {
 		defer e.workers.Done()
 		sleep.For(e.ctx, e.config.ResumeWindow)
-		running.mutex.Lock()
-		unread := running.readers == 0
-		running.mutex.Unlock()
-		if unread {
-			e.cancel(running)
-			e.forget(running.requestID)
+		seq.mutex.Lock()
+		abandoned := seq.readers == 0
+		seq.mutex.Unlock()
+		if abandoned {
+			e.cancelSequence(seq)
+			e.removeSequence(seq.requestID)
 		}
 	}()
 }
 
-func (e *Engine) cancel(running *sequence) {
-	if running.progress().ended {
+func (e *Engine) cancelSequence(seq *sequence) {
+	if seq.progress().ended {
 		return
 	}
-	running.change(func() { running.cancelled = true })
-	e.record(Entry{Kind: RequestCancelled, RequestID: running.requestID, Model: running.target})
+	seq.update(func() { seq.cancelled = true })
+	e.record(Entry{Kind: RequestCancelled, RequestID: seq.requestID, Model: seq.target})
 }
 
 func (e *Engine) serveCancel(writer http.ResponseWriter, httpRequest *http.Request) {
-	running := e.sequence(httpRequest.PathValue("id"))
-	if running == nil {
+	seq := e.sequence(httpRequest.PathValue("id"))
+	if seq == nil {
 		http.Error(writer, "no such request", http.StatusNotFound)
 		return
 	}
-	e.cancel(running)
+	e.cancelSequence(seq)
 	writer.WriteHeader(http.StatusNoContent)
 }
 
 func (e *Engine) serveResume(writer http.ResponseWriter, httpRequest *http.Request) {
-	running := e.sequence(httpRequest.PathValue("id"))
-	if running == nil {
+	seq := e.sequence(httpRequest.PathValue("id"))
+	if seq == nil {
 		http.Error(writer, "no such request", http.StatusNotFound)
 		return
 	}
-	writer.Header().Set(engine.HeaderRequestID, running.requestID)
-	answer := answerWriter{engine: e, sequence: running}
-	answer.stream(writer, httpRequest, int(parseUint(httpRequest.URL.Query().Get("offset"))))
+	writer.Header().Set(engine.HeaderRequestID, seq.requestID)
+	response := responseWriter{engine: e, sequence: seq}
+	response.stream(writer, httpRequest, int(parseUintOrZero(httpRequest.URL.Query().Get("offset"))))
 }
 
-// eventsPoll is how often the event stream looks for events that became due.
-const eventsPoll = 50 * time.Millisecond
+// eventsPollInterval is how often an event stream checks for due events.
+const eventsPollInterval = 50 * time.Millisecond
 
 func (e *Engine) serveEvents(writer http.ResponseWriter, httpRequest *http.Request) {
 	writer.Header().Set("Content-Type", "text/event-stream")
-	seen := uint64(0)
+	last := uint64(0)
 	for {
-		for _, event := range e.events.after(seen) {
-			seen = event.Sequence
+		for _, event := range e.events.after(last) {
+			last = event.Sequence
 			text, err := json.Marshal(event)
 			if err != nil {
 				return
@@ -257,12 +257,12 @@
 			return
 		case <-e.ctx.Done():
 			return
-		case <-time.After(eventsPoll):
+		case <-time.After(eventsPollInterval):
 		}
 	}
 }
 
-// prefixExport is the KV cache of a model in transit.
+// prefixExport is the wire format in which engines transfer a model's prefix cache.
 type prefixExport struct {
 	Model    string           `json:"model"`
 	Prefixes []exportedPrefix `json:"prefixes"`
@@ -276,18 +276,18 @@
 func (e *Engine) servePrefixExport(writer http.ResponseWriter, httpRequest *http.Request) {
 	export := prefixExport{Model: httpRequest.PathValue("model"), Prefixes: []exportedPrefix{}}
 	e.mutex.Lock()
-	held := e.find(export.Model)
+	r := e.findReady(export.Model)
 	e.mutex.Unlock()
-	if held == nil {
-		http.Error(writer, "model is not ready here", http.StatusNotFound)
+	if r == nil {
+		http.Error(writer, "the model is not ready on this engine", http.StatusNotFound)
 		return
 	}
-	held.batch.mutex.Lock()
-	for element := held.batch.prefixes.order.Front(); element != nil; element = element.Next() {
-		entry := element.Value.(*sizedEntry)
+	r.batch.mutex.Lock()
+	for element := r.batch.prefixes.order.Front(); element != nil; element = element.Next() {
+		entry := element.Value.(*lruEntry)
 		export.Prefixes = append(export.Prefixes, exportedPrefix{entry.key, entry.size})
 	}
-	held.batch.mutex.Unlock()
+	r.batch.mutex.Unlock()
 	fault.WriteJSON(writer, http.StatusOK, export)
 }
 
@@ -298,17 +298,17 @@
 		return
 	}
 	e.mutex.Lock()
-	held := e.find(httpRequest.PathValue("model"))
+	r := e.findReady(httpRequest.PathValue("model"))
 	e.mutex.Unlock()
-	if held == nil {
-		http.Error(writer, "model is not ready here", http.StatusNotFound)
+	if r == nil {
+		http.Error(writer, "the model is not ready on this engine", http.StatusNotFound)
 		return
 	}
-	held.batch.mutex.Lock()
+	r.batch.mutex.Lock()
 	for index := len(imported.Prefixes) - 1; index >= 0; index-- {
 		prefix := imported.Prefixes[index]
-		held.batch.prefixes.add(prefix.Key, prefix.Tokens, engine.CachedCheckpoint{})
+		r.batch.prefixes.add(prefix.Key, prefix.Tokens, engine.CachedCheckpoint{})
 	}
-	held.batch.mutex.Unlock()
+	r.batch.mutex.Unlock()
 	writer.WriteHeader(http.StatusNoContent)
 }
--- a/standin/engines/orders.go
+++ b/standin/engines/orders.go
@@ -14,31 +14,31 @@
 	"github.com/finchspoke/finchspoke/standin/fault"
 )
 
-// replica is a loaded, or loading, copy of a model.
+// replica is a copy of a model that is loading, ready or unloading.
 type replica struct {
-	order    engine.Order
-	state    engine.ReplicaState
-	since    time.Time
-	adapters map[string]bool // true once loaded
-	batch    *batch
-	cancel   context.CancelFunc // ends a load
+	order       engine.Order
+	state       engine.ReplicaState
+	loadStarted time.Time
+	adapters    map[string]bool // true when loaded, false while loading
+	batch       *batch
+	cancelLoad  context.CancelFunc // stops a running load
 }
 
 func (r *replica) describe(now time.Time) engine.Replica {
-	described := engine.Replica{
+	description := engine.Replica{
 		ID: r.order.ReplicaID, Model: r.order.Model, Version: r.order.Version, State: r.state,
 		Accelerators: r.order.Accelerators, MemoryBytes: r.order.MemoryBytes,
 	}
 	for adapter, loaded := range r.adapters {
 		if loaded {
-			described.Adapters = append(described.Adapters, adapter)
+			description.Adapters = append(description.Adapters, adapter)
 		}
 	}
-	slices.Sort(described.Adapters)
+	slices.Sort(description.Adapters)
 	if r.state == engine.Loading {
-		described.LoadingFor = now.Sub(r.since).Milliseconds()
+		description.LoadingFor = now.Sub(r.loadStarted).Milliseconds()
 	}
-	return described
+	return description
 }
 
 func (e *Engine) serveOrder(writer http.ResponseWriter, httpRequest *http.Request) {
@@ -48,99 +48,100 @@
 		return
 	}
 	time.Sleep(time.Duration(e.Faults.Get().DelayOrders))
-	answer := e.Execute(order)
-	if e.Faults.Get().LoseOrderAnswers {
+	response := e.Execute(order)
+	if e.Faults.Get().DropOrderResponses {
 		panic(http.ErrAbortHandler)
 	}
 	status := http.StatusOK
-	if !answer.Accepted {
+	if !response.Accepted {
 		status = http.StatusConflict
 	}
-	fault.WriteJSON(writer, status, answer)
+	fault.WriteJSON(writer, status, response)
 }
 
-// Execute acts on an order, unless the fence or the memory forbids it.
+// Execute processes an order. It refuses orders with a lower fence than the highest seen, for another process, or
+// without enough memory.
 func (e *Engine) Execute(order engine.Order) engine.OrderAnswer {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if order.Fence.Less(e.fence) {
 		e.record(Entry{Kind: FenceRefused, ReplicaID: order.ReplicaID, Model: order.Model,
 			Epoch: order.Fence.Epoch, Revision: order.Fence.Revision, Detail: string(order.Operation)})
-		return engine.OrderAnswer{Reason: "fence is lower than one already seen", Fence: e.fence}
+		return engine.OrderAnswer{Reason: "the fence is lower than the highest one received", Fence: e.fence}
 	}
 	if order.Process != e.process {
-		return engine.OrderAnswer{Reason: "the order is for an earlier process of this engine", Fence: e.fence}
+		return engine.OrderAnswer{Reason: "the order is for another process of this engine", Fence: e.fence}
 	}
 	if e.fence.Less(order.Fence) {
-		e.touch()
+		e.bumpVersion()
 		e.fence = order.Fence
 	}
-	reason := e.act(order)
+	reason := e.applyOrder(order)
 	return engine.OrderAnswer{Accepted: reason == "", Reason: reason, Fence: e.fence}
 }
 
-// act returns why an order is refused, or nothing.
-func (e *Engine) act(order engine.Order) string {
+// applyOrder returns the reason why an order is refused, or an empty string.
+func (e *Engine) applyOrder(order engine.Order) string {
 	switch order.Operation {
 	case engine.Seal:
 		return ""
 	case engine.Load:
-		return e.load(order)
+		return e.loadReplica(order)
 	case engine.Unload:
-		return e.unload(order.ReplicaID)
+		return e.unloadReplica(order.ReplicaID)
 	case engine.LoadAdapter:
 		return e.loadAdapter(order)
 	case engine.UnloadAdapter:
-		if held := e.replicas[order.ReplicaID]; held != nil {
-			delete(held.adapters, order.Adapter)
-			e.touch()
+		if r := e.replicas[order.ReplicaID]; r != nil {
+			delete(r.adapters, order.Adapter)
+			e.bumpVersion()
 		}
 		return ""
 	case engine.SetRole:
 		e.role = order.Role
-		e.touch()
+		e.bumpVersion()
 		return ""
 	}
-	return fmt.Sprintf("operation %q is not known", order.Operation)
+	return fmt.Sprintf("operation %q is unknown", order.Operation)
 }
 
-func (e *Engine) load(order engine.Order) string {
-	if _, held := e.replicas[order.ReplicaID]; held {
+func (e *Engine) loadReplica(order engine.Order) string {
+	if _, r := e.replicas[order.ReplicaID]; r {
 		return ""
 	}
 	if e.unloaded[order.ReplicaID] {
-		return "the replica was already unloaded"
+		return "the replica was unloaded"
 	}
 	for _, index := range order.Accelerators {
-		if index < 0 || index >= len(e.used) {
+		if index < 0 || index >= len(e.usedBytes) {
 			return fmt.Sprintf("accelerator %d does not exist", index)
 		}
-		if e.used[index]+order.MemoryBytes > e.config.AcceleratorBytes {
+		if e.usedBytes[index]+order.MemoryBytes > e.config.AcceleratorMemoryBytes {
 			e.record(Entry{Kind: MemoryRefused, ReplicaID: order.ReplicaID, Model: order.Model,
 				Epoch: order.Fence.Epoch, Revision: order.Fence.Revision})
-			return fmt.Sprintf("accelerator %d has no room", index)
+			return fmt.Sprintf("accelerator %d has not enough free memory", index)
 		}
 	}
 	for _, index := range order.Accelerators {
-		e.used[index] += order.MemoryBytes
+		e.usedBytes[index] += order.MemoryBytes
 	}
-	ctx, cancel := context.WithCancel(e.ctx)
-	held := &replica{order: order, state: engine.Loading, since: time.Now(), adapters: map[string]bool{},
-		batch: newBatch(e), cancel: cancel}
-	e.replicas[order.ReplicaID] = held
-	e.touch()
+	ctx, cancelLoad := context.WithCancel(e.ctx)
+	r := &replica{order: order, state: engine.Loading, loadStarted: time.Now(), adapters: map[string]bool{},
+		batch: newBatch(e), cancelLoad: cancelLoad}
+	e.replicas[order.ReplicaID] = r
+	e.bumpVersion()
 	e.workers.Add(1)
 	go func() {
 		defer e.workers.Done()
-		e.bringIn(ctx, held)
+		e.runLoad(ctx, r)
 	}()
 	return ""
 }
 
-// bringIn takes the time of a load from the nearest place that has the
-// checkpoint, then makes the replica ready.
-func (e *Engine) bringIn(ctx context.Context, held *replica) {
-	order := held.order
+// runLoad simulates loading the checkpoint from memory, disk or the weight store, whichever is fastest, and marks the
+// replica as ready.
+func (e *Engine) runLoad(ctx context.Context, r *replica) {
+	order := r.order
 	bytes := order.MemoryBytes * int64(len(order.Accelerators))
 	e.mutex.Lock()
 	tier := e.cache.find(order.Model, order.Version)
@@ -156,49 +157,49 @@
 	loaded := e.transfer(ctx, tier, order, bytes) && !e.Faults.Get().FailLoads
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if held.state != engine.Loading {
-		return // unloaded meanwhile
+	if r.state != engine.Loading {
+		return // unloaded during the load
 	}
 	if !loaded {
 		entry.Kind = LoadFailed
 		e.record(entry)
-		e.drop(held)
+		e.removeReplica(r)
 		return
 	}
 	e.cache.add(order.Model, order.Version, bytes)
-	held.state = engine.Ready
+	r.state = engine.Ready
 	entry.Kind = LoadFinished
 	e.record(entry)
-	e.touch()
+	e.bumpVersion()
 	e.workers.Add(1)
 	go func() {
 		defer e.workers.Done()
-		held.batch.run(e.ctx)
+		r.batch.run(e.ctx)
 	}()
 }
 
-// storeRetryPause is the wait after the weight store refused a load.
-const storeRetryPause = 200 * time.Millisecond
+// storeRetryDelay is the pause after a failed fetch from the weight store.
+const storeRetryDelay = 200 * time.Millisecond
 
 func (e *Engine) transfer(ctx context.Context, tier engine.CacheTier, order engine.Order, bytes int64) bool {
 	switch tier {
 	case engine.InMemory:
-		return sleep.For(ctx, durationOf(bytes, e.config.Timing.MemoryBytesPerSecond))
+		return sleep.For(ctx, transferTime(bytes, e.config.Timing.MemoryBytesPerSecond))
 	case engine.OnDisk:
-		return sleep.For(ctx, durationOf(bytes, e.config.Timing.DiskBytesPerSecond))
+		return sleep.For(ctx, transferTime(bytes, e.config.Timing.DiskBytesPerSecond))
 	}
 	for ctx.Err() == nil {
-		if e.fetch(ctx, order, bytes) {
+		if e.fetchCheckpoint(ctx, order, bytes) {
 			return true
 		}
-		if !sleep.For(ctx, storeRetryPause) {
+		if !sleep.For(ctx, storeRetryDelay) {
 			return false
 		}
 	}
 	return false
 }
 
-func (e *Engine) fetch(ctx context.Context, order engine.Order, bytes int64) bool {
+func (e *Engine) fetchCheckpoint(ctx context.Context, order engine.Order, bytes int64) bool {
 	url := fmt.Sprintf("http://%s/checkpoints/%s@%s", e.config.WeightStoreAddress, order.Model, order.Version)
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -213,78 +214,78 @@
 	return response.StatusCode == http.StatusPartialContent
 }
 
-// unload stops new requests, and frees the memory once the last has finished.
-func (e *Engine) unload(replicaID string) string {
+// unloadReplica stops new requests to the replica and frees its memory after the last one has finished.
+func (e *Engine) unloadReplica(replicaID string) string {
 	e.unloaded[replicaID] = true
-	held := e.replicas[replicaID]
-	if held == nil || held.state == engine.Unloading {
+	r := e.replicas[replicaID]
+	if r == nil || r.state == engine.Unloading {
 		return ""
 	}
-	wasLoading := held.state == engine.Loading
-	held.state = engine.Unloading
-	e.touch()
+	wasLoading := r.state == engine.Loading
+	r.state = engine.Unloading
+	e.bumpVersion()
 	if wasLoading {
-		held.cancel()
-		e.finishUnload(held)
+		r.cancelLoad()
+		e.finishUnload(r)
 		return ""
 	}
 	e.workers.Add(1)
 	go func() {
 		defer e.workers.Done()
-		held.batch.drain(e.ctx)
+		r.batch.drain(e.ctx)
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
-		e.finishUnload(held)
+		e.finishUnload(r)
 	}()
 	return ""
 }
 
-func (e *Engine) finishUnload(held *replica) {
-	e.record(Entry{Kind: UnloadFinished, ReplicaID: held.order.ReplicaID, Model: held.order.Model})
-	e.drop(held)
+func (e *Engine) finishUnload(r *replica) {
+	e.record(Entry{Kind: UnloadFinished, ReplicaID: r.order.ReplicaID, Model: r.order.Model})
+	e.removeReplica(r)
 }
 
-// drop frees a replica's memory; the mutex is held.
-func (e *Engine) drop(held *replica) {
-	held.cancel()
-	held.batch.stop()
-	for _, index := range held.order.Accelerators {
-		e.used[index] -= held.order.MemoryBytes
+// removeReplica stops a replica and frees its memory. The caller holds the mutex.
+func (e *Engine) removeReplica(r *replica) {
+	r.cancelLoad()
+	r.batch.stop()
+	for _, index := range r.order.Accelerators {
+		e.usedBytes[index] -= r.order.MemoryBytes
 	}
-	delete(e.replicas, held.order.ReplicaID)
-	e.touch()
+	delete(e.replicas, r.order.ReplicaID)
+	e.bumpVersion()
 }
 
 func (e *Engine) loadAdapter(order engine.Order) string {
-	held := e.replicas[order.ReplicaID]
-	if held == nil {
+	r := e.replicas[order.ReplicaID]
+	if r == nil {
 		return "the replica is not loaded"
 	}
-	if _, known := held.adapters[order.Adapter]; known {
+	if _, exists := r.adapters[order.Adapter]; exists {
 		return ""
 	}
-	held.adapters[order.Adapter] = false
+	r.adapters[order.Adapter] = false
 	e.workers.Add(1)
 	go func() {
 		defer e.workers.Done()
-		if !sleep.For(e.ctx, e.config.Timing.AdapterLoad) {
+		if !sleep.For(e.ctx, e.config.Timing.AdapterLoadTime) {
 			return
 		}
 		e.mutex.Lock()
 		defer e.mutex.Unlock()
-		if _, wanted := held.adapters[order.Adapter]; wanted {
-			held.adapters[order.Adapter] = true
-			e.touch()
+		if _, present := r.adapters[order.Adapter]; present {
+			r.adapters[order.Adapter] = true
+			e.bumpVersion()
 		}
 	}()
 	return ""
 }
 
-func durationOf(bytes int64, perSecond float64) time.Duration {
+func transferTime(bytes int64, perSecond float64) time.Duration {
 	return time.Duration(float64(bytes) / perSecond * float64(time.Second))
 }
 
-func parseUint(text string) uint64 {
+func parseUintOrZero(text string) uint64 {
 	value, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
 		return 0
--- a/standin/engines/writer.go
+++ b/standin/engines/writer.go
@@ -9,38 +9,38 @@
 	"github.com/finchspoke/finchspoke/standin/fault"
 )
 
-// answerWriter writes one answer in the form that was asked for.
-type answerWriter struct {
+// responseWriter writes the response of a sequence in the requested format.
+type responseWriter struct {
 	engine   *Engine
 	sequence *sequence
 }
 
-type answerChoice struct {
-	Index        int            `json:"index"`
-	Message      *answerMessage `json:"message,omitempty"`
-	Delta        *answerMessage `json:"delta,omitempty"`
-	Text         *string        `json:"text,omitempty"`
-	FinishReason *string        `json:"finish_reason"`
+type responseChoice struct {
+	Index        int              `json:"index"`
+	Message      *responseMessage `json:"message,omitempty"`
+	Delta        *responseMessage `json:"delta,omitempty"`
+	Text         *string          `json:"text,omitempty"`
+	FinishReason *string          `json:"finish_reason"`
 }
 
-type answerMessage struct {
+type responseMessage struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-type answerUsage struct {
+type responseUsage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-type answerBody struct {
-	ID      string         `json:"id"`
-	Object  string         `json:"object"`
-	Created int64          `json:"created"`
-	Model   string         `json:"model"`
-	Choices []answerChoice `json:"choices"`
-	Usage   *answerUsage   `json:"usage,omitempty"`
+type responseBody struct {
+	ID      string           `json:"id"`
+	Object  string           `json:"object"`
+	Created int64            `json:"created"`
+	Model   string           `json:"model"`
+	Choices []responseChoice `json:"choices"`
+	Usage   *responseUsage   `json:"usage,omitempty"`
 }
 
 const (
@@ -48,31 +48,31 @@
 	finishLength  = "length"
 )
 
-func (a answerWriter) body(object string, choices ...answerChoice) answerBody {
-	return answerBody{
-		ID: a.sequence.form.idPrefix + a.sequence.requestID, Object: object, Created: a.sequence.created,
-		Model: a.sequence.asked.Model, Choices: choices,
+func (r responseWriter) body(object string, choices ...responseChoice) responseBody {
+	return responseBody{
+		ID: r.sequence.format.idPrefix + r.sequence.requestID, Object: object, Created: r.sequence.created,
+		Model: r.sequence.request.Model, Choices: choices,
 	}
 }
 
-func (a answerWriter) usage() *answerUsage {
-	completion := len(a.sequence.tokens)
-	return &answerUsage{a.sequence.prompt, completion, a.sequence.prompt + completion}
+func (r responseWriter) usage() *responseUsage {
+	completion := len(r.sequence.tokens)
+	return &responseUsage{r.sequence.prompt, completion, r.sequence.prompt + completion}
 }
 
-// whole answers in one piece once the last token is there.
-func (a answerWriter) whole(writer http.ResponseWriter, httpRequest *http.Request) {
-	a.join()
-	defer a.engine.leave(a.sequence)
+// complete writes a non-streaming response after the last token.
+func (r responseWriter) complete(writer http.ResponseWriter, httpRequest *http.Request) {
+	r.addReader()
+	defer r.engine.removeReader(r.sequence)
 	for {
-		state := a.sequence.progress()
-		if cut := a.engine.Faults.Get().CutAfterTokens; cut > 0 && state.produced >= cut {
+		state := r.sequence.progress()
+		if cut := r.engine.Faults.Get().CutAfterTokens; cut > 0 && state.produced >= cut {
 			panic(http.ErrAbortHandler)
 		}
-		if state.ended && !state.whole {
+		if state.ended && !state.complete {
 			panic(http.ErrAbortHandler)
 		}
-		if state.whole {
+		if state.complete {
 			break
 		}
 		select {
@@ -81,50 +81,50 @@
 			return
 		}
 	}
-	text := strings.Join(a.sequence.tokens, "")
+	text := strings.Join(r.sequence.tokens, "")
 	reason := finishLength
-	choice := answerChoice{FinishReason: &reason}
-	if a.sequence.form.chat {
-		choice.Message = &answerMessage{roleAssistant, text}
+	choice := responseChoice{FinishReason: &reason}
+	if r.sequence.format.chat {
+		choice.Message = &responseMessage{roleAssistant, text}
 	} else {
 		choice.Text = &text
 	}
-	body := a.body(a.sequence.form.wholeObject, choice)
-	body.Usage = a.usage()
+	body := r.body(r.sequence.format.completeObject, choice)
+	body.Usage = r.usage()
 	fault.WriteJSON(writer, http.StatusOK, body)
 }
 
-func (a answerWriter) join() {
-	a.sequence.mutex.Lock()
-	a.sequence.readers++
-	a.sequence.mutex.Unlock()
+func (r responseWriter) addReader() {
+	r.sequence.mutex.Lock()
+	r.sequence.readers++
+	r.sequence.mutex.Unlock()
 }
 
-// stream answers an event a token from offset on, then the end mark.
-func (a answerWriter) stream(writer http.ResponseWriter, httpRequest *http.Request, offset int) {
-	a.join()
-	defer a.engine.leave(a.sequence)
+// stream writes one event per token, starting at offset, then the final events.
+func (r responseWriter) stream(writer http.ResponseWriter, httpRequest *http.Request, offset int) {
+	r.addReader()
+	defer r.engine.removeReader(r.sequence)
 	writer.Header().Set("Content-Type", "text/event-stream")
 	writer.Header().Set("Cache-Control", "no-cache")
 	writer.WriteHeader(http.StatusOK)
 	flusher, _ := writer.(http.Flusher)
 	flusher.Flush()
-	frame := a.frame()
+	frame := r.frame()
 	sent := offset
 	for {
-		state := a.sequence.progress()
+		state := r.sequence.progress()
 		for sent < state.produced {
-			if cut := a.engine.Faults.Get().CutAfterTokens; cut > 0 && sent >= cut {
+			if cut := r.engine.Faults.Get().CutAfterTokens; cut > 0 && sent >= cut {
 				panic(http.ErrAbortHandler)
 			}
-			if _, err := writer.Write(frame.event(a.sequence.tokens[sent])); err != nil {
+			if _, err := writer.Write(frame.event(r.sequence.tokens[sent])); err != nil {
 				return
 			}
 			sent++
 		}
 		flusher.Flush()
-		if state.whole {
-			a.finish(writer, sent-len(a.sequence.tokens))
+		if state.complete {
+			r.writeEnd(writer, sent-len(r.sequence.tokens))
 			return
 		}
 		if state.ended {
@@ -138,22 +138,22 @@
 	}
 }
 
-// finish writes the finish reason, the usage where asked for, and the end mark,
-// less the events that a reader who resumes has already.
-func (a answerWriter) finish(writer http.ResponseWriter, skip int) {
+// writeEnd writes the finish reason, the usage if requested and the end marker. It skips events that a resuming reader
+// has received.
+func (r responseWriter) writeEnd(writer http.ResponseWriter, skip int) {
 	reason := finishLength
-	choice := answerChoice{FinishReason: &reason}
+	choice := responseChoice{FinishReason: &reason}
 	empty := ""
-	if a.sequence.form.chat {
-		choice.Delta = &answerMessage{}
+	if r.sequence.format.chat {
+		choice.Delta = &responseMessage{}
 	} else {
 		choice.Text = &empty
 	}
-	bodies := []answerBody{a.body(a.sequence.form.chunkObject, choice)}
-	if a.sequence.asked.StreamOptions.IncludeUsage {
-		last := a.body(a.sequence.form.chunkObject)
-		last.Choices = []answerChoice{}
-		last.Usage = a.usage()
+	bodies := []responseBody{r.body(r.sequence.format.chunkObject, choice)}
+	if r.sequence.request.StreamOptions.IncludeUsage {
+		last := r.body(r.sequence.format.chunkObject)
+		last.Choices = []responseChoice{}
+		last.Usage = r.usage()
 		bodies = append(bodies, last)
 	}
 	for _, body := range bodies[min(skip, len(bodies)):] {
@@ -165,33 +165,33 @@
 			return
 		}
 	}
-	_, _ = fmt.Fprint(writer, "data: [DONE]\n\n") // the reader may be gone
+	_, _ = fmt.Fprint(writer, "data: [DONE]\n\n") // the reader may have disconnected
 }
 
-// eventFrame is the unchanging part of a token's event, made once an answer so
-// that the stand-in costs little beside what is measured.
+// eventFrame is the constant part of token events, encoded once per response to keep the stand-in's overhead out of
+// measurements.
 type eventFrame struct {
 	before []byte
 	after  []byte
 	buffer []byte
 }
 
-// tokenMark stands where the token goes; tokens need no JSON escaping.
-const tokenMark = "@@"
+// tokenPlaceholder marks the position of the token in the encoded event. Tokens need no JSON escaping.
+const tokenPlaceholder = "@@"
 
-func (a answerWriter) frame() *eventFrame {
-	mark := tokenMark
-	choice := answerChoice{}
-	if a.sequence.form.chat {
-		choice.Delta = &answerMessage{roleAssistant, mark}
+func (r responseWriter) frame() *eventFrame {
+	placeholder := tokenPlaceholder
+	choice := responseChoice{}
+	if r.sequence.format.chat {
+		choice.Delta = &responseMessage{roleAssistant, placeholder}
 	} else {
-		choice.Text = &mark
+		choice.Text = &placeholder
 	}
-	text, err := json.Marshal(a.body(a.sequence.form.chunkObject, choice))
+	text, err := json.Marshal(r.body(r.sequence.format.chunkObject, choice))
 	if err != nil {
 		return &eventFrame{}
 	}
-	before, after, _ := strings.Cut("data: "+string(text)+"\n\n", tokenMark)
+	before, after, _ := strings.Cut("data: "+string(text)+"\n\n", tokenPlaceholder)
 	return &eventFrame{before: []byte(before), after: []byte(after)}
 }
 
