--- a/lab/control.go
+++ b/lab/control.go
@@ -146,7 +146,7 @@
 	for change := range changes {
 		var accepted adminapi.Revision
 		start := time.Now()
-		err := client.Post(ctx, adminapi.PathApply, adminapi.Application{BaseRevision: uint64(change + 1), OperationID: uuid.NewString(),
+		err := client.Post(ctx, adminapi.PathSettingsApply, adminapi.Application{BaseRevision: uint64(change + 1), OperationID: uuid.NewString(),
 			Author: "lab", YAML: controlTreeText(change + 2)}, &accepted)
 		if err != nil {
 			return err
--- a/lab/processes/processes.go
+++ b/lab/processes/processes.go
@@ -236,7 +236,7 @@
 // ApplySettings submits a settings tree, based on revision base, to a daemon and returns the accepted revision.
 func ApplySettings(ctx context.Context, admin string, base uint64, text string) (uint64, error) {
 	var accepted adminapi.Revision
-	err := adminapi.Client{Address: admin}.Post(ctx, adminapi.PathApply, adminapi.Application{
+	err := adminapi.Client{Address: admin}.Post(ctx, adminapi.PathSettingsApply, adminapi.Application{
 		BaseRevision: base, OperationID: uuid.NewString(), Author: "lab", YAML: text}, &accepted)
 	return accepted.Number, err
 }
--- a/lab/scale/adapters.go
+++ b/lab/scale/adapters.go
@@ -126,9 +126,9 @@
 func newAdapters(shared kv.LongPollStore) node.Adapters {
 	return node.Adapters{
 		Store: shared, ReplicaPrefix: replicaPrefix, ReadReplica: decodeReplica, TableKey: tableKey, ReadTable: decodeTable, ReadyPath: readyPath,
-		Replicas: func(*upstream.Pool, node.Notices) node.ReplicaProtocol {
+		Replicas: func(*upstream.Pool, node.ReplicaCallbacks) node.ReplicaProtocol {
 			return node.ReplicaProtocol{Driver: stubReplicas{}, Orders: stubReplicas{}, Prober: stubReplicas{}}
 		},
-		Callers: func(*routing.Store, *access.Gate, *core.Core) http.Handler { return http.NotFoundHandler() },
+		NewCallerHandler: func(*routing.Store, *access.Gate, *core.Core) http.Handler { return http.NotFoundHandler() },
 	}
 }
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -109,7 +109,7 @@
 	newNode, err := node.New(node.Config{
 		ID: fmt.Sprintf("daemon-%04d", d.number), Zone: zoneOf(d.number / largeMachineInterval),
 		CallerAddress: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0",
-		FirstStart: true, StopTime: stopTimeout, TermKey: termKey, EndsPrefix: crashPrefix, SizeKey: sizeKey, LeaseTime: leaseTTL, TermDelay: delay,
+		FirstStart: true, StopTimeout: stopTimeout, TermKey: termKey, CrashPrefix: crashPrefix, FleetSizeKey: sizeKey, LeaseTTL: leaseTTL, TermDelay: delay,
 		KnownByAll: c.KnownByAll, LoadLimits: loader.Limits{Window: 5 * time.Second, Slack: 1, TermGap: termGap, FencesChecked: true},
 	}, newAdapters(c.store), c.Log)
 	if err != nil {
@@ -215,7 +215,7 @@
 func (c *cluster) peerBytes() []uint64 {
 	bytes := make([]uint64, len(c.daemons))
 	for index, d := range c.daemons {
-		peers := d.node.Status().Peers
+		peers := d.node.Status().PeerTraffic
 		bytes[index] = peers.SentBytes + peers.ReceivedBytes
 	}
 	return bytes
@@ -237,7 +237,7 @@
 func (c *cluster) measureReplicaAdded(ctx context.Context, report *Report) (err error) {
 	c.addReplica()
 	known := c.nextReplica
-	report.ReplicaAdded, err = c.waitForAll(ctx, "replica added", func(status node.Status) bool { return !status.KnowsReplicas || status.Replicas >= known })
+	report.ReplicaAdded, err = c.waitForAll(ctx, "replica added", func(status node.Status) bool { return !status.KnowsAllReplicas || status.Replicas >= known })
 	return err
 }
 
@@ -247,7 +247,7 @@
 	id, _ := newEntry(c.nextReplica, c.Models)
 	c.store.remove(replicaPrefix + id)
 	known := c.nextReplica
-	report.ReplicaRemoved, err = c.waitForAll(ctx, "replica removed", func(status node.Status) bool { return !status.KnowsReplicas || status.Replicas <= known })
+	report.ReplicaRemoved, err = c.waitForAll(ctx, "replica removed", func(status node.Status) bool { return !status.KnowsAllReplicas || status.Replicas <= known })
 	return err
 }
 
@@ -260,7 +260,7 @@
 	}
 	lost := c.daemons[index]
 	c.daemons = slices.Delete(c.daemons, index, index+1)
-	lost.node.End()
+	lost.node.Kill()
 	start := time.Now()
 	for !slices.ContainsFunc(c.daemons, func(d *daemon) bool { return d.node.Status().Fence != 0 }) {
 		if time.Since(start) > settleTimeout || ctx.Err() != nil {
@@ -276,7 +276,7 @@
 // measureAllLost kills and restarts all daemons and measures the time until they are ready.
 func (c *cluster) measureAllLost(ctx context.Context, report *Report) error {
 	for _, d := range c.daemons {
-		d.node.End()
+		d.node.Kill()
 	}
 	for _, d := range c.daemons {
 		<-d.exited
@@ -308,7 +308,7 @@
 		if d.node == nil {
 			continue
 		}
-		d.node.End()
+		d.node.Kill()
 		<-d.exited
 	}
 }
--- a/lab/scale/report.go
+++ b/lab/scale/report.go
@@ -76,13 +76,13 @@
 	switch {
 	case status.Fence != 0:
 		role = &r.LeaderRole
-	case status.KnowsReplicas:
+	case status.KnowsAllReplicas:
 		role = &r.DirectoryRole
 	}
 	role.Daemons++
 	weight := 1 / float64(role.Daemons)
 	role.BytesPerSecond += weight * (bytesPerSecond - role.BytesPerSecond)
-	role.Connections += weight * (float64(status.Peers.Connections) - role.Connections)
+	role.Connections += weight * (float64(status.PeerTraffic.Connections) - role.Connections)
 	role.Replicas += weight * (float64(status.Replicas) - role.Replicas)
 }
 
--- a/lab/system_test.go
+++ b/lab/system_test.go
@@ -348,7 +348,7 @@
 	require.Contains(t, strings.Join(loaded.Lines, "\n"), "replica on "+response.Header.Get(gateway.HeaderEngine))
 	require.NoError(t, admin.Get(ctx, adminapi.PathExplainModel+"next-pick-renca", &idle))
 	require.Contains(t, strings.Join(idle.Lines, "\n"), "no replica is planned")
-	var summary gateway.Ended
+	var summary gateway.RequestSummary
 	require.NoError(t, adminapi.Client{Address: system.Daemons[0].Addresses().Admin}.Get(ctx, adminapi.PathExplainRequest+response.Header.Get("X-Request-Id"), &summary))
 	require.Equal(t, "answered", summary.Outcome)
 	require.Error(t, admin.Get(ctx, adminapi.PathExplainRequest+"unknown", &summary))
--- a/standin/engines/orders.go
+++ b/standin/engines/orders.go
@@ -36,7 +36,7 @@
 	}
 	slices.Sort(description.Adapters)
 	if r.state == engine.Loading {
-		description.LoadingFor = now.Sub(r.loadStarted).Milliseconds()
+		description.LoadingForMs = now.Sub(r.loadStarted).Milliseconds()
 	}
 	return description
 }
@@ -61,29 +61,29 @@
 
 // Execute processes an order. It refuses orders with a lower fence than the highest seen, for another process, or
 // without enough memory.
-func (e *Engine) Execute(order engine.Order) engine.OrderAnswer {
+func (e *Engine) Execute(order engine.Order) engine.OrderResponse {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if order.Fence.Less(e.fence) {
 		e.record(Entry{Kind: FenceRefused, ReplicaID: order.ReplicaID, Model: order.Model,
 			Epoch: order.Fence.Epoch, Revision: order.Fence.Revision, Detail: string(order.Operation)})
-		return engine.OrderAnswer{Reason: "the fence is lower than the highest one received", Fence: e.fence}
+		return engine.OrderResponse{Reason: "the fence is lower than the highest one received", Fence: e.fence}
 	}
 	if order.Process != e.process {
-		return engine.OrderAnswer{Reason: "the order is for another process of this engine", Fence: e.fence}
+		return engine.OrderResponse{Reason: "the order is for another process of this engine", Fence: e.fence}
 	}
 	if e.fence.Less(order.Fence) {
 		e.bumpVersion()
 		e.fence = order.Fence
 	}
 	reason := e.applyOrder(order)
-	return engine.OrderAnswer{Accepted: reason == "", Reason: reason, Fence: e.fence}
+	return engine.OrderResponse{Accepted: reason == "", Reason: reason, Fence: e.fence}
 }
 
 // applyOrder returns the reason why an order is refused, or an empty string.
 func (e *Engine) applyOrder(order engine.Order) string {
 	switch order.Operation {
-	case engine.Seal:
+	case engine.RaiseFence:
 		return ""
 	case engine.Load:
 		return e.loadReplica(order)
