--- a/faultproxy/faultproxy.go
+++ b/faultproxy/faultproxy.go
@@ -18,24 +18,24 @@
 	// Delay is added to each chunk, in both directions. Connections are delayed
 	// one by one, so what is sent on several is reordered between them.
 	Delay time.Duration
-	// DropAnswers lets what the client sends through, and cuts the connection
+	// DropResponses lets what the client sends through, and cuts the connection
 	// when the server begins to answer.
-	DropAnswers bool
+	DropResponses bool
 	// Silent keeps connections open and passes nothing: half-open.
-	Silent bool
+	Stall bool
 }
 
 // Proxy forwards from its address to a target.
 type Proxy struct {
-	listener net.Listener
-	mutex    sync.Mutex
-	target   string
-	faults   Faults
-	changed  chan struct{}
-	open     map[net.Conn]bool
-	muted    map[net.Conn]bool // open ones on which nothing passes any more
-	closed   bool
-	finished sync.WaitGroup
+	listener    net.Listener
+	mutex       sync.Mutex
+	target      string
+	faults      Faults
+	changed     chan struct{}
+	connections map[net.Conn]bool
+	stalled     map[net.Conn]bool // open ones on which nothing passes any more
+	closed      bool
+	finished    sync.WaitGroup
 }
 
 const (
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "listen on loopback")
 	}
-	proxy := &Proxy{listener: listener, target: target, changed: make(chan struct{}), open: map[net.Conn]bool{}, muted: map[net.Conn]bool{}}
+	proxy := &Proxy{listener: listener, target: target, changed: make(chan struct{}), connections: map[net.Conn]bool{}, stalled: map[net.Conn]bool{}}
 	proxy.finished.Add(1)
 	go proxy.accept()
 	return proxy, nil
@@ -75,29 +75,29 @@
 }
 
 // Cut closes all open connections.
-func (p *Proxy) Cut() {
+func (p *Proxy) CloseConnections() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for connection := range p.open {
+	for connection := range p.connections {
 		_ = connection.Close()
 	}
 }
 
-// SilenceOpen lets nothing pass any more on the connections that are open now, for good; new
+// StallOpen lets nothing pass any more on the connections that are open now, for good; new
 // ones work.
-func (p *Proxy) SilenceOpen() {
+func (p *Proxy) StallOpen() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for connection := range p.open {
-		p.muted[connection] = true
+	for connection := range p.connections {
+		p.stalled[connection] = true
 	}
 }
 
-// isMuted tells whether nothing passes on a connection any more.
-func (p *Proxy) isMuted(connection net.Conn) bool {
+// isStalled tells whether nothing passes on a connection any more.
+func (p *Proxy) isStalled(connection net.Conn) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.muted[connection]
+	return p.stalled[connection]
 }
 
 // Close ends the proxy.
@@ -108,7 +108,7 @@
 	p.changed = make(chan struct{})
 	p.mutex.Unlock()
 	_ = p.listener.Close()
-	p.Cut()
+	p.CloseConnections()
 	p.finished.Wait()
 }
 
@@ -122,17 +122,17 @@
 func (p *Proxy) track(connection net.Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.open[connection] = true
+	p.connections[connection] = true
 	if p.closed {
 		_ = connection.Close()
 	}
 }
 
-func (p *Proxy) forget(connection net.Conn) {
+func (p *Proxy) untrack(connection net.Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	delete(p.open, connection)
-	delete(p.muted, connection)
+	delete(p.connections, connection)
+	delete(p.stalled, connection)
 }
 
 func (p *Proxy) accept() {
@@ -157,30 +157,30 @@
 
 func (p *Proxy) forward(client net.Conn, target string) {
 	p.track(client)
-	defer p.forget(client)
+	defer p.untrack(client)
 	defer func() { _ = client.Close() }()
 	server, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
 		return
 	}
 	p.track(server)
-	defer p.forget(server)
+	defer p.untrack(server)
 	defer func() { _ = server.Close() }()
-	var both sync.WaitGroup
-	both.Add(2)
+	var directions sync.WaitGroup
+	directions.Add(2)
 	go func() {
-		defer both.Done()
-		p.pump(server, client, false)
+		defer directions.Done()
+		p.copyDirection(server, client, false)
 	}()
 	go func() {
-		defer both.Done()
-		p.pump(client, server, true)
+		defer directions.Done()
+		p.copyDirection(client, server, true)
 	}()
-	both.Wait()
+	directions.Wait()
 }
 
 // pump copies one direction until it ends, then ends the other.
-func (p *Proxy) pump(to, from net.Conn, answers bool) {
+func (p *Proxy) copyDirection(to, from net.Conn, fromServer bool) {
 	defer func() {
 		_ = to.Close()
 		_ = from.Close()
@@ -188,7 +188,7 @@
 	buffer := make([]byte, chunkBytes)
 	for {
 		size, err := from.Read(buffer)
-		if size > 0 && !p.pass(to, buffer[:size], answers) {
+		if size > 0 && !p.writeChunk(to, buffer[:size], fromServer) {
 			return
 		}
 		if err != nil {
@@ -198,17 +198,17 @@
 }
 
 // pass writes a chunk as the faults allow; false ends the connection.
-func (p *Proxy) pass(to net.Conn, chunk []byte, answers bool) bool {
+func (p *Proxy) writeChunk(to net.Conn, chunk []byte, fromServer bool) bool {
 	for {
 		faults, _, changed, closed := p.state()
 		switch {
-		case closed || (answers && faults.DropAnswers):
+		case closed || (fromServer && faults.DropResponses):
 			return false
-		case faults.Silent:
+		case faults.Stall:
 			<-changed
 			continue
 		}
-		if p.isMuted(to) {
+		if p.isStalled(to) {
 			return true
 		}
 		if faults.Delay > 0 {
--- a/integration/cluster_test.go
+++ b/integration/cluster_test.go
@@ -19,7 +19,7 @@
 	"github.com/finchspoke/finchspoke/standin/engines"
 )
 
-var programs string // directory of the built programs
+var binDirectory string // directory of the built programs
 
 func TestMain(m *testing.M) { os.Exit(run(m)) }
 
@@ -32,11 +32,11 @@
 	if err := processes.Build(context.Background(), "..", directory); err != nil {
 		panic(err)
 	}
-	programs = directory
+	binDirectory = directory
 	return m.Run()
 }
 
-const treeText = `regions:
+const settingsText = `regions:
   - name: here
     zones: [zone-1, zone-2, zone-3]
     weight_store: {loads_per_second: 20, concurrent_loads: 8}
@@ -79,15 +79,15 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
-	c := &cluster{Cluster: &processes.Cluster{Directory: programs}, t: t, ctx: ctx}
+	c := &cluster{Cluster: &processes.Cluster{Directory: binDirectory}, t: t, ctx: ctx}
 	t.Cleanup(c.Stop)
-	c.keyValue = c.standin("key-value", "--rate", "1000")
+	c.keyValue = c.startStandin("key-value", "--rate", "1000")
 	c.keyValueProxy = c.proxy(c.keyValue.Address)
-	c.machines = c.standin("machines")
-	c.weights = c.standin("weights", "--bandwidth", "100GiB", "--loads-per-second", "20")
+	c.machines = c.startStandin("machines")
+	c.weights = c.startStandin("weights", "--bandwidth", "100GiB", "--loads-per-second", "20")
 	for number := range engineCount {
 		id := fmt.Sprintf("engine-%d", number)
-		started := c.standin("engine", "--id", id, "--weight-store", c.weights.Address, "--accelerators", "2", "--step", "2ms")
+		started := c.startStandin("engine", "--id", id, "--weight-store", c.weights.Address, "--accelerators", "2", "--step", "2ms")
 		proxy := c.proxy(started.Address)
 		c.engines = append(c.engines, started)
 		c.engineProxies = append(c.engineProxies, proxy)
@@ -97,7 +97,7 @@
 	for number := range daemonCount {
 		c.startDaemon(number)
 	}
-	_, err := processes.Apply(ctx, c.daemons[0].Admin, 0, fmt.Sprintf(treeText, settings.HashKey(apiKey)))
+	_, err := processes.Apply(ctx, c.daemons[0].Admin, 0, fmt.Sprintf(settingsText, settings.HashKey(apiKey)))
 	require.NoError(t, err)
 	for _, daemon := range c.daemons {
 		require.NoError(t, processes.WaitReady(ctx, daemon.Admin, 1, daemonCount))
@@ -107,7 +107,7 @@
 
 func zone(number int) string { return fmt.Sprintf("zone-%d", number+1) }
 
-func (c *cluster) standin(kind string, arguments ...string) *processes.Process {
+func (c *cluster) startStandin(kind string, arguments ...string) *processes.Process {
 	started, err := c.Standin(kind, arguments...)
 	require.NoError(c.t, err)
 	return started
@@ -122,7 +122,7 @@
 
 // startDaemon starts one more daemon in a zone.
 func (c *cluster) startDaemon(zoneNumber int) *processes.Daemon {
-	c.daemons = append(c.daemons, c.launch(fmt.Sprintf("daemon-%d", len(c.daemons)), zoneNumber))
+	c.daemons = append(c.daemons, c.launchDaemon(fmt.Sprintf("daemon-%d", len(c.daemons)), zoneNumber))
 	return c.daemons[len(c.daemons)-1]
 }
 
@@ -132,11 +132,11 @@
 		c.daemons[number].Kill()
 	}
 	for _, number := range numbers {
-		c.daemons[number] = c.launch(c.daemons[number].Name, number)
+		c.daemons[number] = c.launchDaemon(c.daemons[number].Name, number)
 	}
 }
 
-func (c *cluster) launch(id string, zoneNumber int) *processes.Daemon {
+func (c *cluster) launchDaemon(id string, zoneNumber int) *processes.Daemon {
 	arguments := []string{"--region", "here", "--zone", zone(zoneNumber), "--key-value", c.keyValueProxy.Address(),
 		"--machine-list", c.machines.Address, "--probe-interval", "200ms", "--log-level", "debug"}
 	for _, peer := range c.daemons {
@@ -164,7 +164,7 @@
 }
 
 // logs shows the daemons' logs when a test fails.
-func (c *cluster) logs() {
+func (c *cluster) logOnFailure() {
 	if !c.t.Failed() {
 		return
 	}
--- a/integration/control_test.go
+++ b/integration/control_test.go
@@ -23,7 +23,7 @@
 const maxReplicas = 2
 
 // placer returns the number of the daemon that places now.
-func (c *cluster) placer() int {
+func (c *cluster) awaitPlacer() int {
 	found := -1
 	require.Eventually(c.t, func() bool {
 		for number, daemon := range c.daemons {
@@ -42,11 +42,11 @@
 }
 
 // other returns a daemon that is not the one given.
-func other(number int) int { return (number + 1) % daemonCount }
+func otherDaemon(number int) int { return (number + 1) % daemonCount }
 
-// judgePlacement replays the engines' histories: never more replicas of a model at
+// verifyPlacement replays the engines' histories: never more replicas of a model at
 // once than the settings allow to be decided, and no order beyond memory.
-func (c *cluster) judgePlacement() {
+func (c *cluster) verifyPlacement() {
 	history := c.history()
 	sort.SliceStable(history, func(i, j int) bool { return history[i].At.Before(history[j].At) })
 	loaded := map[string]int{}
@@ -63,45 +63,45 @@
 	}
 }
 
-func (c *cluster) answered(daemon int, model, prompt string) {
+func (c *cluster) requireAnswer(daemon int, model, prompt string) {
 	c.t.Helper()
-	one := c.ask(daemon, asked{model: model, prompt: prompt, tokens: 3}, nil)
-	require.True(c.t, one.err == nil && one.answer.Whole, "%s: %v %s", prompt, one.err, one.answer.Text)
+	result := c.send(daemon, exchange{model: model, prompt: prompt, tokens: 3}, nil)
+	require.True(c.t, result.err == nil && result.response.Whole, "%s: %v %s", prompt, result.err, result.response.Text)
 }
 
-func (c *cluster) keyValueFaults(faults keyvalue.Faults) {
+func (c *cluster) setKeyValueFaults(faults keyvalue.Faults) {
 	require.NoError(c.t, processes.PostJSON(c.ctx, c.keyValue.Address, "/faults", faults))
 }
 
-// TestColdStartsGoOnWithoutTheKeyValueService takes the service down, wakes a
+// TestColdStartsWorkDuringAKeyValueOutage takes the service down, wakes a
 // model, kills the placer, and wakes another model under its successor. A daemon
 // that starts in the outage gets its settings from peers.
-func TestColdStartsGoOnWithoutTheKeyValueService(t *testing.T) {
+func TestColdStartsWorkDuringAKeyValueOutage(t *testing.T) {
 	c := startCluster(t)
-	defer c.logs()
-	first := c.placer()
-	require.Eventually(t, func() bool { return c.groupsMade() == allGroups }, 30*time.Second, 100*time.Millisecond)
-	c.keyValueFaults(keyvalue.Faults{Outage: true})
-	c.answered(other(first), "beta", "cold in the outage")
+	defer c.logOnFailure()
+	first := c.awaitPlacer()
+	require.Eventually(t, func() bool { return c.createdGroups() == groupCount }, 30*time.Second, 100*time.Millisecond)
+	c.setKeyValueFaults(keyvalue.Faults{Outage: true})
+	c.requireAnswer(otherDaemon(first), "beta", "cold in the outage")
 	c.daemons[first].Kill()
-	require.NotEqual(t, first, c.placer())
-	c.answered(other(first), "alpha", "cold under the successor")
+	require.NotEqual(t, first, c.awaitPlacer())
+	c.requireAnswer(otherDaemon(first), "alpha", "cold under the successor")
 	started := c.startDaemon(0)
 	require.NoError(t, processes.WaitReady(c.ctx, started.Admin, 1, daemonCount))
-	c.answered(len(c.daemons)-1, "alpha", "through the daemon that started in the outage")
-	c.keyValueFaults(keyvalue.Faults{})
-	c.judgePlacement()
+	c.requireAnswer(len(c.daemons)-1, "alpha", "through the daemon that started in the outage")
+	c.setKeyValueFaults(keyvalue.Faults{})
+	c.verifyPlacement()
 }
 
-// TestPlacerKilledInTheMiddleOfALoad: the load is found and used by the successor.
-func TestPlacerKilledInTheMiddleOfALoad(t *testing.T) {
+// TestALoadSurvivesTheDeathOfItsPlacer: the load is found and used by the successor.
+func TestALoadSurvivesTheDeathOfItsPlacer(t *testing.T) {
 	c := startCluster(t)
-	defer c.logs()
-	placing := c.placer()
+	defer c.logOnFailure()
+	placer := c.awaitPlacer()
 	require.NoError(t, processes.PostJSON(c.ctx, c.weights.Address, "/faults", weights.Faults{SlowFactor: 15})) // a load of 2 s
-	result := make(chan asked, 1)
+	result := make(chan exchange, 1)
 	go func() {
-		result <- c.ask(other(placing), asked{model: "alpha", prompt: "waits for the load", tokens: 3}, nil)
+		result <- c.send(otherDaemon(placer), exchange{model: "alpha", prompt: "waits for the load", tokens: 3}, nil)
 	}()
 	loads := func() int {
 		count := 0
@@ -113,69 +113,69 @@
 		return count
 	}
 	require.Eventually(t, func() bool { return loads() == 1 }, 10*time.Second, 5*time.Millisecond)
-	c.daemons[placing].Kill()
-	one := <-result
-	require.True(t, one.answer.Whole, one.answer.Text)
+	c.daemons[placer].Kill()
+	received := <-result
+	require.True(t, received.response.Whole, received.response.Text)
 	require.Equal(t, 1, loads(), "no second load")
-	c.judgePlacement()
+	c.verifyPlacement()
 }
 
-// TestNoOrderBeforeThePlanCounts freezes all but the placer, so that no plan can
+// TestNoLoadOrderBeforeThePlanIsCommitted freezes all but the placer, so that no plan can
 // count, and asks for a model that is not loaded.
-func TestNoOrderBeforeThePlanCounts(t *testing.T) {
+func TestNoLoadOrderBeforeThePlanIsCommitted(t *testing.T) {
 	c := startCluster(t)
-	defer c.logs()
-	placing := c.placer()
-	require.Eventually(t, func() bool { return c.groupsMade() == allGroups }, 30*time.Second, 100*time.Millisecond)
-	c.answered(placing, "alpha", "settles the group") // all three are members of the plan's group by now
-	freeze := func(signal syscall.Signal) {
+	defer c.logOnFailure()
+	placer := c.awaitPlacer()
+	require.Eventually(t, func() bool { return c.createdGroups() == groupCount }, 30*time.Second, 100*time.Millisecond)
+	c.requireAnswer(placer, "alpha", "settles the group") // all three are members of the plan's group by now
+	signalOthers := func(signal syscall.Signal) {
 		for number, daemon := range c.daemons {
-			if number != placing {
+			if number != placer {
 				require.NoError(t, daemon.Signal(signal))
 			}
 		}
 	}
-	freeze(syscall.SIGSTOP)
+	signalOthers(syscall.SIGSTOP)
 	time.Sleep(2 * time.Second) // past suspicion: the placer is home to all models
-	result := make(chan asked, 1)
-	go func() { result <- c.ask(placing, asked{model: "beta", prompt: "waits for a quorum", tokens: 2}, nil) }()
+	result := make(chan exchange, 1)
+	go func() { result <- c.send(placer, exchange{model: "beta", prompt: "needs a quorum", tokens: 2}, nil) }()
 	time.Sleep(1500 * time.Millisecond)
 	for _, entry := range c.history() {
 		require.False(t, entry.Kind == engines.LoadStarted && entry.Model == "beta", "a load was ordered that was not decided")
 	}
-	freeze(syscall.SIGCONT)
-	one := <-result
-	require.True(t, one.answer.Whole, one.answer.Text)
-	c.judgePlacement()
+	signalOthers(syscall.SIGCONT)
+	received := <-result
+	require.True(t, received.response.Whole, received.response.Text)
+	c.verifyPlacement()
 }
 
-// TestReclaimedMachine kills the engine that serves while streams run there, then
+// TestStreamsOnAReclaimedMachine kills the engine that serves while streams run there, then
 // takes its machine off the list.
-func TestReclaimedMachine(t *testing.T) {
+func TestStreamsOnAReclaimedMachine(t *testing.T) {
 	c := startCluster(t)
-	defer c.logs()
-	c.answered(0, "alpha", "before")
+	defer c.logOnFailure()
+	c.requireAnswer(0, "alpha", "before")
 	const streams = 6
-	results := make(chan asked, streams)
+	results := make(chan exchange, streams)
 	for number := range streams {
 		go func() {
-			results <- c.ask(number%daemonCount, asked{model: "alpha", prompt: fmt.Sprintf("running %d", number), tokens: 600, stream: true, noRepeat: true}, nil)
+			results <- c.send(number%daemonCount, exchange{model: "alpha", prompt: fmt.Sprintf("running %d", number), tokens: 600, stream: true, noRepeat: true}, nil)
 		}()
 	}
 	require.Eventually(t, func() bool { return len(startsByPrompt(c.history())) == 1+streams }, 20*time.Second, 10*time.Millisecond)
 	starts := startsByPrompt(c.history())
-	serving := c.serving("alpha")
-	c.engines[serving].Kill()
-	require.NoError(t, processes.AddMachine(c.ctx, c.machines.Address, machinelist.Machine{ID: fmt.Sprintf("engine-%d", serving), State: machines.Gone}))
+	servingEngine := c.servingEngine("alpha")
+	c.engines[servingEngine].Kill()
+	require.NoError(t, processes.AddMachine(c.ctx, c.machines.Address, machinelist.Machine{ID: fmt.Sprintf("engine-%d", servingEngine), State: machines.Removed}))
 	for range streams {
-		(<-results).judge(t, starts)
+		(<-results).verify(t, starts)
 	}
-	c.answered(1, "alpha", "after")
-	c.judgePlacement()
+	c.requireAnswer(1, "alpha", "after")
+	c.verifyPlacement()
 }
 
 // serving returns the number of an engine that has started requests of a model.
-func (c *cluster) serving(model string) int {
+func (c *cluster) servingEngine(model string) int {
 	for number, started := range c.engines {
 		var entries []engines.Entry
 		require.NoError(c.t, processes.History(c.ctx, started.Address, &entries))
@@ -189,51 +189,51 @@
 	return 0
 }
 
-// TestFrozenPlacerWakes freezes the placer past its suspicion; it wakes believing
+// TestAFrozenPlacerResumes freezes the placer past its suspicion; it wakes believing
 // that it still leads, while its successor has gone on.
-func TestFrozenPlacerWakes(t *testing.T) {
+func TestAFrozenPlacerResumes(t *testing.T) {
 	c := startCluster(t)
-	defer c.logs()
-	frozen := c.placer()
-	c.answered(other(frozen), "alpha", "before")
+	defer c.logOnFailure()
+	frozen := c.awaitPlacer()
+	c.requireAnswer(otherDaemon(frozen), "alpha", "before")
 	for round := range 2 {
 		require.NoError(t, c.daemons[frozen].Signal(syscall.SIGSTOP))
-		c.answered(other(frozen), "beta", fmt.Sprintf("while frozen %d", round))
+		c.requireAnswer(otherDaemon(frozen), "beta", fmt.Sprintf("while frozen %d", round))
 		require.NoError(t, c.daemons[frozen].Signal(syscall.SIGCONT))
 		for number := range 6 {
-			c.answered(number%daemonCount, []string{"alpha", "beta", "alpha.one"}[number%3], fmt.Sprintf("after it woke %d-%d", round, number))
+			c.requireAnswer(number%daemonCount, []string{"alpha", "beta", "alpha.one"}[number%3], fmt.Sprintf("after it woke %d-%d", round, number))
 		}
 	}
 	for _, daemon := range c.daemons {
 		require.NoError(t, processes.WaitReady(c.ctx, daemon.Admin, 1, daemonCount))
 	}
-	c.judgePlacement()
+	c.verifyPlacement()
 }
 
-// TestOperatorsRaceAndRevisionsReachAllDaemons applies settings at all daemons at
+// TestConcurrentAppliesHaveOneWinnerAndReachAllDaemons applies settings at all daemons at
 // once while the key-value service loses answers.
-func TestOperatorsRaceAndRevisionsReachAllDaemons(t *testing.T) {
+func TestConcurrentAppliesHaveOneWinnerAndReachAllDaemons(t *testing.T) {
 	c := startCluster(t)
-	defer c.logs()
-	c.keyValueFaults(keyvalue.Faults{LoseAnswers: 40})
+	defer c.logOnFailure()
+	c.setKeyValueFaults(keyvalue.Faults{DropResponsesPercent: 40})
 	const rounds = 5
 	revision := uint64(1)
 	for round := range rounds {
-		accepted := make(chan uint64, daemonCount)
+		results := make(chan uint64, daemonCount)
 		for number, daemon := range c.daemons {
-			text := fmt.Sprintf(treeText, settings.HashKey(apiKey)) + fmt.Sprintf("    share: %d\n", 2+round*daemonCount+number)
+			text := fmt.Sprintf(settingsText, settings.HashKey(apiKey)) + fmt.Sprintf("    share: %d\n", 2+round*daemonCount+number)
 			go func() {
-				made, err := processes.Apply(c.ctx, daemon.Admin, revision, text)
+				applied, err := processes.Apply(c.ctx, daemon.Admin, revision, text)
 				if err != nil {
-					made = 0
+					applied = 0
 				}
-				accepted <- made
+				results <- applied
 			}()
 		}
 		wins := 0
 		for range daemonCount {
-			if made := <-accepted; made > 0 {
-				require.Equal(t, revision+1, made)
+			if applied := <-results; applied > 0 {
+				require.Equal(t, revision+1, applied)
 				wins++
 			}
 		}
--- a/integration/requests_test.go
+++ b/integration/requests_test.go
@@ -20,30 +20,30 @@
 )
 
 // asked is a request that a test sent, with what came back.
-type asked struct {
+type exchange struct {
 	model, prompt string
 	noRepeat      bool
 	stream        bool
 	tokens        int
-	answer        lab.Answer
+	response      lab.Answer
 	err           error // the connection to the gateway broke
 }
 
-func (c *cluster) ask(daemon int, wanted asked, headers map[string]string) asked {
-	all := map[string]string{gateway.HeaderDeadline: "20s"}
+func (c *cluster) send(daemon int, request exchange, headers map[string]string) exchange {
+	allHeaders := map[string]string{gateway.HeaderDeadline: "20s"}
 	for name, value := range headers {
-		all[name] = value
+		allHeaders[name] = value
 	}
-	if wanted.noRepeat {
-		all[gateway.HeaderNoRepeat] = "true"
+	if request.noRepeat {
+		allHeaders[gateway.HeaderNoRepeat] = "true"
 	}
-	wanted.answer, wanted.err = lab.Ask(c.ctx, lab.AskOptions{Address: c.daemons[daemon].Gateway, Key: apiKey, Model: wanted.model,
-		Prompt: wanted.prompt, MaxTokens: wanted.tokens, Stream: wanted.stream, Headers: all})
-	return wanted
+	request.response, request.err = lab.Ask(c.ctx, lab.AskOptions{Address: c.daemons[daemon].Gateway, Key: apiKey, Model: request.model,
+		Prompt: request.prompt, MaxTokens: request.tokens, Stream: request.stream, Headers: allHeaders})
+	return request
 }
 
 // told is what an error body says.
-type told struct {
+type errorBody struct {
 	Error struct {
 		Code      string `json:"code"`
 		Execution string `json:"execution"`
@@ -52,30 +52,30 @@
 }
 
 // judge checks a request's end against the engines' histories.
-func (a asked) judge(t *testing.T, starts map[string]int) {
-	wanted := strings.Join(engines.Answer(a.model, a.prompt, a.tokens), "")
-	started := starts[a.prompt]
+func (a exchange) verify(t *testing.T, starts map[string]int) {
+	expected := strings.Join(engines.Answer(a.model, a.prompt, a.tokens), "")
+	runs := starts[a.prompt]
 	if a.noRepeat {
-		require.LessOrEqual(t, started, 1, "%q may not be repeated", a.prompt)
+		require.LessOrEqual(t, runs, 1, "%q may not be repeated", a.prompt)
 	}
 	if a.err != nil {
 		return // only its own daemon's death breaks a caller's connection
 	}
-	if a.answer.Whole {
-		require.Equal(t, wanted, a.answer.Text, "the answer to its own request, whole")
-		require.Positive(t, started)
+	if a.response.Whole {
+		require.Equal(t, expected, a.response.Text, "the answer to its own request, whole")
+		require.Positive(t, runs)
 		return
 	}
-	if a.answer.Status == http.StatusOK {
-		require.True(t, strings.HasPrefix(wanted, a.answer.Text), "a part of its own answer")
+	if a.response.Status == http.StatusOK {
+		require.True(t, strings.HasPrefix(expected, a.response.Text), "a part of its own answer")
 		return
 	}
-	var failed told
-	require.NoError(t, json.Unmarshal([]byte(a.answer.Text), &failed), "a typed error: %s", a.answer.Text)
+	var failed errorBody
+	require.NoError(t, json.Unmarshal([]byte(a.response.Text), &failed), "a typed error: %s", a.response.Text)
 	require.NotEmpty(t, failed.Error.Code)
 	require.NotEmpty(t, failed.Error.Remedy)
 	if failed.Error.Execution == "not_run" {
-		require.Zero(t, started, "%q was said not to have run", a.prompt)
+		require.Zero(t, runs, "%q was said not to have run", a.prompt)
 	}
 }
 
@@ -90,81 +90,81 @@
 	return starts
 }
 
-// slowAnswer is worth a line in the log: faults last for 150 ms at a time.
-const slowAnswer = 5 * time.Second
+// slowResponse is worth a line in the log: faults last for 150 ms at a time.
+const slowResponse = 5 * time.Second
 
 // TestRequestsUnderFaults sends requests of all kinds while connections to the
 // engines are cut, delayed, left half-open and lose answers, and the key-value
 // service is cut off; one daemon is killed. Every request ends, once, truly.
 func TestRequestsUnderFaults(t *testing.T) {
 	c := startCluster(t)
-	defer c.logs()
+	defer c.logOnFailure()
 	const workers, perWorker = 8, 40
-	results := make([][]asked, workers)
-	var open sync.WaitGroup
+	results := make([][]exchange, workers)
+	var running sync.WaitGroup
 	for worker := range workers {
-		open.Add(1)
+		running.Add(1)
 		go func() {
-			defer open.Done()
+			defer running.Done()
 			random := rand.New(rand.NewPCG(1, uint64(worker)))
 			for number := range perWorker {
-				wanted := asked{
+				request := exchange{
 					model: []string{"alpha", "alpha.one", "beta"}[random.IntN(3)], prompt: fmt.Sprintf("worker %d request %d", worker, number),
 					noRepeat: random.IntN(2) == 0, stream: random.IntN(2) == 0, tokens: 1 + random.IntN(20),
 				}
-				results[worker] = append(results[worker], c.ask(worker%daemonCount, wanted, nil))
+				results[worker] = append(results[worker], c.send(worker%daemonCount, request, nil))
 			}
 		}()
 	}
 	done := make(chan struct{})
 	go func() {
-		open.Wait()
+		running.Wait()
 		close(done)
 	}()
-	c.disturb(done)
+	c.injectFaults(done)
 	starts := startsByPrompt(c.history())
-	broken, whole, slowest := 0, 0, time.Duration(0)
+	broken, complete, slowest := 0, 0, time.Duration(0)
 	for _, worker := range results {
 		require.Len(t, worker, perWorker)
-		for _, one := range worker {
-			one.judge(t, starts)
-			if one.err != nil {
+		for _, result := range worker {
+			result.verify(t, starts)
+			if result.err != nil {
 				broken++
 			}
-			if one.answer.Whole {
-				whole++
+			if result.response.Whole {
+				complete++
 			}
-			slowest = max(slowest, one.answer.Total)
-			if one.answer.Total > slowAnswer {
-				t.Logf("slow: %q %s %d %s", one.prompt, one.answer.Total, one.answer.Status, one.answer.Text)
+			slowest = max(slowest, result.response.Total)
+			if result.response.Total > slowResponse {
+				t.Logf("slow: %q %s %d %s", result.prompt, result.response.Total, result.response.Status, result.response.Text)
 			}
 		}
 	}
-	require.Greater(t, whole, workers*perWorker/3, "most are answered in spite of the faults")
-	t.Logf("%d whole, %d with a broken connection, of %d; slowest %s", whole, broken, workers*perWorker, slowest)
-	c.noOvercommit()
-	last := c.ask(0, asked{model: "beta", prompt: "after all faults", tokens: 3}, nil)
-	require.True(t, last.answer.Whole, last.answer.Text)
+	require.Greater(t, complete, workers*perWorker/3, "most are answered in spite of the faults")
+	t.Logf("%d whole, %d with a broken connection, of %d; slowest %s", complete, broken, workers*perWorker, slowest)
+	c.requireNoOvercommit()
+	last := c.send(0, exchange{model: "beta", prompt: "after all faults", tokens: 3}, nil)
+	require.True(t, last.response.Whole, last.response.Text)
 }
 
 // disturb goes through the faults until done; the last daemon is killed midway.
-func (c *cluster) disturb(done <-chan struct{}) {
+func (c *cluster) injectFaults(done <-chan struct{}) {
 	random := rand.New(rand.NewPCG(2, 2))
 	killed := false
 	for round := 0; ; round++ {
 		proxy := c.engineProxies[random.IntN(engineCount)]
 		switch round % 5 {
 		case 0:
-			proxy.Cut()
+			proxy.CloseConnections()
 		case 1:
-			proxy.Set(faultproxy.Faults{DropAnswers: true})
+			proxy.Set(faultproxy.Faults{DropResponses: true})
 		case 2:
 			proxy.Set(faultproxy.Faults{Delay: 10 * time.Millisecond})
 		case 3:
 			proxy.Set(faultproxy.Faults{Refuse: true})
-			c.keyValueProxy.Cut()
+			c.keyValueProxy.CloseConnections()
 		case 4:
-			proxy.Set(faultproxy.Faults{Silent: true})
+			proxy.Set(faultproxy.Faults{Stall: true})
 		}
 		const healthy, faulty = 150 * time.Millisecond, 150 * time.Millisecond
 		time.Sleep(faulty)
@@ -183,50 +183,50 @@
 	}
 }
 
-// noOvercommit checks that no order ever exceeded an accelerator's memory.
-func (c *cluster) noOvercommit() {
+// requireNoOvercommit checks that no order ever exceeded an accelerator's memory.
+func (c *cluster) requireNoOvercommit() {
 	for _, entry := range c.history() {
 		require.NotEqual(c.t, engines.MemoryRefused, entry.Kind, "an order exceeded memory: %+v", entry)
 	}
 }
 
-// TestCutStreamsAreResumed cuts every connection to the engines while streams run
+// TestInterruptedStreamsAreResumed cuts every connection to the engines while streams run
 // that may not be repeated.
-func TestCutStreamsAreResumed(t *testing.T) {
+func TestInterruptedStreamsAreResumed(t *testing.T) {
 	c := startCluster(t)
-	defer c.logs()
+	defer c.logOnFailure()
 	const streams = 6
-	results := make(chan asked, streams)
+	results := make(chan exchange, streams)
 	for number := range streams {
 		go func() {
-			results <- c.ask(number%daemonCount, asked{model: "alpha", prompt: fmt.Sprintf("cut %d", number), tokens: 400, stream: true, noRepeat: true}, nil)
+			results <- c.send(number%daemonCount, exchange{model: "alpha", prompt: fmt.Sprintf("cut %d", number), tokens: 400, stream: true, noRepeat: true}, nil)
 		}()
 	}
 	require.Eventually(t, func() bool { return len(startsByPrompt(c.history())) == streams }, 20*time.Second, 10*time.Millisecond)
 	for range 2 {
 		time.Sleep(200 * time.Millisecond) // in the middle of the answers
 		for _, proxy := range c.engineProxies {
-			proxy.Cut()
+			proxy.CloseConnections()
 		}
 	}
 	starts := startsByPrompt(c.history())
 	for range streams {
-		one := <-results
-		require.True(t, one.answer.Whole, one.answer.Text)
-		one.judge(t, starts)
+		received := <-results
+		require.True(t, received.response.Whole, received.response.Text)
+		received.verify(t, starts)
 	}
 }
 
-// TestPlannedStopCutsNothing stops a daemon by SIGTERM while it serves streams
+// TestAPlannedStopInterruptsNothing stops a daemon by SIGTERM while it serves streams
 // and is home to waiting requests.
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestAPlannedStopInterruptsNothing(t *testing.T) {
 	c := startCluster(t)
-	defer c.logs()
+	defer c.logOnFailure()
 	const streams = 12
-	results := make(chan asked, streams)
+	results := make(chan exchange, streams)
 	for number := range streams {
 		go func() {
-			results <- c.ask(number%daemonCount, asked{model: []string{"alpha", "beta"}[number%2],
+			results <- c.send(number%daemonCount, exchange{model: []string{"alpha", "beta"}[number%2],
 				prompt: fmt.Sprintf("long %d", number), tokens: 700, stream: true, noRepeat: true}, nil)
 		}()
 	}
@@ -236,13 +236,13 @@
 	require.NoError(t, err)
 	require.Zero(t, code)
 	for range streams {
-		one := <-results
-		require.NoError(t, one.err)
-		require.True(t, one.answer.Whole, one.answer.Text)
+		received := <-results
+		require.NoError(t, received.err)
+		require.True(t, received.response.Whole, received.response.Text)
 	}
 	for prompt, count := range startsByPrompt(c.history()) {
 		require.Equal(t, 1, count, prompt)
 	}
-	after := c.ask(0, asked{model: "alpha", prompt: "after the stop", tokens: 2}, nil)
-	require.True(t, after.answer.Whole, after.answer.Text)
+	after := c.send(0, exchange{model: "alpha", prompt: "after the stop", tokens: 2}, nil)
+	require.True(t, after.response.Whole, after.response.Text)
 }
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -99,15 +99,15 @@
 		WriteJSON(writer, http.StatusOK, faults.Get())
 	})
 	mux.HandleFunc("POST /faults", func(writer http.ResponseWriter, httpRequest *http.Request) {
-		var wanted F
+		var replacement F
 		decoder := json.NewDecoder(httpRequest.Body)
 		decoder.DisallowUnknownFields()
-		if err := decoder.Decode(&wanted); err != nil {
+		if err := decoder.Decode(&replacement); err != nil {
 			http.Error(writer, err.Error(), http.StatusBadRequest)
 			return
 		}
-		faults.Set(wanted)
-		WriteJSON(writer, http.StatusOK, wanted)
+		faults.Set(replacement)
+		WriteJSON(writer, http.StatusOK, replacement)
 	})
 	mux.HandleFunc("GET /history", func(writer http.ResponseWriter, _ *http.Request) {
 		WriteJSON(writer, http.StatusOK, history.Entries())
--- a/standin/keyvalue/server.go
+++ b/standin/keyvalue/server.go
@@ -19,18 +19,18 @@
 	Delay fault.Duration `json:"delay,omitempty"`
 	// LoseAnswers cuts the connection after a transaction took effect, for this
 	// many percent of transactions.
-	LoseAnswers int `json:"lose_answers_percent,omitempty"`
+	DropResponsesPercent int `json:"lose_answers_percent,omitempty"`
 	// PauseWatches holds back all events.
 	PauseWatches bool `json:"pause_watches,omitempty"`
 }
 
 // Entry is one transaction in the history.
 type Entry struct {
-	At         time.Time `json:"at"`
-	Revision   int64     `json:"revision"`
-	Succeeded  bool      `json:"succeeded"`
-	Keys       []string  `json:"keys"` // written, when succeeded
-	AnswerLost bool      `json:"answer_lost,omitempty"`
+	At              time.Time `json:"at"`
+	Revision        int64     `json:"revision"`
+	Succeeded       bool      `json:"succeeded"`
+	Keys            []string  `json:"keys"` // written, when succeeded
+	ResponseDropped bool      `json:"answer_lost,omitempty"`
 }
 
 // Server is the stand-in.
@@ -43,27 +43,27 @@
 }
 
 const (
-	defaultRate  = 200 // operations a second
-	watchPoll    = 200 * time.Millisecond
-	maxBodyBytes = 8 << 20
+	defaultOperationsPerSecond = 200 // operations a second
+	watchPollInterval          = 200 * time.Millisecond
+	maxBodyBytes               = 8 << 20
 )
 
 // New returns a stand-in that allows so many operations a second; zero means the
 // default of 200.
 func New(operationsPerSecond float64) *Server {
 	if operationsPerSecond <= 0 {
-		operationsPerSecond = defaultRate
+		operationsPerSecond = defaultOperationsPerSecond
 	}
 	server := &Server{
 		store:   newStore(time.Now),
 		limiter: rate.NewLimiter(rate.Limit(operationsPerSecond), max(1, int(operationsPerSecond))),
 		mux:     http.NewServeMux(),
 	}
-	server.mux.HandleFunc("POST "+kv.PathRange, handle(server, func(ask kv.WireRange) any { return server.store.read(ask) }))
+	server.mux.HandleFunc("POST "+kv.PathRange, handleJSON(server, func(request kv.WireRange) any { return server.store.read(request) }))
 	server.mux.HandleFunc("POST "+kv.PathTxn, server.transact)
-	server.mux.HandleFunc("POST "+kv.PathLeaseGrant, handle(server, func(ask kv.WireLeaseGrant) any {
-		id := server.store.grant(time.Duration(ask.TTL) * time.Second)
-		return kv.WireLeaseGrantResponse{ID: kv.Int64(id), TTL: ask.TTL}
+	server.mux.HandleFunc("POST "+kv.PathLeaseGrant, handleJSON(server, func(request kv.WireLeaseGrant) any {
+		id := server.store.grantLease(time.Duration(request.TTL) * time.Second)
+		return kv.WireLeaseGrantResponse{ID: kv.Int64(id), TTL: request.TTL}
 	}))
 	server.mux.HandleFunc("POST "+kv.PathWatch, server.watch)
 	fault.Register(server.mux, &server.Faults, &server.History)
@@ -90,20 +90,20 @@
 	return true
 }
 
-func decode(writer http.ResponseWriter, httpRequest *http.Request, ask any) bool {
+func decode(writer http.ResponseWriter, httpRequest *http.Request, target any) bool {
 	body := http.MaxBytesReader(writer, httpRequest.Body, maxBodyBytes)
-	if err := json.NewDecoder(body).Decode(ask); err != nil {
+	if err := json.NewDecoder(body).Decode(target); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return false
 	}
 	return true
 }
 
-func handle[Q any](server *Server, answer func(Q) any) http.HandlerFunc {
+func handleJSON[Q any](server *Server, respond func(Q) any) http.HandlerFunc {
 	return func(writer http.ResponseWriter, httpRequest *http.Request) {
-		var ask Q
-		if server.admit(writer) && decode(writer, httpRequest, &ask) {
-			fault.WriteJSON(writer, http.StatusOK, answer(ask))
+		var request Q
+		if server.admit(writer) && decode(writer, httpRequest, &request) {
+			fault.WriteJSON(writer, http.StatusOK, respond(request))
 		}
 	}
 }
@@ -119,32 +119,32 @@
 			return
 		}
 	}
-	answer := s.store.transact(txn)
-	entry := Entry{At: time.Now(), Revision: int64(answer.Header.Revision), Succeeded: answer.Succeeded}
-	if answer.Succeeded {
+	response := s.store.transact(txn)
+	entry := Entry{At: time.Now(), Revision: int64(response.Header.Revision), Succeeded: response.Succeeded}
+	if response.Succeeded {
 		for _, operation := range txn.Success {
 			if operation.Put != nil {
 				entry.Keys = append(entry.Keys, string(operation.Put.Key))
 			}
 		}
 	}
-	entry.AnswerLost = s.loses(entry.Revision)
+	entry.ResponseDropped = s.dropsResponse(entry.Revision)
 	s.History.Add(entry)
-	if entry.AnswerLost {
+	if entry.ResponseDropped {
 		panic(http.ErrAbortHandler) // cuts the connection without an answer
 	}
-	fault.WriteJSON(writer, http.StatusOK, answer)
+	fault.WriteJSON(writer, http.StatusOK, response)
 }
 
 // loses spreads lost answers evenly and repeatably over revisions.
-func (s *Server) loses(revision int64) bool {
+func (s *Server) dropsResponse(revision int64) bool {
 	const hundred, stride = 100, 37
-	return int(revision*stride%hundred) < s.Faults.Get().LoseAnswers
+	return int(revision*stride%hundred) < s.Faults.Get().DropResponsesPercent
 }
 
 func (s *Server) watch(writer http.ResponseWriter, httpRequest *http.Request) {
-	var ask kv.WireWatch
-	if !s.admit(writer) || !decode(writer, httpRequest, &ask) {
+	var request kv.WireWatch
+	if !s.admit(writer) || !decode(writer, httpRequest, &request) {
 		return
 	}
 	writer.Header().Set("Content-Type", "application/json")
@@ -156,22 +156,22 @@
 		flusher.Flush()
 		return err == nil
 	}
-	seen := int64(ask.Create.StartRevision) - 1
-	if seen < 0 {
-		seen = s.store.currentRevision()
+	lastRevision := int64(request.Create.StartRevision) - 1
+	if lastRevision < 0 {
+		lastRevision = s.store.currentRevision()
 	}
 	if !send(kv.WireWatchResult{Created: true}) {
 		return
 	}
-	watched := kv.WireRange{Key: ask.Create.Key, RangeEnd: ask.Create.RangeEnd}
+	watched := kv.WireRange{Key: request.Create.Key, RangeEnd: request.Create.RangeEnd}
 	for !s.Faults.Get().Outage {
-		events, kept, changed := s.store.since(watched, seen)
-		if !kept {
-			send(kv.WireWatchResult{Canceled: true, CompactRevision: kv.Int64(seen + 1)})
+		events, retained, changed := s.store.eventsAfter(watched, lastRevision)
+		if !retained {
+			send(kv.WireWatchResult{Canceled: true, CompactRevision: kv.Int64(lastRevision + 1)})
 			return
 		}
 		if len(events) > 0 && !s.Faults.Get().PauseWatches {
-			seen = int64(events[len(events)-1].Pair.ModRevision)
+			lastRevision = int64(events[len(events)-1].Pair.ModRevision)
 			if !send(kv.WireWatchResult{Events: events}) {
 				return
 			}
@@ -181,7 +181,7 @@
 		case <-httpRequest.Context().Done():
 			return
 		case <-changed:
-		case <-time.After(watchPoll): // faults and leases have no signal
+		case <-time.After(watchPollInterval): // faults and leases have no signal
 		}
 	}
 }
--- a/standin/keyvalue/store.go
+++ b/standin/keyvalue/store.go
@@ -12,7 +12,7 @@
 )
 
 // eventsKept bounds the events a watch can start back from.
-const eventsKept = 10_000
+const maxEvents = 10_000
 
 type lease struct {
 	expires time.Time
@@ -39,38 +39,38 @@
 	}
 }
 
-func inRange(key string, ask kv.WireRange) bool {
-	if len(ask.RangeEnd) == 0 {
-		return key == string(ask.Key)
+func inRange(key string, keys kv.WireRange) bool {
+	if len(keys.RangeEnd) == 0 {
+		return key == string(keys.Key)
 	}
-	end := ask.RangeEnd
-	open := bytes.Equal(end, []byte{0})
-	return key >= string(ask.Key) && (open || key < string(end))
+	end := keys.RangeEnd
+	unbounded := bytes.Equal(end, []byte{0})
+	return key >= string(keys.Key) && (unbounded || key < string(end))
 }
 
-func (s *store) read(ask kv.WireRange) kv.WireRangeResponse {
+func (s *store) read(request kv.WireRange) kv.WireRangeResponse {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.expire()
-	return s.readLocked(ask)
+	return s.readLocked(request)
 }
 
-func (s *store) readLocked(ask kv.WireRange) kv.WireRangeResponse {
-	answer := kv.WireRangeResponse{Header: kv.WireHeader{Revision: kv.Int64(s.revision)}}
-	if len(ask.RangeEnd) == 0 {
-		if pair, found := s.pairs[string(ask.Key)]; found {
-			answer.Pairs = []kv.WirePair{pair}
+func (s *store) readLocked(request kv.WireRange) kv.WireRangeResponse {
+	response := kv.WireRangeResponse{Header: kv.WireHeader{Revision: kv.Int64(s.revision)}}
+	if len(request.RangeEnd) == 0 {
+		if pair, found := s.pairs[string(request.Key)]; found {
+			response.Pairs = []kv.WirePair{pair}
 		}
 	} else {
 		for key, pair := range s.pairs {
-			if inRange(key, ask) {
-				answer.Pairs = append(answer.Pairs, pair)
+			if inRange(key, request) {
+				response.Pairs = append(response.Pairs, pair)
 			}
 		}
-		sort.Slice(answer.Pairs, func(i, j int) bool { return bytes.Compare(answer.Pairs[i].Key, answer.Pairs[j].Key) < 0 })
+		sort.Slice(response.Pairs, func(i, j int) bool { return bytes.Compare(response.Pairs[i].Key, response.Pairs[j].Key) < 0 })
 	}
-	answer.Count = kv.Int64(len(answer.Pairs))
-	return answer
+	response.Count = kv.Int64(len(response.Pairs))
+	return response
 }
 
 func (s *store) transact(txn kv.WireTxn) kv.WireTxnResponse {
@@ -85,18 +85,18 @@
 	if succeeded {
 		operations = txn.Success
 	}
-	if writes(operations) {
+	if hasWrite(operations) {
 		s.revision++
 	}
-	answer := kv.WireTxnResponse{Succeeded: succeeded}
+	response := kv.WireTxnResponse{Succeeded: succeeded}
 	for _, operation := range operations {
-		answer.Responses = append(answer.Responses, s.apply(operation))
+		response.Responses = append(response.Responses, s.apply(operation))
 	}
-	answer.Header.Revision = kv.Int64(s.revision)
-	return answer
+	response.Header.Revision = kv.Int64(s.revision)
+	return response
 }
 
-func writes(operations []kv.WireOperation) bool {
+func hasWrite(operations []kv.WireOperation) bool {
 	for _, operation := range operations {
 		if operation.Put != nil || operation.Delete != nil {
 			return true
@@ -116,8 +116,8 @@
 			}
 		}
 	case operation.Range != nil:
-		answer := s.readLocked(*operation.Range)
-		return kv.WireOperationResponse{Range: &answer}
+		response := s.readLocked(*operation.Range)
+		return kv.WireOperationResponse{Range: &response}
 	}
 	return kv.WireOperationResponse{}
 }
@@ -132,29 +132,29 @@
 	if !existed {
 		pair.CreateRevision = pair.ModRevision
 	}
-	if old := s.leases[int64(previous.Lease)]; old != nil {
-		delete(old.keys, key)
+	if oldLease := s.leases[int64(previous.Lease)]; oldLease != nil {
+		delete(oldLease.keys, key)
 	}
-	if bound := s.leases[int64(put.Lease)]; bound != nil {
-		bound.keys[key] = true
+	if newLease := s.leases[int64(put.Lease)]; newLease != nil {
+		newLease.keys[key] = true
 	}
 	s.pairs[key] = pair
-	s.record(kv.WireEvent{Pair: pair})
+	s.appendEvent(kv.WireEvent{Pair: pair})
 }
 
 func (s *store) remove(key string) {
-	if bound := s.leases[int64(s.pairs[key].Lease)]; bound != nil {
-		delete(bound.keys, key)
+	if owner := s.leases[int64(s.pairs[key].Lease)]; owner != nil {
+		delete(owner.keys, key)
 	}
 	delete(s.pairs, key)
-	s.record(kv.WireEvent{Type: kv.WireEventDelete, Pair: kv.WirePair{Key: []byte(key), ModRevision: kv.Int64(s.revision)}})
+	s.appendEvent(kv.WireEvent{Type: kv.WireEventDelete, Pair: kv.WirePair{Key: []byte(key), ModRevision: kv.Int64(s.revision)}})
 }
 
-func (s *store) record(event kv.WireEvent) {
+func (s *store) appendEvent(event kv.WireEvent) {
 	s.events = append(s.events, event)
-	if len(s.events) > eventsKept {
-		s.compacted = int64(s.events[eventsKept/2-1].Pair.ModRevision)
-		s.events = append([]kv.WireEvent(nil), s.events[eventsKept/2:]...)
+	if len(s.events) > maxEvents {
+		s.compacted = int64(s.events[maxEvents/2-1].Pair.ModRevision)
+		s.events = append([]kv.WireEvent(nil), s.events[maxEvents/2:]...)
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -163,21 +163,21 @@
 // expire removes the keys of leases that have ended.
 func (s *store) expire() {
 	now := s.now()
-	for id, ended := range s.leases {
-		if now.Before(ended.expires) {
+	for id, expired := range s.leases {
+		if now.Before(expired.expires) {
 			continue
 		}
 		delete(s.leases, id)
-		if len(ended.keys) > 0 {
+		if len(expired.keys) > 0 {
 			s.revision++
 		}
-		for key := range ended.keys {
+		for key := range expired.keys {
 			s.remove(key)
 		}
 	}
 }
 
-func (s *store) grant(ttl time.Duration) int64 {
+func (s *store) grantLease(ttl time.Duration) int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.expire()
@@ -196,7 +196,7 @@
 
 // since returns the events in a range after a revision, whether those are still
 // kept, and a channel that closes at the next change.
-func (s *store) since(ask kv.WireRange, revision int64) (events []kv.WireEvent, kept bool, changed <-chan struct{}) {
+func (s *store) eventsAfter(watched kv.WireRange, revision int64) (events []kv.WireEvent, retained bool, changed <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.expire()
@@ -205,7 +205,7 @@
 	}
 	first := sort.Search(len(s.events), func(i int) bool { return int64(s.events[i].Pair.ModRevision) > revision })
 	for _, event := range s.events[first:] {
-		if inRange(string(event.Pair.Key), ask) {
+		if inRange(string(event.Pair.Key), watched) {
 			events = append(events, event)
 		}
 	}
--- a/standin/machines/machines.go
+++ b/standin/machines/machines.go
@@ -16,7 +16,7 @@
 )
 
 // Gone removes a machine when posted as its state.
-const Gone machinelist.State = "gone"
+const Removed machinelist.State = "gone"
 
 // Faults are the failures that can be switched on.
 type Faults struct {
@@ -83,7 +83,7 @@
 	}
 	region := httpRequest.URL.Query().Get("region")
 	list := machinelist.List{Machines: []machinelist.Machine{}}
-	for _, machine := range s.asOf(time.Now().Add(-time.Duration(faults.Lag))) {
+	for _, machine := range s.machinesAt(time.Now().Add(-time.Duration(faults.Lag))) {
 		if region == "" || machine.Region == region {
 			list.Machines = append(list.Machines, machine)
 		}
@@ -91,19 +91,19 @@
 	fault.WriteJSON(writer, http.StatusOK, list)
 }
 
-func (s *Server) asOf(moment time.Time) []machinelist.Machine {
+func (s *Server) machinesAt(at time.Time) []machinelist.Machine {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	byID := map[string]machinelist.Machine{}
 	for _, change := range s.changes {
-		if change.At.After(moment) {
+		if change.At.After(at) {
 			break
 		}
 		byID[change.Machine.ID] = change.Machine
 	}
 	listed := make([]machinelist.Machine, 0, len(byID))
 	for _, machine := range byID {
-		if machine.State != Gone {
+		if machine.State != Removed {
 			listed = append(listed, machine)
 		}
 	}
--- a/standin/weights/weights.go
+++ b/standin/weights/weights.go
@@ -31,11 +31,11 @@
 
 // Entry is one read in the history.
 type Entry struct {
-	At       time.Time `json:"at"`
-	Object   string    `json:"object"`
-	Refused  bool      `json:"refused,omitempty"` // by the limit on starts
-	AtOnce   int       `json:"at_once"`           // reads running, this one included
-	Duration string    `json:"duration,omitempty"`
+	At         time.Time `json:"at"`
+	Object     string    `json:"object"`
+	Refused    bool      `json:"refused,omitempty"` // by the limit on starts
+	Concurrent int       `json:"at_once"`           // reads running, this one included
+	Duration   string    `json:"duration,omitempty"`
 }
 
 // Limits describe the store.
@@ -87,44 +87,44 @@
 	}
 	// Only the start of an object counts as a load; later ranges continue it.
 	if first == 0 && !s.limiter.Allow() {
-		s.History.Add(Entry{At: time.Now(), Object: object, Refused: true, AtOnce: s.atOnce(0)})
+		s.History.Add(Entry{At: time.Now(), Object: object, Refused: true, Concurrent: s.concurrent(0)})
 		writer.Header().Set("Retry-After", "1")
 		http.Error(writer, "too many loads", http.StatusTooManyRequests)
 		return
 	}
-	atOnce := s.atOnce(1)
-	defer s.atOnce(-1)
+	concurrent := s.concurrent(1)
+	defer s.concurrent(-1)
 	started := time.Now()
 	if !s.transfer(httpRequest, float64(last-first+1)) {
 		return
 	}
-	s.History.Add(Entry{At: started, Object: object, AtOnce: atOnce, Duration: time.Since(started).String()})
+	s.History.Add(Entry{At: started, Object: object, Concurrent: concurrent, Duration: time.Since(started).String()})
 	writer.Header().Set(LengthHeader, strconv.FormatInt(last-first+1, 10))
 	writer.Header().Set("Content-Range", fmt.Sprintf("bytes %d-%d/*", first, last))
 	writer.WriteHeader(http.StatusPartialContent)
 }
 
-func (s *Server) atOnce(change int) int {
+func (s *Server) concurrent(delta int) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.running += change
+	s.running += delta
 	return s.running
 }
 
-// transferStep is how often the speed is worked out anew.
-const transferStep = 20 * time.Millisecond
+// transferInterval is how often the speed is worked out anew.
+const transferInterval = 20 * time.Millisecond
 
 // transfer waits for as long as the bytes take at the speed of each moment.
 func (s *Server) transfer(httpRequest *http.Request, bytes float64) bool {
 	for bytes > 0 {
 		speed := s.limits.BytesPerSecond
-		if running := s.atOnce(0); running > s.limits.ConcurrentLoads {
+		if running := s.concurrent(0); running > s.limits.ConcurrentLoads {
 			speed *= float64(s.limits.ConcurrentLoads) / float64(running)
 		}
-		if slow := s.Faults.Get().SlowFactor; slow > 1 {
-			speed /= slow
+		if slowdown := s.Faults.Get().SlowFactor; slowdown > 1 {
+			speed /= slowdown
 		}
-		wait := min(transferStep, time.Duration(bytes/speed*float64(time.Second))+1)
+		wait := min(transferInterval, time.Duration(bytes/speed*float64(time.Second))+1)
 		select {
 		case <-httpRequest.Context().Done():
 			return false
--- a/testwindow/testwindow.go
+++ b/testwindow/testwindow.go
@@ -7,14 +7,14 @@
 )
 
 // Most returns the most of some moments that lie within a window, wherever it begins.
-func Most(moments []time.Time, window time.Duration) (most int) {
-	ascending := slices.SortedFunc(slices.Values(moments), time.Time.Compare)
-	first := 0
-	for index, at := range ascending {
-		for at.Sub(ascending[first]) > window {
-			first++
+func MaxCount(times []time.Time, window time.Duration) (highest int) {
+	sorted := slices.SortedFunc(slices.Values(times), time.Time.Compare)
+	start := 0
+	for index, at := range sorted {
+		for at.Sub(sorted[start]) > window {
+			start++
 		}
-		most = max(most, index-first+1)
+		highest = max(highest, index-start+1)
 	}
-	return most
+	return highest
 }
