--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -1,9 +1,6 @@
-// Package fault is what the stand-ins of the platform's systems share: faults
-// that are switched at run time over HTTP, and a history an oracle can check.
-//
-//	GET  /faults   the faults in force
-//	POST /faults   replaces them (JSON; unknown fields are refused)
-//	GET  /history  what happened, oldest first, as a JSON list
+// Package fault provides fault injection and a history of events over HTTP for simulated services. GET /faults
+// returns the current faults, POST /faults replaces them (unknown JSON fields are rejected), and GET /history
+// returns the recorded entries, oldest first.
 package fault
 
 import (
@@ -13,13 +10,13 @@
 	"time"
 )
 
-// Duration is a time.Duration written in JSON as text such as "250ms".
+// Duration is a time.Duration that is encoded in JSON as text such as "250ms".
 type Duration time.Duration
 
-// MarshalJSON writes the duration as text.
+// MarshalJSON implements json.Marshaler.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(time.Duration(d).String()) }
 
-// UnmarshalJSON reads the text form.
+// UnmarshalJSON implements json.Unmarshaler.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
@@ -30,13 +27,13 @@
 	return err
 }
 
-// Switch holds the faults in force, of a type that each stand-in defines.
+// Switch holds the current faults of a service, of a type that the service defines.
 type Switch[T any] struct {
 	mutex  sync.RWMutex
 	faults T
 }
 
-// Get returns the faults in force.
+// Get returns the current faults.
 func (s *Switch[T]) Get() T {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
@@ -50,17 +47,17 @@
 	s.faults = faults
 }
 
-// historyLimit bounds a history; older entries are dropped and counted.
+// historyLimit bounds the number of entries in a history. The oldest entries are dropped and counted.
 const historyLimit = 200_000
 
-// History records entries of a type that each stand-in defines.
+// History records entries of a type that the service defines.
 type History[T any] struct {
 	mutex   sync.Mutex
 	entries []T
 	dropped int
 }
 
-// Add records an entry.
+// Add appends an entry.
 func (h *History[T]) Add(entry T) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -71,29 +68,29 @@
 	h.entries = append(h.entries, entry)
 }
 
-// Entries returns a copy of what is recorded.
+// Entries returns a copy of the retained entries, oldest first.
 func (h *History[T]) Entries() []T {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return append([]T(nil), h.entries...)
 }
 
-// Count is how many entries were ever recorded.
+// Count returns the number of entries ever added.
 func (h *History[T]) Count() int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return len(h.entries) + h.dropped
 }
 
-// Dropped is the count of entries no longer kept; a check that needs a whole
-// history must see zero.
+// Dropped returns the number of entries that are no longer retained. A check that needs the complete history must
+// verify that it is zero.
 func (h *History[T]) Dropped() int {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.dropped
 }
 
-// Register adds the fault and history handlers to a mux.
+// Register adds the handlers for faults and history to a mux.
 func Register[F, H any](mux *http.ServeMux, faults *Switch[F], history *History[H]) {
 	mux.HandleFunc("GET /faults", func(writer http.ResponseWriter, _ *http.Request) {
 		WriteJSON(writer, http.StatusOK, faults.Get())
@@ -114,9 +111,9 @@
 	})
 }
 
-// WriteJSON writes a JSON answer.
+// WriteJSON writes a JSON response.
 func WriteJSON(writer http.ResponseWriter, status int, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(value) // the peer may be gone
+	_ = json.NewEncoder(writer).Encode(value) // the client may have disconnected
 }
--- a/standin/keyvalue/server.go
+++ b/standin/keyvalue/server.go
@@ -11,29 +11,29 @@
 	"github.com/finchspoke/finchspoke/standin/fault"
 )
 
-// Faults are the failures that can be switched on.
+// Faults are the faults that can be injected.
 type Faults struct {
-	// Outage refuses everything and breaks watches.
+	// Outage rejects all calls and ends watches.
 	Outage bool `json:"outage,omitempty"`
-	// Delay is added to every answer.
+	// Delay is added to every response.
 	Delay fault.Duration `json:"delay,omitempty"`
-	// LoseAnswers cuts the connection after a transaction took effect, for this
-	// many percent of transactions.
+	// DropResponsesPercent is the percentage of transactions that are applied but not responded to: the
+	// connection is reset.
 	DropResponsesPercent int `json:"lose_answers_percent,omitempty"`
-	// PauseWatches holds back all events.
+	// PauseWatches defers all watch events.
 	PauseWatches bool `json:"pause_watches,omitempty"`
 }
 
-// Entry is one transaction in the history.
+// Entry is a transaction in the history.
 type Entry struct {
 	At              time.Time `json:"at"`
 	Revision        int64     `json:"revision"`
 	Succeeded       bool      `json:"succeeded"`
-	Keys            []string  `json:"keys"` // written, when succeeded
+	Keys            []string  `json:"keys"` // written, if the transaction succeeded
 	ResponseDropped bool      `json:"answer_lost,omitempty"`
 }
 
-// Server is the stand-in.
+// Server simulates the key-value service over HTTP.
 type Server struct {
 	Faults  fault.Switch[Faults]
 	History fault.History[Entry]
@@ -43,13 +43,12 @@
 }
 
 const (
-	defaultOperationsPerSecond = 200 // operations a second
+	defaultOperationsPerSecond = 200
 	watchPollInterval          = 200 * time.Millisecond
 	maxBodyBytes               = 8 << 20
 )
 
-// New returns a stand-in that allows so many operations a second; zero means the
-// default of 200.
+// New returns a server that allows a number of operations per second. Zero means 200.
 func New(operationsPerSecond float64) *Server {
 	if operationsPerSecond <= 0 {
 		operationsPerSecond = defaultOperationsPerSecond
@@ -75,7 +74,7 @@
 	s.mux.ServeHTTP(writer, httpRequest)
 }
 
-// admit applies the faults and the rate limit; it tells whether to go on.
+// admit applies faults and the rate limit. If it rejects the request, it responds and returns false.
 func (s *Server) admit(writer http.ResponseWriter) bool {
 	faults := s.Faults.Get()
 	time.Sleep(time.Duration(faults.Delay))
@@ -90,6 +89,7 @@
 	return true
 }
 
+// decode reads a JSON request body. If it is invalid, it responds 400 and returns false.
 func decode(writer http.ResponseWriter, httpRequest *http.Request, target any) bool {
 	body := http.MaxBytesReader(writer, httpRequest.Body, maxBodyBytes)
 	if err := json.NewDecoder(body).Decode(target); err != nil {
@@ -99,6 +99,7 @@
 	return true
 }
 
+// handleJSON returns a handler that decodes the request and writes the result as JSON.
 func handleJSON[Q any](server *Server, respond func(Q) any) http.HandlerFunc {
 	return func(writer http.ResponseWriter, httpRequest *http.Request) {
 		var request Q
@@ -131,12 +132,12 @@
 	entry.ResponseDropped = s.dropsResponse(entry.Revision)
 	s.History.Add(entry)
 	if entry.ResponseDropped {
-		panic(http.ErrAbortHandler) // cuts the connection without an answer
+		panic(http.ErrAbortHandler) // resets the connection
 	}
 	fault.WriteJSON(writer, http.StatusOK, response)
 }
 
-// loses spreads lost answers evenly and repeatably over revisions.
+// dropsResponse distributes dropped responses evenly and reproducibly over revisions.
 func (s *Server) dropsResponse(revision int64) bool {
 	const hundred, stride = 100, 37
 	return int(revision*stride%hundred) < s.Faults.Get().DropResponsesPercent
@@ -181,7 +182,7 @@
 		case <-httpRequest.Context().Done():
 			return
 		case <-changed:
-		case <-time.After(watchPollInterval): // faults and leases have no signal
+		case <-time.After(watchPollInterval): // changes of faults and expired leases are not signalled
 		}
 	}
 }
--- a/standin/keyvalue/store.go
+++ b/standin/keyvalue/store.go
@@ -1,5 +1,5 @@
-// Package keyvalue is a stand-in of the platform's key-value service: the subset
-// of the etcd v3 JSON gateway that finchspoke uses, in memory, with faults.
+// Package keyvalue simulates the platform's key-value service in memory, with fault injection. It implements the
+// subset of the etcd v3 JSON gateway that finchspoke uses.
 package keyvalue
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/finchspoke/finchspoke/kv"
 )
 
-// eventsKept bounds the events a watch can start back from.
+// maxEvents bounds the number of past events that a watch can start from.
 const maxEvents = 10_000
 
 type lease struct {
@@ -19,12 +19,12 @@
 	keys    map[string]bool
 }
 
-// store is the key space with its revisions, leases and recent events.
+// store holds keys with their revisions, leases and recent events.
 type store struct {
 	mutex     sync.Mutex
 	now       func() time.Time
 	revision  int64
-	compacted int64 // events up to this revision are no longer kept
+	compacted int64 // events up to this revision are no longer available
 	pairs     map[string]kv.WirePair
 	events    []kv.WireEvent
 	leases    map[int64]*lease
@@ -55,6 +55,7 @@
 	return s.readLocked(request)
 }
 
+// readLocked is read for callers that hold the mutex.
 func (s *store) readLocked(request kv.WireRange) kv.WireRangeResponse {
 	response := kv.WireRangeResponse{Header: kv.WireHeader{Revision: kv.Int64(s.revision)}}
 	if len(request.RangeEnd) == 0 {
@@ -160,7 +161,7 @@
 	s.changed = make(chan struct{})
 }
 
-// expire removes the keys of leases that have ended.
+// expire removes expired leases and their keys.
 func (s *store) expire() {
 	now := s.now()
 	for id, expired := range s.leases {
@@ -194,8 +195,8 @@
 	return id == 0 || s.leases[id] != nil
 }
 
-// since returns the events in a range after a revision, whether those are still
-// kept, and a channel that closes at the next change.
+// eventsAfter returns the events in a range after a revision, whether all of these are still available, and a channel
+// that is closed at the next change.
 func (s *store) eventsAfter(watched kv.WireRange, revision int64) (events []kv.WireEvent, retained bool, changed <-chan struct{}) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/standin/machines/machines.go
+++ b/standin/machines/machines.go
@@ -1,7 +1,5 @@
-// Package machines is a stand-in of the platform's machine list, which lags.
-//
-//	GET  /machines?region=R  the list as it was one lag ago
-//	POST /machines           replaces a machine, or with state "gone" removes it
+// Package machines simulates the platform's machine list, which may lag behind. GET /machines?region=R returns the
+// list as it was one lag ago. POST /machines adds or replaces a machine, or removes it if its state is "gone".
 package machines
 
 import (
@@ -15,31 +13,32 @@
 	"github.com/finchspoke/finchspoke/standin/fault"
 )
 
-// Gone removes a machine when posted as its state.
+// Removed is the state that removes a machine from the list.
 const Removed machinelist.State = "gone"
 
-// Faults are the failures that can be switched on.
+// Faults are the faults that can be injected.
 type Faults struct {
-	Outage bool           `json:"outage,omitempty"`
-	Lag    fault.Duration `json:"lag,omitempty"`
+	Outage bool `json:"outage,omitempty"`
+	// Lag is the age of the list that is returned.
+	Lag fault.Duration `json:"lag,omitempty"`
 }
 
-// Entry is one change in the history.
+// Entry is a change in the history.
 type Entry struct {
 	At      time.Time           `json:"at"`
 	Machine machinelist.Machine `json:"machine"`
 }
 
-// Server is the stand-in.
+// Server simulates the machine list over HTTP.
 type Server struct {
 	Faults  fault.Switch[Faults]
 	History fault.History[Entry]
 	mux     *http.ServeMux
 	mutex   sync.Mutex
-	changes []Entry
+	changes []Entry // oldest first
 }
 
-// New returns a stand-in that lists machines from the start.
+// New returns a server that lists the given machines.
 func New(machines ...machinelist.Machine) *Server {
 	server := &Server{mux: http.NewServeMux()}
 	for _, machine := range machines {
@@ -56,7 +55,7 @@
 	s.mux.ServeHTTP(writer, httpRequest)
 }
 
-// Set records a change of a machine.
+// Set adds or replaces a machine, or removes it if its state is Removed.
 func (s *Server) Set(machine machinelist.Machine) {
 	entry := Entry{At: time.Now(), Machine: machine}
 	s.mutex.Lock()
@@ -68,7 +67,7 @@
 func (s *Server) post(writer http.ResponseWriter, httpRequest *http.Request) {
 	var machine machinelist.Machine
 	if err := json.NewDecoder(httpRequest.Body).Decode(&machine); err != nil || machine.ID == "" {
-		http.Error(writer, "a machine needs an id", http.StatusBadRequest)
+		http.Error(writer, "machine without an id", http.StatusBadRequest)
 		return
 	}
 	s.Set(machine)
@@ -91,6 +90,7 @@
 	fault.WriteJSON(writer, http.StatusOK, list)
 }
 
+// machinesAt returns the machines that were listed at a point in time, sorted by ID.
 func (s *Server) machinesAt(at time.Time) []machinelist.Machine {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/standin/weights/weights.go
+++ b/standin/weights/weights.go
@@ -1,9 +1,6 @@
-// Package weights is a stand-in of the platform's weight store: checkpoints as
-// HTTP objects with range requests, a limit on loads started a second, and a
-// bandwidth that loads beyond a number at once share.
-//
-// Checkpoints are not stored. The answer to a read takes the time that the range
-// would take, and carries the length of the range in a header instead of bytes.
+// Package weights simulates the platform's weight store: checkpoints as HTTP objects with range requests, a limit
+// on loads started per second, and a total bandwidth that concurrent loads share. It stores no checkpoints: a
+// response takes as long as transferring the range would, and states the range's length in a header.
 package weights
 
 import (
@@ -19,33 +16,33 @@
 	"github.com/finchspoke/finchspoke/standin/fault"
 )
 
-// LengthHeader carries the bytes that a read stands for.
+// LengthHeader is the response header with the number of bytes that a read represents.
 const LengthHeader = "X-Range-Bytes"
 
-// Faults are the failures that can be switched on.
+// Faults are the faults that can be injected.
 type Faults struct {
 	Outage bool `json:"outage,omitempty"`
-	// SlowFactor divides the bandwidth; 0 and 1 leave it.
+	// SlowFactor divides the bandwidth. Values up to 1 have no effect.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
 }
 
-// Entry is one read in the history.
+// Entry is a read in the history.
 type Entry struct {
 	At         time.Time `json:"at"`
 	Object     string    `json:"object"`
-	Refused    bool      `json:"refused,omitempty"` // by the limit on starts
-	Concurrent int       `json:"at_once"`           // reads running, this one included
+	Refused    bool      `json:"refused,omitempty"` // exceeded LoadsPerSecond
+	Concurrent int       `json:"at_once"`           // reads in progress, including this one
 	Duration   string    `json:"duration,omitempty"`
 }
 
-// Limits describe the store.
+// Limits are the limits of the weight store.
 type Limits struct {
-	LoadsPerSecond  float64 // starts a second
-	ConcurrentLoads int     // at once at full speed
-	BytesPerSecond  float64 // of one load at full speed
+	LoadsPerSecond  float64 // loads that may start per second
+	ConcurrentLoads int     // loads above this number share the total bandwidth
+	BytesPerSecond  float64 // bandwidth of a load when the total is not shared
 }
 
-// Server is the stand-in.
+// Server simulates the weight store over HTTP.
 type Server struct {
 	Faults  fault.Switch[Faults]
 	History fault.History[Entry]
@@ -56,11 +53,11 @@
 	running int
 }
 
-// New returns a stand-in with limits.
+// New returns a server with the given limits.
 func New(limits Limits) *Server {
 	server := &Server{
 		limits: limits,
-		// The burst allows as many starts together as may run at full speed.
+		// The burst allows the starts of one second at once.
 		limiter: rate.NewLimiter(rate.Limit(limits.LoadsPerSecond), max(1, int(limits.LoadsPerSecond))),
 		mux:     http.NewServeMux(),
 	}
@@ -85,7 +82,7 @@
 		http.Error(writer, err.Error(), http.StatusRequestedRangeNotSatisfiable)
 		return
 	}
-	// Only the start of an object counts as a load; later ranges continue it.
+	// Only a read from the start of an object counts as a load; later ranges continue it.
 	if first == 0 && !s.limiter.Allow() {
 		s.History.Add(Entry{At: time.Now(), Object: object, Refused: true, Concurrent: s.concurrent(0)})
 		writer.Header().Set("Retry-After", "1")
@@ -104,6 +101,7 @@
 	writer.WriteHeader(http.StatusPartialContent)
 }
 
+// concurrent changes the number of reads in progress by delta and returns the result.
 func (s *Server) concurrent(delta int) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -111,10 +109,10 @@
 	return s.running
 }
 
-// transferInterval is how often the speed is worked out anew.
+// transferInterval is the interval at which the bandwidth of a read is recalculated.
 const transferInterval = 20 * time.Millisecond
 
-// transfer waits for as long as the bytes take at the speed of each moment.
+// transfer waits for as long as transferring the bytes takes. It returns false if the request is cancelled.
 func (s *Server) transfer(httpRequest *http.Request, bytes float64) bool {
 	for bytes > 0 {
 		speed := s.limits.BytesPerSecond
@@ -135,7 +133,7 @@
 	return true
 }
 
-// parseRange reads "bytes=first-last".
+// parseRange parses a Range header of the form bytes=first-last.
 func parseRange(header string) (first, last int64, err error) {
 	text, found := strings.CutPrefix(header, "bytes=")
 	from, to, dash := strings.Cut(text, "-")
