--- a/integration/cluster_test.go
+++ b/integration/cluster_test.go
@@ -1,5 +1,5 @@
-// Package integration proves what must always hold with real processes, behind
-// the fault-injecting proxy and judged by the stand-ins' histories.
+// Package integration tests invariants with real daemon processes and simulated engines, connected through
+// fault-injecting proxies. The tests verify results against the histories of the simulated services.
 package integration
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/finchspoke/finchspoke/standin/engines"
 )
 
-var binDirectory string // directory of the built programs
+var binDirectory string // contains the built programs
 
 func TestMain(m *testing.M) { os.Exit(run(m)) }
 
@@ -54,8 +54,8 @@
 
 const apiKey = "integration-key"
 
-// cluster is three daemons and three engines as real processes; each engine, and
-// the key-value service, stand behind a proxy.
+// cluster runs daemons and simulated services as processes of their own. Connections to the engines and to the
+// key-value service pass through proxies.
 type cluster struct {
 	*processes.Cluster
 	t             *testing.T
@@ -75,6 +75,7 @@
 	daemonCount = 3
 )
 
+// startCluster starts a cluster, applies its settings and waits until all daemons are ready.
 func startCluster(t *testing.T) *cluster {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -120,13 +121,13 @@
 	return proxy
 }
 
-// startDaemon starts one more daemon in a zone.
+// startDaemon starts an additional daemon in a zone.
 func (c *cluster) startDaemon(zoneNumber int) *processes.Daemon {
 	c.daemons = append(c.daemons, c.launchDaemon(fmt.Sprintf("daemon-%d", len(c.daemons)), zoneNumber))
 	return c.daemons[len(c.daemons)-1]
 }
 
-// restartDaemons kills daemons and starts them again under their ids.
+// restartDaemons kills daemons and then starts them again with the same IDs.
 func (c *cluster) restartDaemons(numbers ...int) {
 	for _, number := range numbers {
 		c.daemons[number].Kill()
@@ -149,7 +150,7 @@
 	return started
 }
 
-// history gathers what all engines recorded.
+// history returns the recorded entries of all running engines.
 func (c *cluster) history() []engines.Entry {
 	var all []engines.Entry
 	for _, started := range c.engines {
@@ -163,7 +164,7 @@
 	return all
 }
 
-// logs shows the daemons' logs when a test fails.
+// logOnFailure prints the end of each daemon's log if the test has failed.
 func (c *cluster) logOnFailure() {
 	if !c.t.Failed() {
 		return
--- a/integration/control_test.go
+++ b/integration/control_test.go
@@ -19,10 +19,10 @@
 	"github.com/finchspoke/finchspoke/standin/weights"
 )
 
-// maxReplicas is that of the cluster's settings.
+// maxReplicas is max_replicas in settingsText.
 const maxReplicas = 2
 
-// placer returns the number of the daemon that places now.
+// awaitPlacer waits until a daemon is the placer and returns its index.
 func (c *cluster) awaitPlacer() int {
 	found := -1
 	require.Eventually(c.t, func() bool {
@@ -41,11 +41,11 @@
 	return found
 }
 
-// other returns a daemon that is not the one given.
+// otherDaemon returns the index of a daemon other than the given one.
 func otherDaemon(number int) int { return (number + 1) % daemonCount }
 
-// verifyPlacement replays the engines' histories: never more replicas of a model at
-// once than the settings allow to be decided, and no order beyond memory.
+// verifyPlacement replays the engines' histories and checks that no model ever had more than maxReplicas replicas
+// and that no load order exceeded an accelerator's memory.
 func (c *cluster) verifyPlacement() {
 	history := c.history()
 	sort.SliceStable(history, func(i, j int) bool { return history[i].At.Before(history[j].At) })
@@ -53,16 +53,17 @@
 	for _, entry := range history {
 		switch entry.Kind {
 		case engines.MemoryRefused:
-			c.t.Errorf("an order exceeded memory: %+v", entry)
+			c.t.Errorf("load order exceeds the memory of an accelerator: %+v", entry)
 		case engines.LoadStarted:
 			loaded[entry.Model]++
 		case engines.UnloadFinished, engines.LoadFailed:
 			loaded[entry.Model]--
 		}
-		require.LessOrEqual(c.t, loaded[entry.Model], maxReplicas, "more replicas of %s than decided", entry.Model)
+		require.LessOrEqual(c.t, loaded[entry.Model], maxReplicas, "more replicas of %s than max_replicas", entry.Model)
 	}
 }
 
+// requireAnswer sends a request to a daemon and requires a complete response.
 func (c *cluster) requireAnswer(daemon int, model, prompt string) {
 	c.t.Helper()
 	result := c.send(daemon, exchange{model: model, prompt: prompt, tokens: 3}, nil)
@@ -73,32 +74,31 @@
 	require.NoError(c.t, processes.PostJSON(c.ctx, c.keyValue.Address, "/faults", faults))
 }
 
-// TestColdStartsWorkDuringAKeyValueOutage takes the service down, wakes a
-// model, kills the placer, and wakes another model under its successor. A daemon
-// that starts in the outage gets its settings from peers.
+// Models must be loaded during an outage of the key-value service, also by a new placer, and a daemon that starts
+// then must get its settings from its peers.
 func TestColdStartsWorkDuringAKeyValueOutage(t *testing.T) {
 	c := startCluster(t)
 	defer c.logOnFailure()
 	first := c.awaitPlacer()
 	require.Eventually(t, func() bool { return c.createdGroups() == groupCount }, 30*time.Second, 100*time.Millisecond)
 	c.setKeyValueFaults(keyvalue.Faults{Outage: true})
-	c.requireAnswer(otherDaemon(first), "beta", "cold in the outage")
+	c.requireAnswer(otherDaemon(first), "beta", "cold start during the outage")
 	c.daemons[first].Kill()
 	require.NotEqual(t, first, c.awaitPlacer())
-	c.requireAnswer(otherDaemon(first), "alpha", "cold under the successor")
+	c.requireAnswer(otherDaemon(first), "alpha", "cold start under the new placer")
 	started := c.startDaemon(0)
 	require.NoError(t, processes.WaitReady(c.ctx, started.Admin, 1, daemonCount))
-	c.requireAnswer(len(c.daemons)-1, "alpha", "through the daemon that started in the outage")
+	c.requireAnswer(len(c.daemons)-1, "alpha", "sent to the daemon that started during the outage")
 	c.setKeyValueFaults(keyvalue.Faults{})
 	c.verifyPlacement()
 }
 
-// TestALoadSurvivesTheDeathOfItsPlacer: the load is found and used by the successor.
-func TestALoadSurvivesTheDeathOfItsPlacer(t *testing.T) {
+// A load that is in progress when the placer is killed must be used by the new placer, not started again.
+func TestALoadSurvivesAPlacerCrash(t *testing.T) {
 	c := startCluster(t)
 	defer c.logOnFailure()
 	placer := c.awaitPlacer()
-	require.NoError(t, processes.PostJSON(c.ctx, c.weights.Address, "/faults", weights.Faults{SlowFactor: 15})) // a load of 2 s
+	require.NoError(t, processes.PostJSON(c.ctx, c.weights.Address, "/faults", weights.Faults{SlowFactor: 15})) // a load takes 2 s
 	result := make(chan exchange, 1)
 	go func() {
 		result <- c.send(otherDaemon(placer), exchange{model: "alpha", prompt: "waits for the load", tokens: 3}, nil)
@@ -116,18 +116,17 @@
 	c.daemons[placer].Kill()
 	received := <-result
 	require.True(t, received.response.Whole, received.response.Text)
-	require.Equal(t, 1, loads(), "no second load")
+	require.Equal(t, 1, loads(), "the model is loaded once")
 	c.verifyPlacement()
 }
 
-// TestNoLoadOrderBeforeThePlanIsCommitted freezes all but the placer, so that no plan can
-// count, and asks for a model that is not loaded.
+// While all daemons but the placer are frozen, no plan can be committed, and the placer must not send load orders.
 func TestNoLoadOrderBeforeThePlanIsCommitted(t *testing.T) {
 	c := startCluster(t)
 	defer c.logOnFailure()
 	placer := c.awaitPlacer()
 	require.Eventually(t, func() bool { return c.createdGroups() == groupCount }, 30*time.Second, 100*time.Millisecond)
-	c.requireAnswer(placer, "alpha", "settles the group") // all three are members of the plan's group by now
+	c.requireAnswer(placer, "alpha", "initializes the group") // all daemons are then members of the plan's group
 	signalOthers := func(signal syscall.Signal) {
 		for number, daemon := range c.daemons {
 			if number != placer {
@@ -136,12 +135,12 @@
 		}
 	}
 	signalOthers(syscall.SIGSTOP)
-	time.Sleep(2 * time.Second) // past suspicion: the placer is home to all models
+	time.Sleep(2 * time.Second) // past the failure detection: the placer is now the home of all models
 	result := make(chan exchange, 1)
 	go func() { result <- c.send(placer, exchange{model: "beta", prompt: "needs a quorum", tokens: 2}, nil) }()
 	time.Sleep(1500 * time.Millisecond)
 	for _, entry := range c.history() {
-		require.False(t, entry.Kind == engines.LoadStarted && entry.Model == "beta", "a load was ordered that was not decided")
+		require.False(t, entry.Kind == engines.LoadStarted && entry.Model == "beta", "a load order was sent before the plan was committed")
 	}
 	signalOthers(syscall.SIGCONT)
 	received := <-result
@@ -149,8 +148,7 @@
 	c.verifyPlacement()
 }
 
-// TestStreamsOnAReclaimedMachine kills the engine that serves while streams run there, then
-// takes its machine off the list.
+// Streams on a machine that is reclaimed must end correctly, and the model must be served again afterwards.
 func TestStreamsOnAReclaimedMachine(t *testing.T) {
 	c := startCluster(t)
 	defer c.logOnFailure()
@@ -174,7 +172,7 @@
 	c.verifyPlacement()
 }
 
-// serving returns the number of an engine that has started requests of a model.
+// servingEngine returns the index of an engine that has started requests for a model.
 func (c *cluster) servingEngine(model string) int {
 	for number, started := range c.engines {
 		var entries []engines.Entry
@@ -189,8 +187,8 @@
 	return 0
 }
 
-// TestAFrozenPlacerResumes freezes the placer past its suspicion; it wakes believing
-// that it still leads, while its successor has gone on.
+// A placer that is frozen until it is replaced, and then resumes with outdated state, must not interfere with its
+// successor.
 func TestAFrozenPlacerResumes(t *testing.T) {
 	c := startCluster(t)
 	defer c.logOnFailure()
@@ -198,10 +196,10 @@
 	c.requireAnswer(otherDaemon(frozen), "alpha", "before")
 	for round := range 2 {
 		require.NoError(t, c.daemons[frozen].Signal(syscall.SIGSTOP))
-		c.requireAnswer(otherDaemon(frozen), "beta", fmt.Sprintf("while frozen %d", round))
+		c.requireAnswer(otherDaemon(frozen), "beta", fmt.Sprintf("while the placer is frozen %d", round))
 		require.NoError(t, c.daemons[frozen].Signal(syscall.SIGCONT))
 		for number := range 6 {
-			c.requireAnswer(number%daemonCount, []string{"alpha", "beta", "alpha.one"}[number%3], fmt.Sprintf("after it woke %d-%d", round, number))
+			c.requireAnswer(number%daemonCount, []string{"alpha", "beta", "alpha.one"}[number%3], fmt.Sprintf("after the placer resumed %d-%d", round, number))
 		}
 	}
 	for _, daemon := range c.daemons {
@@ -210,8 +208,8 @@
 	c.verifyPlacement()
 }
 
-// TestConcurrentAppliesHaveOneWinnerAndReachAllDaemons applies settings at all daemons at
-// once while the key-value service loses answers.
+// When operators apply settings to all daemons concurrently and the key-value service drops responses, exactly one
+// revision must be accepted and reach all daemons.
 func TestConcurrentAppliesHaveOneWinnerAndReachAllDaemons(t *testing.T) {
 	c := startCluster(t)
 	defer c.logOnFailure()
@@ -237,7 +235,7 @@
 				wins++
 			}
 		}
-		require.Equal(t, 1, wins, "one operator wins a race")
+		require.Equal(t, 1, wins, "exactly one concurrent apply succeeds")
 		revision++
 		for _, daemon := range c.daemons {
 			require.NoError(t, processes.WaitReady(c.ctx, daemon.Admin, revision, daemonCount))
--- a/integration/keyed_test.go
+++ b/integration/keyed_test.go
@@ -19,10 +19,10 @@
 	"github.com/finchspoke/finchspoke/standin/keyvalue"
 )
 
-// groupCount are the run-once groups and the plan's.
+// groupCount is the number of groups for keyed requests, plus the placement plan's group.
 const groupCount = group.Slots + 1
 
-// groupsMade counts the groups that stand in the key-value service.
+// createdGroups counts the groups that daemons have written to the key-value service.
 func (c *cluster) createdGroups() int {
 	var entries []keyvalue.Entry
 	require.NoError(c.t, processes.History(c.ctx, c.keyValue.Address, &entries))
@@ -37,9 +37,8 @@
 	return len(created)
 }
 
-// TestKeyedRequestsRunOnceUnderFaults repeats keyed requests at any daemon while
-// the key-value service loses answers and goes down, connections to engines lose
-// answers and are cut, and a member of every group is killed.
+// Requests repeated with the same idempotency key at any daemon must be executed at most once, while the key-value
+// service and connections to engines fail and a member of each group is killed.
 func TestKeyedRequestsRunOnceUnderFaults(t *testing.T) {
 	c := startCluster(t)
 	defer c.logOnFailure()
@@ -61,7 +60,7 @@
 					result := c.send(random.IntN(daemonCount), request, map[string]string{gateway.HeaderIdempotencyKey: key, gateway.HeaderDeadline: "5s"})
 					if result.err == nil && result.response.Status == http.StatusOK && result.response.Whole {
 						if previous := textByPrompt[worker][request.prompt]; previous != "" && previous != result.response.Text {
-							t.Errorf("%q was answered in two ways", request.prompt)
+							t.Errorf("%q received two different responses", request.prompt)
 						}
 						textByPrompt[worker][request.prompt] = result.response.Text
 					}
@@ -86,14 +85,13 @@
 	}
 	starts := startsByPrompt(c.history())
 	for prompt, count := range starts {
-		require.Equal(t, 1, count, "%q ran more than once", prompt)
+		require.Equal(t, 1, count, "%q was executed more than once", prompt)
 	}
-	t.Logf("%d of %d keyed requests answered whole, %d ran", complete, workers*perWorker, len(starts))
+	t.Logf("%d of %d keyed requests completed, %d executed", complete, workers*perWorker, len(starts))
 	require.Greater(t, complete, workers*perWorker/2)
 }
 
-// TestKeyedRequestsDoNotRunAgainAfterTheirGroupLosesItsState kills two of each group's three members
-// at once and starts them again.
+// When two of a group's three members are killed and restarted, requests keyed before must not be executed again.
 func TestKeyedRequestsDoNotRunAgainAfterTheirGroupLosesItsState(t *testing.T) {
 	c := startCluster(t)
 	defer c.logOnFailure()
@@ -111,12 +109,12 @@
 	}
 	require.Eventually(t, func() bool {
 		return sendKeyed("new "+uuid.NewString(), uuid.Must(uuid.NewV7()).String()).response.Whole
-	}, 40*time.Second, 100*time.Millisecond, "keys made after the loss are taken")
+	}, 40*time.Second, 100*time.Millisecond, "keys created after the restart are accepted")
 	for range 3 {
 		sendKeyed("timed", timed)
 		sendKeyed("untimed", untimed)
 	}
-	unknown := sendKeyed("made before the loss, never seen", "another key without a time")
+	unknown := sendKeyed("key without a timestamp, not used before", "another key without a time")
 	require.Equal(t, "unknown", unknown.response.Header.Get(gateway.HeaderExecution), unknown.response.Text)
 	for prompt, count := range startsByPrompt(c.history()) {
 		require.Equal(t, 1, count, prompt)
--- a/integration/requests_test.go
+++ b/integration/requests_test.go
@@ -19,16 +19,17 @@
 	"github.com/finchspoke/finchspoke/standin/engines"
 )
 
-// asked is a request that a test sent, with what came back.
+// exchange is a request of a test with the response.
 type exchange struct {
 	model, prompt string
 	noRepeat      bool
 	stream        bool
 	tokens        int
 	response      lab.Answer
-	err           error // the connection to the gateway broke
+	err           error // failed connection to the gateway
 }
 
+// send sends a request to a daemon and returns it with the response.
 func (c *cluster) send(daemon int, request exchange, headers map[string]string) exchange {
 	allHeaders := map[string]string{gateway.HeaderDeadline: "20s"}
 	for name, value := range headers {
@@ -42,7 +43,7 @@
 	return request
 }
 
-// told is what an error body says.
+// errorBody is the response body of a failed request.
 type errorBody struct {
 	Error struct {
 		Code      string `json:"code"`
@@ -51,35 +52,35 @@
 	} `json:"error"`
 }
 
-// judge checks a request's end against the engines' histories.
-func (a exchange) verify(t *testing.T, starts map[string]int) {
-	expected := strings.Join(engines.Answer(a.model, a.prompt, a.tokens), "")
-	runs := starts[a.prompt]
-	if a.noRepeat {
-		require.LessOrEqual(t, runs, 1, "%q may not be repeated", a.prompt)
-	}
-	if a.err != nil {
-		return // only its own daemon's death breaks a caller's connection
-	}
-	if a.response.Whole {
-		require.Equal(t, expected, a.response.Text, "the answer to its own request, whole")
+// verify checks a response against the number of executions of each prompt.
+func (e exchange) verify(t *testing.T, starts map[string]int) {
+	expected := strings.Join(engines.Answer(e.model, e.prompt, e.tokens), "")
+	runs := starts[e.prompt]
+	if e.noRepeat {
+		require.LessOrEqual(t, runs, 1, "%q must not be executed again", e.prompt)
+	}
+	if e.err != nil {
+		return // the daemon was killed while it served the caller
+	}
+	if e.response.Whole {
+		require.Equal(t, expected, e.response.Text, "a complete response belongs to its request")
 		require.Positive(t, runs)
 		return
 	}
-	if a.response.Status == http.StatusOK {
-		require.True(t, strings.HasPrefix(expected, a.response.Text), "a part of its own answer")
+	if e.response.Status == http.StatusOK {
+		require.True(t, strings.HasPrefix(expected, e.response.Text), "an incomplete response is a prefix of the expected one")
 		return
 	}
 	var failed errorBody
-	require.NoError(t, json.Unmarshal([]byte(a.response.Text), &failed), "a typed error: %s", a.response.Text)
+	require.NoError(t, json.Unmarshal([]byte(e.response.Text), &failed), "error responses have a JSON body: %s", e.response.Text)
 	require.NotEmpty(t, failed.Error.Code)
 	require.NotEmpty(t, failed.Error.Remedy)
 	if failed.Error.Execution == "not_run" {
-		require.Zero(t, runs, "%q was said not to have run", a.prompt)
+		require.Zero(t, runs, "%q was executed but reported as not executed", e.prompt)
 	}
 }
 
-// startsByPrompt counts the runs of each prompt; prompts are unique.
+// startsByPrompt counts the executions of each prompt. Prompts are unique.
 func startsByPrompt(history []engines.Entry) map[string]int {
 	starts := map[string]int{}
 	for _, entry := range history {
@@ -90,12 +91,11 @@
 	return starts
 }
 
-// slowResponse is worth a line in the log: faults last for 150 ms at a time.
+// slowResponse is the duration from which a response is logged. It is long compared to the injected faults.
 const slowResponse = 5 * time.Second
 
-// TestRequestsUnderFaults sends requests of all kinds while connections to the
-// engines are cut, delayed, left half-open and lose answers, and the key-value
-// service is cut off; one daemon is killed. Every request ends, once, truly.
+// Each request must end with a response that is correct and consistent with its executions, while connections to
+// engines and the key-value service fail and a daemon is killed.
 func TestRequestsUnderFaults(t *testing.T) {
 	c := startCluster(t)
 	defer c.logOnFailure()
@@ -140,14 +140,14 @@
 			}
 		}
 	}
-	require.Greater(t, complete, workers*perWorker/3, "most are answered in spite of the faults")
-	t.Logf("%d whole, %d with a broken connection, of %d; slowest %s", complete, broken, workers*perWorker, slowest)
+	require.Greater(t, complete, workers*perWorker/3, "too few complete responses")
+	t.Logf("%d complete, %d with a failed connection, of %d; slowest %s", complete, broken, workers*perWorker, slowest)
 	c.requireNoOvercommit()
 	last := c.send(0, exchange{model: "beta", prompt: "after all faults", tokens: 3}, nil)
 	require.True(t, last.response.Whole, last.response.Text)
 }
 
-// disturb goes through the faults until done; the last daemon is killed midway.
+// injectFaults cycles through the faults until done is closed, and kills the last daemon once.
 func (c *cluster) injectFaults(done <-chan struct{}) {
 	random := rand.New(rand.NewPCG(2, 2))
 	killed := false
@@ -168,8 +168,8 @@
 		}
 		const healthy, faulty = 150 * time.Millisecond, 150 * time.Millisecond
 		time.Sleep(faulty)
-		for _, healed := range c.engineProxies {
-			healed.Set(faultproxy.Faults{})
+		for _, recovered := range c.engineProxies {
+			recovered.Set(faultproxy.Faults{})
 		}
 		if round == 4 && !killed {
 			killed = true
@@ -183,15 +183,14 @@
 	}
 }
 
-// requireNoOvercommit checks that no order ever exceeded an accelerator's memory.
+// requireNoOvercommit checks that no load order exceeded an accelerator's memory.
 func (c *cluster) requireNoOvercommit() {
 	for _, entry := range c.history() {
-		require.NotEqual(c.t, engines.MemoryRefused, entry.Kind, "an order exceeded memory: %+v", entry)
+		require.NotEqual(c.t, engines.MemoryRefused, entry.Kind, "load order exceeds the memory of an accelerator: %+v", entry)
 	}
 }
 
-// TestInterruptedStreamsAreResumed cuts every connection to the engines while streams run
-// that may not be repeated.
+// Streams that must not be executed again must be resumed when their connections to the engines are closed.
 func TestInterruptedStreamsAreResumed(t *testing.T) {
 	c := startCluster(t)
 	defer c.logOnFailure()
@@ -199,12 +198,12 @@
 	results := make(chan exchange, streams)
 	for number := range streams {
 		go func() {
-			results <- c.send(number%daemonCount, exchange{model: "alpha", prompt: fmt.Sprintf("cut %d", number), tokens: 400, stream: true, noRepeat: true}, nil)
+			results <- c.send(number%daemonCount, exchange{model: "alpha", prompt: fmt.Sprintf("interrupted %d", number), tokens: 400, stream: true, noRepeat: true}, nil)
 		}()
 	}
 	require.Eventually(t, func() bool { return len(startsByPrompt(c.history())) == streams }, 20*time.Second, 10*time.Millisecond)
 	for range 2 {
-		time.Sleep(200 * time.Millisecond) // in the middle of the answers
+		time.Sleep(200 * time.Millisecond) // while the streams are in progress
 		for _, proxy := range c.engineProxies {
 			proxy.CloseConnections()
 		}
@@ -217,8 +216,7 @@
 	}
 }
 
-// TestAPlannedStopInterruptsNothing stops a daemon by SIGTERM while it serves streams
-// and is home to waiting requests.
+// A daemon that receives SIGTERM must complete the streams that it serves and the requests queued on it.
 func TestAPlannedStopInterruptsNothing(t *testing.T) {
 	c := startCluster(t)
 	defer c.logOnFailure()
