--- a/faultproxy/faultproxy.go
+++ b/faultproxy/faultproxy.go
@@ -1,6 +1,5 @@
-// Package faultproxy is a small TCP proxy that injects faults between two
-// processes of a test: delay, cut, half-open connections, answers lost after the
-// question went through, and refusal of new connections.
+// Package faultproxy is a TCP proxy for tests that injects faults between two processes: delays, closed, stalled and
+// refused connections, and responses dropped after the request was delivered.
 package faultproxy
 
 import (
@@ -11,29 +10,28 @@
 	"github.com/pkg/errors"
 )
 
-// Faults are what the proxy does to connections, new and open ones.
+// Faults are the faults that the proxy injects, on open connections too.
 type Faults struct {
-	// Refuse closes new connections at once.
+	// Refuse closes new connections immediately.
 	Refuse bool
-	// Delay is added to each chunk, in both directions. Connections are delayed
-	// one by one, so what is sent on several is reordered between them.
+	// Delay is added to each chunk, in both directions. Each connection is delayed independently, so data on
+	// different connections may be reordered.
 	Delay time.Duration
-	// DropResponses lets what the client sends through, and cuts the connection
-	// when the server begins to answer.
+	// DropResponses forwards what the client sends, and closes the connection when the server sends data.
 	DropResponses bool
-	// Silent keeps connections open and passes nothing: half-open.
+	// Stall keeps connections open and forwards nothing.
 	Stall bool
 }
 
-// Proxy forwards from its address to a target.
+// Proxy forwards TCP connections from its address to a target.
 type Proxy struct {
 	listener    net.Listener
 	mutex       sync.Mutex
 	target      string
 	faults      Faults
-	changed     chan struct{}
+	changed     chan struct{} // closed and replaced when the faults change
 	connections map[net.Conn]bool
-	stalled     map[net.Conn]bool // open ones on which nothing passes any more
+	stalled     map[net.Conn]bool // connections that forward nothing any more
 	closed      bool
 	finished    sync.WaitGroup
 }
@@ -43,11 +41,11 @@
 	dialTimeout = time.Second
 )
 
-// New starts a proxy on a free loopback port. The target may be set later.
+// New starts a proxy on an unused loopback port. The target may be set later with SetTarget.
 func New(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, errors.Wrap(err, "listen on loopback")
+		return nil, errors.Wrap(err, "listen on a loopback address")
 	}
 	proxy := &Proxy{listener: listener, target: target, changed: make(chan struct{}), connections: map[net.Conn]bool{}, stalled: map[net.Conn]bool{}}
 	proxy.finished.Add(1)
@@ -55,10 +53,10 @@
 	return proxy, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// SetTarget changes where new connections go.
+// SetTarget changes the target of new connections.
 func (p *Proxy) SetTarget(target string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -74,7 +72,7 @@
 	p.changed = make(chan struct{})
 }
 
-// Cut closes all open connections.
+// CloseConnections closes all open connections.
 func (p *Proxy) CloseConnections() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -83,8 +81,7 @@
 	}
 }
 
-// StallOpen lets nothing pass any more on the connections that are open now, for good; new
-// ones work.
+// StallOpen stalls the connections that are open now, permanently. New connections are not affected.
 func (p *Proxy) StallOpen() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -93,14 +90,13 @@
 	}
 }
 
-// isStalled tells whether nothing passes on a connection any more.
 func (p *Proxy) isStalled(connection net.Conn) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.stalled[connection]
 }
 
-// Close ends the proxy.
+// Close stops the proxy, closes all connections and waits until they have ended.
 func (p *Proxy) Close() {
 	p.mutex.Lock()
 	p.closed = true
@@ -112,13 +108,14 @@
 	p.finished.Wait()
 }
 
+// state returns the current settings, with the channel that is closed when they change.
 func (p *Proxy) state() (faults Faults, target string, changed <-chan struct{}, closed bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.faults, p.target, p.changed, p.closed
 }
 
-// track remembers a connection; it is closed at once if the proxy is.
+// track adds an open connection, and closes it if the proxy is closed.
 func (p *Proxy) track(connection net.Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -179,7 +176,7 @@
 	directions.Wait()
 }
 
-// pump copies one direction until it ends, then ends the other.
+// copyDirection forwards data in one direction until that ends, and closes both connections.
 func (p *Proxy) copyDirection(to, from net.Conn, fromServer bool) {
 	defer func() {
 		_ = to.Close()
@@ -197,7 +194,7 @@
 	}
 }
 
-// pass writes a chunk as the faults allow; false ends the connection.
+// writeChunk forwards a chunk subject to the faults. It returns false if the connection is to be closed.
 func (p *Proxy) writeChunk(to net.Conn, chunk []byte, fromServer bool) bool {
 	for {
 		faults, _, changed, closed := p.state()
--- a/testseed/testseed.go
+++ b/testseed/testseed.go
@@ -1,6 +1,5 @@
-// Package testseed makes rapid's tests draw the same examples in every run, so
-// that a run's verdict does not depend on chance. To explore further, give the
-// flags on the command line: go test ./placement -rapid.seed=7 -rapid.checks=10000
+// Package testseed makes property-based tests that use rapid draw the same examples in every run, so that their
+// result is reproducible. Flags on the command line take precedence: go test ./placement -rapid.seed=7
 package testseed
 
 import (
@@ -12,15 +11,15 @@
 
 const seed = "20261202"
 
-// Run is the body of a TestMain; checks is how many examples each test draws, and
-// steps about how many actions a state machine takes in each.
+// Run sets rapid's flags, runs the tests of a package and exits; call it from TestMain. checks is the number of
+// examples per test, and steps the approximate number of actions per example of a state machine.
 func Run(m *testing.M, checks, steps int) {
 	for name, value := range map[string]string{
 		"rapid.seed": seed, "rapid.checks": strconv.Itoa(checks), "rapid.steps": strconv.Itoa(steps),
 		"rapid.nofailfile": "true",
 	} {
 		if err := flag.Set(name, value); err != nil {
-			panic(err) // the package under test does not import rapid
+			panic(err) // the test binary does not import rapid
 		}
 	}
 	os.Exit(m.Run())
--- a/testwindow/testwindow.go
+++ b/testwindow/testwindow.go
@@ -1,4 +1,4 @@
-// Package testwindow counts, for tests, what happened within a length of time.
+// Package testwindow counts events within sliding time windows, for tests of rate limits.
 package testwindow
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Most returns the most of some moments that lie within a window, wherever it begins.
+// MaxCount returns the largest number of times that lie within any window of the given length.
 func MaxCount(times []time.Time, window time.Duration) (highest int) {
 	sorted := slices.SortedFunc(slices.Values(times), time.Time.Compare)
 	start := 0
