--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,5 +1,4 @@
-// Package examples holds the settings trees of the two deployments that
-// finchspoke was first built for, at their true sizes.
+// Package examples embeds the example settings trees of two deployments.
 package examples
 
 import (
@@ -14,7 +13,7 @@
 //go:embed andina/settings.yaml
 var andina []byte
 
-// Sources returns both trees; they form one tree together.
+// Sources returns both settings files, which can be merged into one tree.
 func Sources() []settings.Source {
 	return []settings.Source{
 		{Name: "examples/etiketa-nitra/settings.yaml", Data: etiketaNitra},
