--- a/access/access.go
+++ b/access/access.go
@@ -17,7 +17,7 @@
 )
 
 // Bound is how old a configuration may be.
-type Bound struct {
+type AgeLimit struct {
 	// MaxAge is the time since the configuration was surely the newest up to which it counts
 	// as recent.
 	MaxAge time.Duration
@@ -36,7 +36,7 @@
 	// VerifiedAt returns a moment, on the monotonic clock, at which the configuration in force
 	// was surely the newest; the zero time if there was none.
 	VerifiedAt func() time.Time
-	Bound      Bound
+	AgeLimit   AgeLimit
 	Now        func() time.Time
 }
 
@@ -53,7 +53,7 @@
 // recent tells whether the configuration is recent.
 func (g *Gate) recent() bool {
 	age, known := g.Age()
-	return known && age <= g.Bound.MaxAge
+	return known && age <= g.AgeLimit.MaxAge
 }
 
 // Owner returns the tenant that holds a key at this moment, or why the request must not go
@@ -62,7 +62,7 @@
 	// The age is taken before the table: what is read afterwards can only be newer.
 	recent := g.recent()
 	table := g.Table.Current()
-	if table == nil || g.Bound.Strict && !recent {
+	if table == nil || g.AgeLimit.Strict && !recent {
 		return nil, g.outdated()
 	}
 	if tenant := table.TenantByKey(key); tenant != nil {
@@ -75,7 +75,7 @@
 }
 
 // Missing is the failure of a request without a key on a route that needs one.
-func (g *Gate) Missing() *failure.Error {
+func (g *Gate) MissingKey() *failure.Error {
 	if !g.recent() {
 		return g.outdated()
 	}
@@ -91,9 +91,9 @@
 }
 
 // Open tells whether requests with keys can be served at all.
-func (g *Gate) Open() bool {
+func (g *Gate) Ready() bool {
 	table := g.Table.Current()
-	return table != nil && (!g.Bound.Strict || !table.RequiresKeys() || g.recent())
+	return table != nil && (!g.AgeLimit.Strict || !table.RequiresKeys() || g.recent())
 }
 
 // outdated is the failure of a request that cannot be judged under the configuration in
--- a/access/access_test.go
+++ b/access/access_test.go
@@ -23,7 +23,7 @@
 	s := &situation{now: time.Unix(1_000, 0)}
 	s.Gate = &Gate{
 		Table: &routing.Store{}, VerifiedAt: func() time.Time { return s.proven }, Now: func() time.Time { return s.now },
-		Bound: Bound{MaxAge: maxAge, Strict: strict},
+		AgeLimit: AgeLimit{MaxAge: maxAge, Strict: strict},
 	}
 	s.proven = s.now
 	s.put(t, 1, "first", "second")
@@ -51,12 +51,12 @@
 	require.Equal(t, failure.ConfigOutdated, failed.Kind)
 	require.Equal(t, failure.NotRun, failed.Execution)
 	require.Positive(t, failed.RetryAfter)
-	require.False(t, s.Open())
+	require.False(t, s.Ready())
 
 	s.proven = s.now
 	_, failed = s.ResolveTenant(callers.Hash("first"))
 	require.Nil(t, failed)
-	require.True(t, s.Open())
+	require.True(t, s.Ready())
 }
 
 func TestAKeyThatWasTakenAwayIsRefusedAtOnce(t *testing.T) {
@@ -73,12 +73,12 @@
 		s := newSituation(t, strict)
 		_, unknown := s.ResolveTenant(callers.Hash("third"))
 		require.Equal(t, failure.Unauthenticated, unknown.Kind)
-		require.Equal(t, failure.Unauthenticated, s.Missing().Kind)
+		require.Equal(t, failure.Unauthenticated, s.MissingKey().Kind)
 		require.Equal(t, failure.ModelNotAllowed, s.NoRoute("host", "/path").Kind)
 
 		s.now = s.proven.Add(maxAge + time.Millisecond)
 		_, unknown = s.ResolveTenant(callers.Hash("third"))
-		for _, failed := range []*failure.Error{unknown, s.Missing(), s.NoRoute("host", "/path")} {
+		for _, failed := range []*failure.Error{unknown, s.MissingKey(), s.NoRoute("host", "/path")} {
 			require.Equal(t, failure.ConfigOutdated, failed.Kind)
 			require.Positive(t, failed.RetryAfter)
 		}
@@ -90,13 +90,13 @@
 	s.now = s.proven.Add(time.Hour)
 	_, failed := s.ResolveTenant(callers.Hash("first"))
 	require.Nil(t, failed)
-	require.True(t, s.Open())
+	require.True(t, s.Ready())
 }
 
 func TestADaemonWithoutAConfigurationJudgesNothing(t *testing.T) {
-	gate := &Gate{Table: &routing.Store{}, VerifiedAt: func() time.Time { return time.Time{} }, Now: time.Now, Bound: Bound{MaxAge: maxAge, Strict: true}}
+	gate := &Gate{Table: &routing.Store{}, VerifiedAt: func() time.Time { return time.Time{} }, Now: time.Now, AgeLimit: AgeLimit{MaxAge: maxAge, Strict: true}}
 	_, failed := gate.ResolveTenant(callers.Hash("first"))
 	require.Equal(t, failure.Unavailable, failed.Kind)
-	require.Equal(t, failure.Unavailable, gate.Missing().Kind)
-	require.False(t, gate.Open())
+	require.Equal(t, failure.Unavailable, gate.MissingKey().Kind)
+	require.False(t, gate.Ready())
 }
--- a/adminapi/adminapi.go
+++ b/adminapi/adminapi.go
@@ -27,12 +27,12 @@
 
 // Paths of the operator interface.
 const (
-	PathStatus    = "/v1/status"
-	PathCurrent   = "/v1/settings/current"
-	PathRevisions = "/v1/settings/revisions/"
-	PathHistory   = "/v1/settings/history"
-	PathApply     = "/v1/settings/apply"
-	PathDrain     = "/v1/drain"
+	PathStatus            = "/v1/status"
+	PathSettingsCurrent   = "/v1/settings/current"
+	PathSettingsRevisions = "/v1/settings/revisions/"
+	PathSettingsHistory   = "/v1/settings/history"
+	PathSettingsApply     = "/v1/settings/apply"
+	PathDrain             = "/v1/drain"
 
 	PathExplainModel   = "/v1/explain/model/"
 	PathExplainRequest = "/v1/explain/request/"
--- a/command/explain.go
+++ b/command/explain.go
@@ -48,7 +48,7 @@
 func (c *explainRequestCommand) Execute([]string) error {
 	ctx, stop := interruptible()
 	defer stop()
-	var ended gateway.Ended
+	var ended gateway.RequestSummary
 	if err := c.client().Get(ctx, adminapi.PathExplainRequest+url.PathEscape(c.Argument.ID), &ended); err != nil {
 		return err
 	}
--- a/command/explain_day.go
+++ b/command/explain_day.go
@@ -39,7 +39,7 @@
 	if err := page.Close(); err != nil {
 		return errors.Wrap(err, "write the page")
 	}
-	_, _ = fmt.Printf("%s: %d lines, %d of them not understood\n", c.Output, day.Lines, day.Unreadable)
+	_, _ = fmt.Printf("%s: %d lines, %d of them not understood\n", c.Output, day.Lines, day.Malformed)
 	return nil
 }
 
--- a/command/explain_logs.go
+++ b/command/explain_logs.go
@@ -28,19 +28,19 @@
 		return err
 	}
 	if c.Argument.ID == "" {
-		counted := logstory.Count(lines)
+		counted := logstory.CountCauses(lines)
 		return c.Write(counted, func(writer io.Writer) error {
 			writeCoverage(writer, counted)
 			return nil
 		})
 	}
-	story := logstory.Story(lines, c.Argument.ID)
+	story := logstory.Timeline(lines, c.Argument.ID)
 	if len(story) == 0 {
 		return failure.New(failure.InvalidRequest, "give the logs of all daemons, of the time of the request", "no log line names request %q", c.Argument.ID)
 	}
 	return c.Write(story, func(writer io.Writer) error {
 		for _, line := range story {
-			line.Tell(writer, story[0].Time)
+			line.Print(writer, story[0].Time)
 		}
 		return nil
 	})
@@ -63,7 +63,7 @@
 	return logstory.Read(file)
 }
 
-func writeCoverage(writer io.Writer, counted logstory.Coverage) {
+func writeCoverage(writer io.Writer, counted logstory.CauseCoverage) {
 	share := 100.0
 	if counted.Failed > 0 {
 		share = 100 * float64(counted.WithCause) / float64(counted.Failed)
@@ -73,7 +73,7 @@
 	for outcome, count := range counted.ByOutcome {
 		_, _ = fmt.Fprintf(writer, "  %-20s %d\n", outcome, count)
 	}
-	for _, id := range counted.Without {
+	for _, id := range counted.WithoutCause {
 		_, _ = fmt.Fprintf(writer, "  no cause: %s\n", id)
 	}
 }
--- a/command/explain_losses.go
+++ b/command/explain_losses.go
@@ -44,29 +44,29 @@
 		}
 		if route.Pauses.Requests > 0 {
 			_, _ = fmt.Fprintf(writer, "          beside those late by a pause ran on the same replica, on the mean: %.1f requests of %.1f models; %.0f prompt tokens came beside them\n",
-				route.Pauses.Beside, route.Pauses.Models, route.Pauses.PromptTokens)
+				route.Pauses.ConcurrentRequests, route.Pauses.Models, route.Pauses.PromptTokens)
 		}
 	}
 	for _, tenant := range losses.Tenants {
-		_, _ = fmt.Fprintf(writer, "tenant %s: %d ended, %d answered, %d refused at its limit", tenant.Name, tenant.Ended, tenant.Answered, tenant.AtLimit)
+		_, _ = fmt.Fprintf(writer, "tenant %s: %d ended, %d answered, %d refused at its limit", tenant.Name, tenant.Ended, tenant.Answered, tenant.RateLimited)
 		for _, cause := range tenant.Causes {
 			_, _ = fmt.Fprintf(writer, ", %d %s", cause.Requests, cause.Name)
 		}
 		_, _ = fmt.Fprintln(writer)
 	}
-	writeCrowding(writer, losses.Crowding)
+	writeCrowding(writer, losses.Concentration)
 	_, _ = fmt.Fprintf(writer, "from           ended  in time  late  not answered  most for\n")
 	for _, window := range losses.Windows {
-		_, _ = fmt.Fprintf(writer, "%9.1f s  %8d %8d %5d %13d  %s\n", window.From, window.Ended, window.InTime, window.Late, window.Ended-window.InTime-window.Late, window.MostFor)
+		_, _ = fmt.Fprintf(writer, "%9.1f s  %8d %8d %5d %13d  %s\n", window.From, window.Ended, window.InTime, window.Late, window.Ended-window.InTime-window.Late, window.TopCause)
 	}
 }
 
-func writeCrowding(writer io.Writer, crowding logstory.Crowding) {
+func writeCrowding(writer io.Writer, crowding logstory.Concentration) {
 	if crowding.Late == 0 {
 		return
 	}
 	_, _ = fmt.Fprintf(writer, "made late by the replica: %d; %.0f in 100 of them on %d of %d replicas; by model:\n",
-		crowding.Late, 100*crowding.OnFew, crowding.FewCount, crowding.Replicas)
+		crowding.Late, 100*crowding.TopShare, crowding.TopReplicas, crowding.Replicas)
 	for _, load := range crowding.ByModel {
 		_, _ = fmt.Fprintf(writer, "  %6d of %d answers of %s, by %d replicas\n", load.Late, load.Answered, load.Model, load.Replicas)
 	}
--- a/command/node.go
+++ b/command/node.go
@@ -28,12 +28,12 @@
 	if err != nil {
 		return err
 	}
-	config.MetricsOn(c.MetricsPort)
-	config.BoundMemory()
+	config.EnableMetrics(c.MetricsPort)
+	config.ApplyMemoryLimit()
 	if c.KnownByAll > 0 {
 		config.KnownByAll = c.KnownByAll
 	}
-	lines := logging.NewBounded(os.Stdout)
+	lines := logging.NewBoundedWriter(os.Stdout)
 	writing, stopWriting := context.WithCancel(context.Background())
 	go func() { _ = lines.Serve(writing) }()
 	defer func() {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	started.CountDropped(lines.Dropped)
+	started.CountDroppedLines(lines.Dropped)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	reloads := make(chan os.Signal, 1)
--- a/command/settings_apply.go
+++ b/command/settings_apply.go
@@ -18,7 +18,7 @@
 // inForce returns the revision in force at the daemon, with its tree.
 func inForce(ctx context.Context, client adminapi.Client) (adminapi.Revision, *settings.Tree, error) {
 	var current adminapi.Revision
-	if err := client.Get(ctx, adminapi.PathCurrent, &current); err != nil {
+	if err := client.Get(ctx, adminapi.PathSettingsCurrent, &current); err != nil {
 		return current, nil, err
 	}
 	tree, err := settings.Parse(settings.Source{Name: fmt.Sprintf("settings@%d", current.Number), Data: []byte(current.YAML)})
@@ -97,7 +97,7 @@
 		_, _ = fmt.Fprintf(os.Stderr, "operation id %s\n", c.OperationID)
 	}
 	var accepted adminapi.Revision
-	err = c.client().Post(ctx, adminapi.PathApply, adminapi.Application{
+	err = c.client().Post(ctx, adminapi.PathSettingsApply, adminapi.Application{
 		BaseRevision: c.BaseRevision, OperationID: c.OperationID, Author: c.Author, YAML: string(text)}, &accepted)
 	if err != nil {
 		return err
@@ -162,7 +162,7 @@
 	ctx, stop := interruptible()
 	defer stop()
 	var revisions []adminapi.Revision
-	if err := c.client().Get(ctx, adminapi.PathHistory, &revisions); err != nil {
+	if err := c.client().Get(ctx, adminapi.PathSettingsHistory, &revisions); err != nil {
 		return err
 	}
 	return c.Write(revisions, func(writer io.Writer) error {
--- a/command/status.go
+++ b/command/status.go
@@ -49,7 +49,7 @@
 	for _, planned := range status.Placement.Engines {
 		for _, assignment := range planned.Assignments {
 			_, _ = fmt.Fprintf(writer, "  %-28s %-6s %s@%s on accelerators %v, adapters %v\n",
-				planned.EngineID, assignment.Wish, assignment.Model, assignment.Version, assignment.Accelerators, assignment.Adapters)
+				planned.EngineID, assignment.DesiredState, assignment.Model, assignment.Version, assignment.Accelerators, assignment.Adapters)
 		}
 	}
 }
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -61,10 +61,10 @@
 	mux.HandleFunc("GET /readyz", a.readyz)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(a.daemon.metrics, promhttp.HandlerOpts{}))
 	mux.HandleFunc("GET "+adminapi.PathStatus, a.guarded(a.status))
-	mux.HandleFunc("GET "+adminapi.PathCurrent, a.guarded(a.current))
-	mux.HandleFunc("GET "+adminapi.PathRevisions+"{number}", a.guarded(a.revision))
-	mux.HandleFunc("GET "+adminapi.PathHistory, a.guarded(a.history))
-	mux.HandleFunc("POST "+adminapi.PathApply, a.guarded(a.apply))
+	mux.HandleFunc("GET "+adminapi.PathSettingsCurrent, a.guarded(a.current))
+	mux.HandleFunc("GET "+adminapi.PathSettingsRevisions+"{number}", a.guarded(a.revision))
+	mux.HandleFunc("GET "+adminapi.PathSettingsHistory, a.guarded(a.history))
+	mux.HandleFunc("POST "+adminapi.PathSettingsApply, a.guarded(a.apply))
 	mux.HandleFunc("POST "+adminapi.PathDrain, a.guarded(a.drain))
 	mux.HandleFunc("GET "+adminapi.PathExplainModel+"{name}", a.guarded(a.explainModel))
 	mux.HandleFunc("GET "+adminapi.PathExplainRequest+"{id}", a.guarded(a.explainRequest))
@@ -143,7 +143,7 @@
 	}
 	sort.Slice(status.Queues, func(i, j int) bool { return status.Queues[i].Model < status.Queues[j].Model })
 	for _, member := range d.members.View().Members {
-		heard := d.members.HeardRevision(member.ID)
+		heard := d.members.MemberRevision(member.ID)
 		if member.ID == self.ID {
 			heard = d.settings.Number()
 		}
@@ -151,7 +151,7 @@
 			ID: member.ID, Region: member.Region, Zone: member.Zone, Status: member.Status.String(),
 			RPCAddress: member.RPCAddress, SettingsRevision: heard})
 	}
-	if shown, leads := d.placer.Picture(); leads {
+	if shown, leads := d.placer.PlacementStatus(); leads {
 		status.Placement = &adminapi.Placement{Region: self.Region, Epoch: shown.Epoch, Plan: shown.Plan.Fence.Revision}
 		for _, planned := range shown.Plan.Engines {
 			status.Placement.Engines = append(status.Placement.Engines, planned)
@@ -245,7 +245,7 @@
 		return adminapi.Explanation{Lines: []string{"no daemon runs in a region that serves " + model.Name}}, nil
 	}
 	placer, _ := view.Placer(home.Region)
-	answer, err := rpc.NewDRPCExplainClient(d.pool.To(httpRequest.Context(), placer.RPCAddress)).
+	answer, err := rpc.NewDRPCExplainClient(d.pool.Conn(httpRequest.Context(), placer.RPCAddress)).
 		Model(httpRequest.Context(), &rpc.ExplainModel{Target: name})
 	if err != nil {
 		return nil, failure.Wrap(err, failure.Unavailable, "try again shortly", "the placer of %s, %s, did not answer", home.Region, placer.ID)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -196,9 +196,9 @@
 	d.members = membership.NewService(d.membershipConfig(), d.self(), d.config.Peers, d.gossipKeys(), d.sockets.gossip, d.log)
 	d.home = home.NewServer(d.config.ID, d.settings, d.members.View, d.log)
 	d.homes = home.NewClient(d.config.ID, d.config.Zone, d.members.View, d.home, d.log)
-	d.members.Listen(d.home.MembersChanged)
-	d.members.Listen(d.homes.MembersChanged)
-	d.settings.Listen(func(*settings.Revision) { d.home.SettingsChanged() })
+	d.members.Subscribe(d.home.MembersChanged)
+	d.members.Subscribe(d.homes.MembersChanged)
+	d.settings.Subscribe(func(*settings.Revision) { d.home.SettingsChanged() })
 	d.pool = transport.NewPool()
 	d.placer = placer.New(placer.Dependencies{
 		Region: d.config.Region, SelfID: d.config.ID, View: d.members.View, Settings: d.settings,
@@ -217,7 +217,7 @@
 	d.register(server, spread, group.NewService(d.claims, manager))
 	d.supervisor = suture.New("finchspoke", suture.Spec{EventHook: d.logEvent})
 	for _, service := range []suture.Service{
-		d.members, server, spread, d.home, home.NewReporter(d.home, d.config.Region), d.placer, manager, d.gateway,
+		d.members, server, spread, d.home, home.NewDemandReporter(d.home, d.config.Region), d.placer, manager, d.gateway,
 		&adminServer{daemon: d, listener: d.sockets.admin},
 	} {
 		d.supervisor.Add(service)
--- a/daemon/spread.go
+++ b/daemon/spread.go
@@ -35,14 +35,14 @@
 
 func newSpreader(store *settings.Store, registry *settings.Registry, members *membership.Service, log logrus.FieldLogger) *spreader {
 	created := &spreader{store: store, registry: registry, members: members, log: log, heard: make(chan string, 1)}
-	store.Listen(func(revision *settings.Revision) {
+	store.Subscribe(func(revision *settings.Revision) {
 		log.WithFields(logrus.Fields{"revision": revision.Number, "author": revision.Author}).Info("settings in force")
 		members.Announce(revision.Number)
 		// Reading a tree of thousands of models takes several times its memory;
 		// revisions are rare enough to give that back at once.
 		debug.FreeOSMemory()
 	})
-	members.OnRevisionHeard(func(memberID string, _ uint64) {
+	members.SetRevisionHandler(func(memberID string, _ uint64) {
 		select {
 		case created.heard <- memberID:
 		default: // one fetch at a time; gossip will tell again
--- a/election/election.go
+++ b/election/election.go
@@ -165,7 +165,7 @@
 	leader = e.applyRecord(leader, event)
 	e.mutex.Unlock()
 	e.log.WithFields(logrus.Fields{logging.Leader: leader.Daemon, logging.Fence: leader.Fence, logging.HandedOver: leader.Handover != nil}).
-		Info(logging.MessageHolderChanged)
+		Info(logging.MessageLeaderChanged)
 	e.signal()
 	for _, listener := range e.listeners {
 		listener(leader)
@@ -454,7 +454,7 @@
 	e.vacancy, e.reclaimable, e.offer = nil, nil, Leader{}
 	e.mutex.Unlock()
 	e.log.WithFields(logrus.Fields{logging.Leader: e.Daemon, logging.Fence: term.Fence, logging.Reclaimed: from.reclaimed, logging.HandedOver: from.inherited != nil}).
-		Info(logging.MessageTermBegins)
+		Info(logging.MessageTermStarted)
 	for _, listener := range e.listeners {
 		listener(term)
 	}
--- a/engine/client.go
+++ b/engine/client.go
@@ -59,14 +59,14 @@
 
 // Order sends an order. An error means that it is unknown whether the engine
 // acted; the inventory tells.
-func (c *Client) Order(ctx context.Context, address string, order Order) (OrderAnswer, error) {
+func (c *Client) Order(ctx context.Context, address string, order Order) (OrderResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	body, err := json.Marshal(order)
 	if err != nil {
-		return OrderAnswer{}, errors.Wrap(err, "encode order")
+		return OrderResponse{}, errors.Wrap(err, "encode order")
 	}
-	var answer OrderAnswer
+	var answer OrderResponse
 	err = c.controlCall(ctx, http.MethodPost, "http://"+address+PathOrders, body, &answer)
 	return answer, err
 }
@@ -146,8 +146,8 @@
 // DispatchError is a dispatch that brought no answer.
 type DispatchError struct {
 	// Written is false only if certainly nothing of the request was sent.
-	Written bool
-	cause   error
+	RequestWritten bool
+	cause          error
 }
 
 // Error implements error.
@@ -176,7 +176,7 @@
 	httpRequest.Header.Set(HeaderPriority, strconv.Itoa(dispatch.Priority))
 	response, err := c.data.Do(httpRequest)
 	if err != nil {
-		return nil, &DispatchError{Written: connected, cause: err}
+		return nil, &DispatchError{RequestWritten: connected, cause: err}
 	}
 	return response, nil
 }
--- a/engine/wire.go
+++ b/engine/wire.go
@@ -3,7 +3,7 @@
 //
 // Requests use the OpenAI-compatible paths. The rest is:
 //
-//	POST   /engine/orders               an Order; answered by an OrderAnswer
+//	POST   /engine/orders               an Order; answered by an OrderResponse
 //	GET    /engine/inventory?after=N&wait=10s
 //	                                    an Inventory once its version is above N
 //	GET    /engine/load                 a LoadReport, which lags
@@ -72,7 +72,7 @@
 	UnloadAdapter Operation = "unload_adapter"
 	SetRole       Operation = "set_role"
 	// Seal only raises the fence, so that orders of earlier placers are refused.
-	Seal Operation = "seal"
+	RaiseFence Operation = "seal"
 )
 
 // Order asks an engine to change. Orders are idempotent by their content.
@@ -89,8 +89,8 @@
 	Role         string    `json:"role,omitempty"` // prefill, decode or both
 }
 
-// OrderAnswer answers an order. A refused order changed nothing.
-type OrderAnswer struct {
+// OrderResponse answers an order. A refused order changed nothing.
+type OrderResponse struct {
 	Accepted bool   `json:"accepted"`
 	Reason   string `json:"reason,omitempty"`
 	Fence    Fence  `json:"fence"` // the highest seen
@@ -115,7 +115,7 @@
 	Accelerators []int        `json:"accelerators"`
 	MemoryBytes  int64        `json:"memory_bytes"` // on each accelerator
 	Adapters     []string     `json:"adapters,omitempty"`
-	LoadingFor   int64        `json:"loading_for_ms,omitempty"`
+	LoadingForMs int64        `json:"loading_for_ms,omitempty"`
 }
 
 // CacheTier is where an engine holds a checkpoint without having it loaded.
--- a/frontend/backlog_test.go
+++ b/frontend/backlog_test.go
@@ -47,7 +47,7 @@
 		served.Store(true)
 		_, _ = fmt.Fprint(writer, "whole")
 	}), quiet())
-	front.TurnAway = 0
+	front.ShutdownDelay = 0
 	go func() { _ = front.Serve(t.Context()) }()
 	return front, served
 }
@@ -179,7 +179,7 @@
 		<-release
 		_, _ = fmt.Fprint(writer, "whole")
 	}), quiet())
-	front.TurnAway = 100 * time.Millisecond
+	front.ShutdownDelay = 100 * time.Millisecond
 	go func() { _ = front.Serve(t.Context()) }()
 	conn := dialTo(t, listener)
 	ask(t, conn)
@@ -187,7 +187,7 @@
 	drained := make(chan error, 1)
 	go func() { drained <- front.Drain(t.Context()) }()
 	require.Eventually(t, front.Stopping, time.Second, time.Millisecond)
-	time.Sleep(front.TurnAway / 4)
+	time.Sleep(front.ShutdownDelay / 4)
 	close(release) // the connection rests from now on
 	require.NoError(t, <-drained)
 	require.False(t, askLate(conn, served), "passed on at the very end of the stop")
--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -39,12 +39,12 @@
 	MaxHeaderBytes    int
 	// MaxConnections bounds the connections that are open at a time; zero: no bound.
 	MaxConnections int
-	// IdleTime returns how long a connection may rest, as callers are told; zero: any time.
-	IdleTime func() time.Duration
-	// TurnAway is how long a stopping daemon goes on to take new connections, for whoever
+	// IdleTimeout returns how long a connection may rest, as callers are told; zero: any time.
+	IdleTimeout func() time.Duration
+	// ShutdownDelay is how long a stopping daemon goes on to take new connections, for whoever
 	// spreads them to notice that it is not ready.
-	TurnAway time.Duration
-	Log      logrus.FieldLogger
+	ShutdownDelay time.Duration
+	Log           logrus.FieldLogger
 }
 
 // Server serves callers. It is a suture service.
@@ -100,10 +100,10 @@
 		s.closeResting(0, now) // answers begun before the stop did not say so
 		return
 	}
-	if s.IdleTime == nil {
+	if s.IdleTimeout == nil {
 		return
 	}
-	if most := s.IdleTime(); most > 0 {
+	if most := s.IdleTimeout(); most > 0 {
 		s.closeResting(time.Duration(idleSlack*float64(most)), now)
 	}
 }
@@ -168,7 +168,7 @@
 	s.leaving.Store(true) // answers say from now on that the connection closes
 	s.logPhase(phaseNotReady)
 	s.closeResting(0, time.Now())
-	sleep.For(ctx, s.TurnAway)
+	sleep.For(ctx, s.ShutdownDelay)
 	awaitAccepted(ctx, s.listener.waiting)
 	if err := s.listener.Close(); err != nil {
 		return errors.Wrap(err, "close the callers' listener")
@@ -192,7 +192,7 @@
 // logPhase records what is left as a phase of the stop begins.
 func (s *Server) logPhase(phase string) {
 	connections, requests := s.open()
-	s.Log.WithFields(logrus.Fields{logging.Phase: phase, logging.Connections: connections, logging.Requests: requests}).Info(logging.MessageStopPhase)
+	s.Log.WithFields(logrus.Fields{logging.Phase: phase, logging.Connections: connections, logging.Requests: requests}).Info(logging.MessageShutdownPhase)
 }
 
 // open counts the callers' connections, and those that hold a request without a whole answer.
--- a/frontend/frontend_test.go
+++ b/frontend/frontend_test.go
@@ -120,7 +120,7 @@
 		<-release
 		_, _ = fmt.Fprint(writer, "whole")
 	}), quiet())
-	front.TurnAway = 10 * time.Millisecond
+	front.ShutdownDelay = 10 * time.Millisecond
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go func() { _ = front.Serve(ctx) }()
--- a/gateway/ended.go
+++ b/gateway/ended.go
@@ -11,7 +11,7 @@
 const endedKept = 2000
 
 // Ended is how a request ended, for explanations.
-type Ended struct {
+type RequestSummary struct {
 	RequestID   string            `json:"request_id"`
 	Branch      string            `json:"branch,omitempty"`
 	Model       string            `json:"model,omitempty"`
@@ -31,11 +31,11 @@
 // endedRing remembers the requests that ended last.
 type endedRing struct {
 	mutex sync.Mutex
-	ring  [endedKept]Ended
+	ring  [endedKept]RequestSummary
 	next  int
 }
 
-func (e *endedRing) add(one Ended) {
+func (e *endedRing) add(one RequestSummary) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.ring[e.next] = one
@@ -43,7 +43,7 @@
 }
 
 // EndedRequest returns how a request ended here, if it is remembered.
-func (s *Server) EndedRequest(requestID string) (Ended, bool) {
+func (s *Server) EndedRequest(requestID string) (RequestSummary, bool) {
 	s.lastEnded.mutex.Lock()
 	defer s.lastEnded.mutex.Unlock()
 	for _, one := range s.lastEnded.ring {
@@ -51,5 +51,5 @@
 			return one, true
 		}
 	}
-	return Ended{}, false
+	return RequestSummary{}, false
 }
--- a/gateway/keyed.go
+++ b/gateway/keyed.go
@@ -58,10 +58,10 @@
 	until := time.Now().Add(maxLookTime)
 	for {
 		claim, standing, err := s.Ledger.Claim(ctx, incoming.keyAsk(), group.Record{
-			RequestID:   incoming.id,
-			Fingerprint: group.Fingerprint([]byte(incoming.path), incoming.body),
-			ClaimedAt:   time.Now(),
-			SettledBy:   incoming.deadline.Add(keyedGrace + settleMargin),
+			RequestID:      incoming.id,
+			Fingerprint:    group.Fingerprint([]byte(incoming.path), incoming.body),
+			ClaimedAt:      time.Now(),
+			SettleDeadline: incoming.deadline.Add(keyedGrace + settleMargin),
 		})
 		if err != nil {
 			return nil, failure.As(err)
@@ -80,8 +80,8 @@
 
 // keyAsk names the call's key. The group is of the first region that serves the
 // model, so that a repeat finds it whichever daemon it comes to.
-func (c *call) keyAsk() group.Ask {
-	return group.Ask{Region: c.model.ServiceRegions[0], Branch: c.branch.Path, Key: c.idempotencyKey}
+func (c *call) keyAsk() group.KeyRef {
+	return group.KeyRef{Region: c.model.ServiceRegions[0], Branch: c.branch.Path, Key: c.idempotencyKey}
 }
 
 // endedCall is the end of a keyed call that its caller waited for.
@@ -102,7 +102,7 @@
 		case execution == failure.NotRun:
 			return s.Ledger.Release(ctx, claim)
 		}
-		return s.Ledger.Unsettle(ctx, claim)
+		return s.Ledger.MarkIndeterminate(ctx, claim)
 	})
 	return failed
 }
@@ -138,11 +138,11 @@
 		}
 		standing = looked
 	}
-	if standing.State == group.Unsettled {
+	if standing.State == group.Indeterminate {
 		return true, failure.New(failure.OutcomeUnknown, "find out by other means whether it took effect before using a new key",
 			"the first request with this key may have run; its outcome was lost").WithExecution(failure.Unknown)
 	}
-	outcome, err := standing.Plain()
+	outcome, err := standing.DecodeOutcome()
 	if err != nil || outcome.Dropped {
 		return true, failure.New(failure.KeyInUse, "none: it ran once; its answer cannot be given again",
 			"the request completed and its answer was too long to keep").WithExecution(failure.Completed)
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -31,7 +31,7 @@
 func (s *Server) run(ctx context.Context, incoming *call, out *sink) (*failure.Error, failure.Execution) {
 	life := &core.Lifecycle{Repeatable: incoming.repeatable, Deadline: incoming.deadline}
 	for {
-		slot, err := s.homes.Acquire(ctx, home.Ask{
+		slot, err := s.homes.Acquire(ctx, home.SlotRequest{
 			RequestID: incoming.id, Model: incoming.model.Name, Regions: incoming.model.ServiceRegions, Target: incoming.target.Name,
 			Branch: incoming.branch.Path, Class: incoming.class, Tokens: incoming.tokens, Prefix: incoming.prefix, Arrived: incoming.arrived, Deadline: incoming.deadline,
 		})
@@ -114,7 +114,7 @@
 	if err != nil {
 		var failed *engine.DispatchError
 		outcome := dispatchOutcome{result: core.Lost, cause: err}
-		if errors.As(err, &failed) && !failed.Written {
+		if errors.As(err, &failed) && !failed.RequestWritten {
 			outcome.result = core.NotWritten
 		}
 		s.abandon(ctx, incoming, slot, outcome.result)
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -74,7 +74,7 @@
 	mux.HandleFunc("/", server.serveUnknown)
 	server.frontend = frontend.New(listener, mux, frontend.Options{
 		ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, MaxConnections: dependencies.MaxConnections,
-		IdleTime: func() time.Duration { return idleTimeout }, Log: dependencies.Log,
+		IdleTimeout: func() time.Duration { return idleTimeout }, Log: dependencies.Log,
 	})
 	return server
 }
@@ -113,7 +113,7 @@
 	writeError(writer, failed, requestID)
 	s.metrics.requests.WithLabelValues("none", string(failed.Kind)).Inc()
 	s.Log.WithFields(logrus.Fields{"request_id": requestID, "outcome": failed.Kind}).Info("request refused")
-	s.lastEnded.add(Ended{RequestID: requestID, Outcome: string(failed.Kind), Message: failed.Message, Remedy: failed.Remedy,
+	s.lastEnded.add(RequestSummary{RequestID: requestID, Outcome: string(failed.Kind), Message: failed.Message, Remedy: failed.Remedy,
 		Execution: failed.Execution, EndedAt: time.Now().UTC()})
 }
 
@@ -135,7 +135,7 @@
 		entry = entry.WithField("cause", failed.Unwrap().Error())
 	}
 	entry.Info("request ended")
-	ended := Ended{
+	ended := RequestSummary{
 		RequestID: incoming.id, Branch: incoming.branch.Path, Model: incoming.target.Name, Class: incoming.class.String(), Outcome: outcome,
 		Execution: execution, Home: incoming.log.home, Engine: incoming.log.engine, WaitedMs: incoming.log.waited.Milliseconds(),
 		FirstByteMs: incoming.log.firstByte.Milliseconds(), DurationMs: time.Since(incoming.arrived).Milliseconds(), EndedAt: time.Now().UTC(),
--- a/group/directory.go
+++ b/group/directory.go
@@ -24,8 +24,8 @@
 	return directory{members: members, pool: pool, mutex: &sync.Mutex{}, views: map[SlotKey]View{}}
 }
 
-func (d *directory) client(ctx context.Context, member GroupMember) rpc.DRPCGroupsClient {
-	return rpc.NewDRPCGroupsClient(d.pool.To(ctx, member.RPCAddress))
+func (d *directory) client(ctx context.Context, member ViewMember) rpc.DRPCGroupsClient {
+	return rpc.NewDRPCGroupsClient(d.pool.Conn(ctx, member.RPCAddress))
 }
 
 func (d *directory) cached(slot SlotKey) (View, bool) {
@@ -49,7 +49,7 @@
 	ranked := candidates(d.members(), slot)
 	best := View{}
 	for _, candidate := range ranked[:min(viewAskers, len(ranked))] {
-		client := rpc.NewDRPCGroupsClient(d.pool.To(ctx, candidate.RPCAddress))
+		client := rpc.NewDRPCGroupsClient(d.pool.Conn(ctx, candidate.RPCAddress))
 		answer, err := client.View(withTimeout(ctx), &rpc.ViewRequest{Region: slot.Region, Slot: slot.Slot})
 		if err != nil {
 			continue
--- a/group/group_test.go
+++ b/group/group_test.go
@@ -64,21 +64,21 @@
 	return m
 }
 
-func (m *groupMachine) group(ids ...string) []GroupMember {
-	var members []GroupMember
+func (m *groupMachine) group(ids ...string) []ViewMember {
+	var members []ViewMember
 	for _, id := range ids {
-		members = append(members, GroupMember{ID: id, Process: m.process[id]})
+		members = append(members, ViewMember{ID: id, Process: m.process[id]})
 	}
 	return members
 }
 
 // reach returns the member if the process that is meant still runs.
-func (m *groupMachine) reach(member GroupMember) *Member { return m.members[member.ID] }
+func (m *groupMachine) reach(member ViewMember) *Member { return m.members[member.ID] }
 
 func (m *groupMachine) propose(t *rapid.T) {
 	m.requests++
 	key := rapid.SampledFrom([]string{"k1", "k2"}).Draw(t, "key")
-	record := Record{Key: key, RequestID: fmt.Sprintf("request-%d", m.requests), ClaimedAt: m.now, SettledBy: m.now.Add(time.Minute)}
+	record := Record{Key: key, RequestID: fmt.Sprintf("request-%d", m.requests), ClaimedAt: m.now, SettleDeadline: m.now.Add(time.Minute)}
 	m.proposals = append(m.proposals, &proposal{view: m.standing, record: record, asked: map[string]bool{}, counts: &tally{view: m.standing}})
 }
 
@@ -147,7 +147,7 @@
 func (m *groupMachine) settle(t *rapid.T) {
 	one := m.pickProposal(t, func(p *proposal) bool { return p.ran })
 	record := one.record
-	record.State = rapid.SampledFrom([]ClaimState{Unsettled, Completed}).Draw(t, "state")
+	record.State = rapid.SampledFrom([]ClaimState{Indeterminate, Completed}).Draw(t, "state")
 	for _, member := range m.standing.Members {
 		if rapid.Bool().Draw(t, "hears") {
 			m.reach(member).Settle(m.now, m.standing, record)
@@ -259,19 +259,19 @@
 	completed.State = Completed
 	rival := Record{Key: "k", RequestID: "two"}
 	require.Equal(t, []Record{completed}, merge([][]Record{{claimed}, {completed}}))
-	require.Equal(t, Unsettled, merge([][]Record{{claimed}, {rival}})[0].State)
+	require.Equal(t, Indeterminate, merge([][]Record{{claimed}, {rival}})[0].State)
 	require.Equal(t, []Record{claimed}, merge([][]Record{{claimed}, {claimed}, {}}))
 }
 
 func TestClaimTurnsUnsettledAndExpires(t *testing.T) {
 	m := newGroupMachine()
 	member := m.members["a"]
-	record := Record{Key: "k", RequestID: "one", ClaimedAt: m.now, SettledBy: m.now.Add(time.Minute)}
+	record := Record{Key: "k", RequestID: "one", ClaimedAt: m.now, SettleDeadline: m.now.Add(time.Minute)}
 	verdict, _ := member.Claim(m.now, m.standing, record)
 	require.Equal(t, Accepted, verdict)
 	_, standing := member.Look(m.now.Add(2*time.Minute), m.standing, "k")
-	require.Equal(t, Unsettled, standing.State)
-	verdict, _ = member.Look(m.now.Add(2*time.Minute+Kept), m.standing, "k")
+	require.Equal(t, Indeterminate, standing.State)
+	verdict, _ = member.Look(m.now.Add(2*time.Minute+ClaimRetention), m.standing, "k")
 	require.Equal(t, Accepted, verdict, "forgotten after Kept")
 }
 
@@ -281,7 +281,7 @@
 	const body = 200 << 10
 	for number := range 100 {
 		record := Record{Key: fmt.Sprint(number), RequestID: fmt.Sprint(number), State: Completed, ClaimedAt: m.now.Add(time.Duration(number)),
-			SettledBy: m.now, Outcome: Outcome{Body: make([]byte, body)}}
+			SettleDeadline: m.now, Outcome: Outcome{Body: make([]byte, body)}}
 		require.True(t, member.Settle(m.now, m.standing, record))
 		require.LessOrEqual(t, member.bytes, memoryLimit+body)
 	}
--- a/group/ledger.go
+++ b/group/ledger.go
@@ -41,19 +41,19 @@
 }
 
 // Ask names a key: the branch that uses it and the region whose groups hold it.
-type Ask struct {
+type KeyRef struct {
 	Region string
 	Branch string
 	Key    string
 }
 
-func (a Ask) hashed() string { return HashKey(a.Branch, a.Key) }
+func (a KeyRef) hashed() string { return HashKey(a.Branch, a.Key) }
 
-func (a Ask) slot() SlotKey { return SlotOf(a.Region, a.hashed()) }
+func (a KeyRef) slot() SlotKey { return SlotOf(a.Region, a.hashed()) }
 
 // Claim claims a key. It returns the claim; or the record that stands if the key
 // was claimed before; or a *failure.Error that is true about execution.
-func (l *Ledger) Claim(ctx context.Context, ask Ask, wanted Record) (*Claim, *Record, error) {
+func (l *Ledger) Claim(ctx context.Context, ask KeyRef, wanted Record) (*Claim, *Record, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTime)
 	defer cancel()
 	wanted.Key, wanted.State = ask.hashed(), Claimed
@@ -101,11 +101,11 @@
 func forgotten(view View, key string) *failure.Error {
 	made, timed := KeyTime(key)
 	now := time.Now()
-	if timed && now.Sub(made) > Kept+clockMargin {
+	if timed && now.Sub(made) > ClaimRetention+clockMargin {
 		return failure.New(failure.OutcomeUnknown, "find out by other means whether it took effect before using a new key",
 			"the idempotency key is older than claims are kept").WithExecution(failure.Unknown)
 	}
-	if view.LostAt.IsZero() || now.After(view.LostAt.Add(Kept)) || (timed && made.After(view.LostAt)) {
+	if view.LostAt.IsZero() || now.After(view.LostAt.Add(ClaimRetention)) || (timed && made.After(view.LostAt)) {
 		return nil
 	}
 	return failure.New(failure.OutcomeUnknown, "for a new request use a UUID version 7 as key; for an old one find out by other means",
@@ -150,14 +150,14 @@
 
 // each calls all members and returns how many agreed.
 func (l *Ledger) each(ctx context.Context, view View, call func(context.Context, rpc.DRPCGroupsClient) (*rpc.GroupAnswer, error)) int {
-	return agreeing(view.Members, func(member GroupMember) bool {
+	return agreeing(view.Members, func(member ViewMember) bool {
 		answer, err := call(withTimeout(ctx), l.client(ctx, member))
 		return err == nil && answer.GetOk()
 	})
 }
 
 // Look returns what stands for a key, or nil when nothing does.
-func (l *Ledger) Look(ctx context.Context, ask Ask) (*Record, error) {
+func (l *Ledger) Look(ctx context.Context, ask KeyRef) (*Record, error) {
 	view, err := l.view(ctx, ask.slot())
 	if err != nil {
 		return nil, err
@@ -168,7 +168,7 @@
 		err      error
 	}
 	counts := &tally{view: view}
-	for _, told := range fanOut(view.Members, func(member GroupMember) answer {
+	for _, told := range fanOut(view.Members, func(member ViewMember) answer {
 		message, err := l.client(ctx, member).Look(withTimeout(ctx), &rpc.LookRequest{View: view.wire(), Key: ask.hashed()})
 		return answer{Verdict(message.GetVerdict()), recordOf(message.GetStanding()), err}
 	}) {
@@ -186,7 +186,7 @@
 }
 
 // Plain returns a record's outcome as it was given.
-func (r Record) Plain() (Outcome, error) { return r.Outcome.plain() }
+func (r Record) DecodeOutcome() (Outcome, error) { return r.Outcome.plain() }
 
 // Complete stores a claim's outcome with a write quorum.
 func (l *Ledger) Complete(ctx context.Context, claim *Claim, outcome Outcome) error {
@@ -196,9 +196,9 @@
 }
 
 // Unsettle stores that a claim's request may have run and its outcome is lost.
-func (l *Ledger) Unsettle(ctx context.Context, claim *Claim) error {
+func (l *Ledger) MarkIndeterminate(ctx context.Context, claim *Claim) error {
 	record := claim.record
-	record.State = Unsettled
+	record.State = Indeterminate
 	return l.settle(ctx, claim.slot, record)
 }
 
--- a/group/manager.go
+++ b/group/manager.go
@@ -198,7 +198,7 @@
 		held  bool
 		gone  bool
 	}
-	answers := fanOut(old.Members, func(member GroupMember) sealed {
+	answers := fanOut(old.Members, func(member ViewMember) sealed {
 		result := sealed{gone: provenGone(m.members(), member)}
 		answer, err := m.client(ctx, member).Seal(withTimeout(ctx), &rpc.SealRequest{View: old.wire(), Process: member.Process})
 		if err != nil {
@@ -239,7 +239,7 @@
 	next.Writer = uuid.NewString()
 	next.Members = nextMembers(m.members(), old.Key(), old.Members)
 	message := state.wire()
-	count := agreeing(next.Members, func(member GroupMember) bool {
+	count := agreeing(next.Members, func(member ViewMember) bool {
 		answer, err := m.client(ctx, member).Install(withTimeout(ctx), &rpc.InstallRequest{View: next.wire(), State: message})
 		return err == nil && answer.GetOk()
 	})
@@ -268,14 +268,14 @@
 
 // open tells the members of the standing view to serve; it returns how many do.
 func (m *Manager) open(ctx context.Context, view View) int {
-	return agreeing(view.Members, func(member GroupMember) bool {
+	return agreeing(view.Members, func(member ViewMember) bool {
 		answer, err := m.client(ctx, member).Open(withTimeout(ctx), &rpc.OpenRequest{View: view.wire()})
 		return err == nil && answer.GetOk()
 	})
 }
 
-func (m *Manager) client(ctx context.Context, member GroupMember) rpc.DRPCGroupsClient {
-	return rpc.NewDRPCGroupsClient(m.pool.To(ctx, member.RPCAddress))
+func (m *Manager) client(ctx context.Context, member ViewMember) rpc.DRPCGroupsClient {
+	return rpc.NewDRPCGroupsClient(m.pool.Conn(ctx, member.RPCAddress))
 }
 
 // withTimeout bounds one call; the timer ends by itself soon after.
@@ -286,7 +286,7 @@
 }
 
 // fanOut calls all members side by side and returns their answers in order.
-func fanOut[T any](members []GroupMember, call func(GroupMember) T) []T {
+func fanOut[T any](members []ViewMember, call func(ViewMember) T) []T {
 	answers := make([]T, len(members))
 	var open sync.WaitGroup
 	for index, member := range members {
@@ -301,7 +301,7 @@
 }
 
 // agreeing calls all members side by side and counts those that agree.
-func agreeing(members []GroupMember, call func(GroupMember) bool) int {
+func agreeing(members []ViewMember, call func(ViewMember) bool) int {
 	count := 0
 	for _, agrees := range fanOut(members, call) {
 		if agrees {
--- a/group/plan.go
+++ b/group/plan.go
@@ -12,8 +12,8 @@
 // The verdicts.
 const (
 	PlanAccepted PlanVerdict = iota
-	// PlanOutbid: a higher ballot was promised, or this one to another proposer.
-	PlanOutbid
+	// PlanPreempted: a higher ballot was promised, or this one to another proposer.
+	PlanPreempted
 	// PlanGap: the member lacks the revision before; send the whole plan.
 	PlanGap
 	// PlanWrongView: the member is not in that view, or the view is sealed.
@@ -79,7 +79,7 @@
 		return PlanWrongView, PlanState{}
 	}
 	if !held.plan.promise(ballot, proposer) {
-		return PlanOutbid, held.plan.clone()
+		return PlanPreempted, held.plan.clone()
 	}
 	return PlanAccepted, held.plan.clone()
 }
@@ -102,7 +102,7 @@
 	}
 	plan := &held.plan
 	if !plan.promise(update.Ballot, update.Proposer) {
-		return PlanOutbid, plan.Promised
+		return PlanPreempted, plan.Promised
 	}
 	sameBallot := plan.Ballot == update.Ballot
 	switch {
--- a/group/plan_test.go
+++ b/group/plan_test.go
@@ -81,7 +81,7 @@
 	one.accepted, one.asked = 0, map[string]bool{}
 }
 
-func (m *planMachine) promise(t *rapid.T, one *planProposer, member GroupMember) {
+func (m *planMachine) promise(t *rapid.T, one *planProposer, member ViewMember) {
 	verdict, state := m.reach(member).Promise(one.view, one.ballot, one.name)
 	if verdict != PlanAccepted {
 		return
@@ -96,7 +96,7 @@
 	m.next(one)
 }
 
-func (m *planMachine) accept(t *rapid.T, one *planProposer, member GroupMember) {
+func (m *planMachine) accept(t *rapid.T, one *planProposer, member ViewMember) {
 	update := PlanUpdate{Ballot: one.ballot, Proposer: one.name, Revision: one.revision, Full: true,
 		Entries: map[string][]byte{"engine": []byte(one.name)}}
 	if verdict, _ := m.reach(member).Accept(one.view, update); verdict != PlanAccepted {
@@ -139,5 +139,5 @@
 	_, state := member.Promise(m.standing, 1, "p")
 	require.Equal(t, map[string][]byte{"e3": []byte("three")}, state.Entries)
 	verdict, _ = member.Accept(m.standing, PlanUpdate{Ballot: 1, Proposer: "q", Revision: 4})
-	require.Equal(t, PlanOutbid, verdict, "a ballot belongs to one proposer")
+	require.Equal(t, PlanPreempted, verdict, "a ballot belongs to one proposer")
 }
--- a/group/quorum.go
+++ b/group/quorum.go
@@ -87,7 +87,7 @@
 			case record.State == Completed:
 				merged[record.Key] = record
 			case known.RequestID != record.RequestID:
-				known.State = Unsettled
+				known.State = Indeterminate
 				merged[record.Key] = known
 			case record.State > known.State:
 				merged[record.Key] = record
--- a/group/record.go
+++ b/group/record.go
@@ -14,7 +14,7 @@
 const (
 	// Kept is how long a claim and its outcome are kept after the claim had to be
 	// settled.
-	Kept = time.Hour
+	ClaimRetention = time.Hour
 	// maxOutcomeBytes bounds a stored answer; of a longer one only the fact that
 	// it completed is kept.
 	maxOutcomeBytes = 256 << 10
@@ -27,7 +27,7 @@
 const (
 	Claimed ClaimState = iota
 	// Unsettled means that the request may have run and its outcome is not known.
-	Unsettled
+	Indeterminate
 	Completed
 )
 
@@ -47,22 +47,22 @@
 	RequestID   string // unique to the claim
 	Fingerprint string // of what was asked
 	ClaimedAt   time.Time
-	// SettledBy is when the outcome is stored at the latest; a claim without one
+	// SettleDeadline is when the outcome is stored at the latest; a claim without one
 	// after that is unsettled.
-	SettledBy time.Time
-	Outcome   Outcome
+	SettleDeadline time.Time
+	Outcome        Outcome
 }
 
 // settled returns the record as it stands at a time.
 func (r Record) settled(now time.Time) Record {
-	if r.State == Claimed && now.After(r.SettledBy) {
-		r.State = Unsettled
+	if r.State == Claimed && now.After(r.SettleDeadline) {
+		r.State = Indeterminate
 	}
 	return r
 }
 
 // expired tells whether the record need not be kept any more.
-func (r Record) expired(now time.Time) bool { return now.Sub(r.SettledBy) > Kept }
+func (r Record) expired(now time.Time) bool { return now.Sub(r.SettleDeadline) > ClaimRetention }
 
 // Fingerprint identifies what a request asks, so that a key cannot be used for
 // something else.
@@ -95,7 +95,7 @@
 func (r Record) wire() *rpc.ClaimRecord {
 	message := &rpc.ClaimRecord{
 		Key: r.Key, State: uint32(r.State), RequestId: r.RequestID, Fingerprint: r.Fingerprint,
-		ClaimedUnixMs: r.ClaimedAt.UnixMilli(), SettledByUnixMs: r.SettledBy.UnixMilli(),
+		ClaimedUnixMs: r.ClaimedAt.UnixMilli(), SettledByUnixMs: r.SettleDeadline.UnixMilli(),
 	}
 	if r.State == Completed {
 		message.Status, message.ContentType, message.BodyDropped = int32(r.Outcome.Status), r.Outcome.ContentType, r.Outcome.Dropped
@@ -110,7 +110,7 @@
 func recordOf(message *rpc.ClaimRecord) Record {
 	return Record{
 		Key: message.GetKey(), State: ClaimState(message.GetState()), RequestID: message.GetRequestId(), Fingerprint: message.GetFingerprint(),
-		ClaimedAt: time.UnixMilli(message.GetClaimedUnixMs()), SettledBy: time.UnixMilli(message.GetSettledByUnixMs()),
+		ClaimedAt: time.UnixMilli(message.GetClaimedUnixMs()), SettleDeadline: time.UnixMilli(message.GetSettledByUnixMs()),
 		Outcome: Outcome{Status: int(message.GetStatus()), ContentType: message.GetContentType(), Body: message.GetBodyGzip(),
 			Dropped: message.GetBodyDropped()},
 	}
--- a/group/register.go
+++ b/group/register.go
@@ -10,9 +10,9 @@
 	"github.com/finchspoke/finchspoke/transport"
 )
 
-// ErrOutbid means that another proposer has taken the plan over, or the group has
+// ErrPreempted means that another proposer has taken the plan over, or the group has
 // changed: this proposer's term is over.
-var ErrOutbid = errors.New("another proposer has taken the plan over, or its group has changed")
+var ErrPreempted = errors.New("another proposer has taken the plan over, or its group has changed")
 
 // ErrNoQuorum means that too few members answered: it is not known whether the
 // revision counts. The same revision may be proposed again.
@@ -55,12 +55,12 @@
 		}
 		r.ballot = highest + 1
 	}
-	return 0, PlanState{}, ErrOutbid
+	return 0, PlanState{}, ErrPreempted
 }
 
 // promise asks all members to promise the ballot.
 func (r *Register) promise(ctx context.Context) (promised []PlanState, highest uint64) {
-	for _, answer := range fanOut(r.view.Members, func(member GroupMember) *rpc.PlanAnswer {
+	for _, answer := range fanOut(r.view.Members, func(member ViewMember) *rpc.PlanAnswer {
 		answer, err := r.client(ctx, member).Promise(withTimeout(ctx), &rpc.PromiseRequest{
 			View: r.view.wire(), Ballot: r.ballot, Proposer: r.proposer})
 		if err != nil {
@@ -84,7 +84,7 @@
 // before; whole is the whole plan, for members that lack that revision. After
 // ErrNoQuorum the same revision, and no other, may be proposed again.
 func (r *Register) Propose(ctx context.Context, revision uint64, changes, whole map[string][]byte) error {
-	verdicts := fanOut(r.view.Members, func(member GroupMember) PlanVerdict {
+	verdicts := fanOut(r.view.Members, func(member ViewMember) PlanVerdict {
 		verdict, err := r.accept(ctx, member, revision, false, changes)
 		if err == nil && verdict == PlanGap {
 			verdict, err = r.accept(ctx, member, revision, true, whole)
@@ -109,13 +109,13 @@
 	case accepted+silent >= r.view.writeQuorum():
 		return errors.Wrapf(ErrNoQuorum, "%d of %d accepted", accepted, len(r.view.Members))
 	}
-	return ErrOutbid
+	return ErrPreempted
 }
 
 // noAnswer stands for a call that failed.
 const noAnswer = PlanVerdict(^uint32(0))
 
-func (r *Register) accept(ctx context.Context, member GroupMember, revision uint64, full bool, entries map[string][]byte) (PlanVerdict, error) {
+func (r *Register) accept(ctx context.Context, member ViewMember, revision uint64, full bool, entries map[string][]byte) (PlanVerdict, error) {
 	answer, err := r.client(ctx, member).Accept(withTimeout(ctx), &rpc.AcceptRequest{
 		View: r.view.wire(), Ballot: r.ballot, Proposer: r.proposer, Revision: revision, Full: full, Entries: wireEntries(entries)})
 	return PlanVerdict(answer.GetVerdict()), err
--- a/group/view.go
+++ b/group/view.go
@@ -42,7 +42,7 @@
 }
 
 // GroupMember is one process of a view.
-type GroupMember struct {
+type ViewMember struct {
 	ID         string `json:"id"`
 	Process    uint64 `json:"process"`
 	RPCAddress string `json:"rpc_address"`
@@ -50,11 +50,11 @@
 
 // View says which processes form a group in an epoch.
 type View struct {
-	Region  string        `json:"region"`
-	Slot    uint32        `json:"slot"`
-	Epoch   uint64        `json:"epoch"`
-	Writer  string        `json:"writer"` // unique to one view change
-	Members []GroupMember `json:"members"`
+	Region  string       `json:"region"`
+	Slot    uint32       `json:"slot"`
+	Epoch   uint64       `json:"epoch"`
+	Writer  string       `json:"writer"` // unique to one view change
+	Members []ViewMember `json:"members"`
 	// LostAt, when set, says that claims made before it may be forgotten.
 	LostAt time.Time `json:"lost_at"`
 }
@@ -90,7 +90,7 @@
 		view.LostAt = time.UnixMilli(message.GetLostUnixMs())
 	}
 	for _, member := range message.GetMembers() {
-		view.Members = append(view.Members, GroupMember{member.GetId(), member.GetProcess(), member.GetRpcAddress()})
+		view.Members = append(view.Members, ViewMember{member.GetId(), member.GetProcess(), member.GetRpcAddress()})
 	}
 	return view
 }
@@ -117,14 +117,14 @@
 }
 
 // present tells whether a process of a view is still a running member.
-func present(view *membership.View, member GroupMember) bool {
+func present(view *membership.View, member ViewMember) bool {
 	known, found := view.Member(member.ID)
 	return found && known.Running() && known.Process == member.Process
 }
 
 // provenGone tells whether a process of a view can be no more: its daemon runs as
 // a later process.
-func provenGone(view *membership.View, member GroupMember) bool {
+func provenGone(view *membership.View, member ViewMember) bool {
 	known, found := view.Member(member.ID)
 	return found && known.Process > member.Process
 }
@@ -141,12 +141,12 @@
 
 // nextMembers keeps the members that are present and fills up from the ranking,
 // new zones first.
-func nextMembers(members *membership.View, slot SlotKey, old []GroupMember) []GroupMember {
-	var next []GroupMember
+func nextMembers(members *membership.View, slot SlotKey, old []ViewMember) []ViewMember {
+	var next []ViewMember
 	taken := map[string]bool{}
 	zones := map[string]bool{}
 	add := func(member membership.Member) {
-		next = append(next, GroupMember{member.ID, member.Process, member.RPCAddress})
+		next = append(next, ViewMember{member.ID, member.Process, member.RPCAddress})
 		taken[member.ID], zones[member.Zone] = true, true
 	}
 	for _, member := range old {
--- a/home/client.go
+++ b/home/client.go
@@ -14,7 +14,7 @@
 )
 
 // Ask is a request for a slot.
-type Ask struct {
+type SlotRequest struct {
 	RequestID string
 	Model     string   // base model
 	Regions   []string // where the model is served
@@ -56,7 +56,7 @@
 
 // ask is a request in the client's hands, until its slot is released.
 type ask struct {
-	Ask
+	SlotRequest
 	homeID    string
 	granted   bool
 	replicaID string
@@ -83,15 +83,15 @@
 func (c *Client) Close() { c.stop() }
 
 // errNoHome is the refusal when no daemon runs where the model is served.
-func errNoHome(ask Ask) *failure.Error {
+func errNoHome(ask SlotRequest) *failure.Error {
 	return failure.New(failure.NoCapacity, "try again shortly; if it persists, see `finchspoke status` for live daemons",
 		"no daemon runs in a region that serves %s", ask.Model).WithRetryAfter(time.Second)
 }
 
 // Acquire waits for a slot. It fails with a *failure.Error when the home refuses,
 // and with the error of ctx when that ends first; either way nothing ran.
-func (c *Client) Acquire(ctx context.Context, wanted Ask) (*Slot, error) {
-	waiting := &ask{Ask: wanted, outcome: make(chan outcome, 1)}
+func (c *Client) Acquire(ctx context.Context, wanted SlotRequest) (*Slot, error) {
+	waiting := &ask{SlotRequest: wanted, outcome: make(chan outcome, 1)}
 	c.mutex.Lock()
 	home, found := c.view().Home(wanted.Model, wanted.Regions)
 	if !found {
@@ -247,7 +247,7 @@
 		if waiting != nil {
 			model = waiting.Model
 		}
-		stale := &ask{Ask: Ask{RequestID: grant.GetRequestId(), Model: model}}
+		stale := &ask{SlotRequest: SlotRequest{RequestID: grant.GetRequestId(), Model: model}}
 		c.send(homeID, releaseOf(stale, false, 0))
 		return
 	}
--- a/home/link.go
+++ b/home/link.go
@@ -33,7 +33,7 @@
 func (l *link) attachLocal(server *Server) {
 	l.inbox = newMailbox[*rpc.GatewayMessage]()
 	answers := newMailbox[*rpc.HomeMessage]()
-	session := server.Attach(l.client.gatewayID, answers.put)
+	session := server.OpenSession(l.client.gatewayID, answers.put)
 	l.ctx, l.cancel = context.WithCancel(l.client.ctx)
 	l.outgoing = l.inbox
 	go func() {
--- a/home/placement.go
+++ b/home/placement.go
@@ -24,22 +24,22 @@
 
 // Reporter tells the region's placer of the demand in a server's queues, and the
 // server of its replicas. It is a suture service.
-type Reporter struct {
+type DemandReporter struct {
 	server *Server
 	region string
 }
 
-// NewReporter returns the reporter of a server in a region.
-func NewReporter(server *Server, region string) *Reporter {
-	return &Reporter{server: server, region: region}
+// NewDemandReporter returns the reporter of a server in a region.
+func NewDemandReporter(server *Server, region string) *DemandReporter {
+	return &DemandReporter{server: server, region: region}
 }
 
 // String names the service in the supervisor's events.
-func (r *Reporter) String() string { return "demand-reporter" }
+func (r *DemandReporter) String() string { return "demand-reporter" }
 
 // Serve implements suture.Service. While no placer answers, the replicas known
 // last stay in use.
-func (r *Reporter) Serve(ctx context.Context) error {
+func (r *DemandReporter) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if err := r.follow(ctx); err != nil && ctx.Err() == nil {
 			r.server.log.WithError(err).Debug("no placer; replicas known last stay in use")
@@ -50,7 +50,7 @@
 }
 
 // follow keeps one stream to the placer until it breaks or another should place.
-func (r *Reporter) follow(ctx context.Context) error {
+func (r *DemandReporter) follow(ctx context.Context) error {
 	placer, found := r.server.view().Placer(r.region)
 	if !found {
 		return errors.New("no member runs in the region")
@@ -93,7 +93,7 @@
 	}
 }
 
-func (r *Reporter) receive(stream rpc.DRPCPlacer_WatchClient) error {
+func (r *DemandReporter) receive(stream rpc.DRPCPlacer_WatchClient) error {
 	for {
 		update, err := stream.Recv()
 		if err != nil {
@@ -119,7 +119,7 @@
 
 // report gathers the demand that changed, or all of it; queues long unused are
 // forgotten. reported remembers the targets told of in this stream, by model.
-func (r *Reporter) report(all bool, reported map[string]map[string]bool) *rpc.DemandReport {
+func (r *DemandReporter) report(all bool, reported map[string]map[string]bool) *rpc.DemandReport {
 	s := r.server
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/home/server.go
+++ b/home/server.go
@@ -106,7 +106,7 @@
 }
 
 // Attach opens a session for a gateway; deliver must not block.
-func (s *Server) Attach(gatewayID string, deliver func(*rpc.HomeMessage)) *Session {
+func (s *Server) OpenSession(gatewayID string, deliver func(*rpc.HomeMessage)) *Session {
 	session := &Session{server: s, gatewayID: gatewayID, deliver: deliver}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -182,12 +182,12 @@
 	case message.GetSubmit() != nil:
 		submit := message.GetSubmit()
 		held := s.queue(submit.GetBaseModel())
-		waited := held.IsWaiting(submit.GetTarget())
+		waited := held.HasWaiting(submit.GetTarget())
 		s.carryOut(submit.GetBaseModel(), held.Submit(now, s.item(l.gatewayID, submit, now)))
 		if held.Waiting() > 0 {
 			signal(s.waits)
 		}
-		if !waited && held.IsWaiting(submit.GetTarget()) {
+		if !waited && held.HasWaiting(submit.GetTarget()) {
 			signal(s.urgent) // the placer learns of the first that waits at once, of others soon
 		}
 	case message.GetCancel() != nil:
@@ -327,7 +327,7 @@
 		return errors.New("a link begins with hello")
 	}
 	outgoing := newMailbox[*rpc.HomeMessage]()
-	session := s.Attach(first.GetHello().GetGatewayId(), outgoing.put)
+	session := s.OpenSession(first.GetHello().GetGatewayId(), outgoing.put)
 	defer session.Close()
 	session.Handle(first)
 	sent := make(chan error, 1)
--- a/integration/control_test.go
+++ b/integration/control_test.go
@@ -28,7 +28,7 @@
 	require.Eventually(c.t, func() bool {
 		for number, daemon := range c.daemons {
 			var status adminapi.Status
-			if daemon.Ended() || (adminapi.Client{Address: daemon.Admin}).Get(c.ctx, adminapi.PathStatus, &status) != nil {
+			if daemon.HasExited() || (adminapi.Client{Address: daemon.Admin}).Get(c.ctx, adminapi.PathStatus, &status) != nil {
 				continue
 			}
 			if status.Placement != nil {
@@ -67,7 +67,7 @@
 func (c *cluster) requireAnswer(daemon int, model, prompt string) {
 	c.t.Helper()
 	result := c.send(daemon, exchange{model: model, prompt: prompt, tokens: 3}, nil)
-	require.True(c.t, result.err == nil && result.response.Whole, "%s: %v %s", prompt, result.err, result.response.Text)
+	require.True(c.t, result.err == nil && result.response.Complete, "%s: %v %s", prompt, result.err, result.response.Text)
 }
 
 func (c *cluster) setKeyValueFaults(faults keyvalue.Faults) {
@@ -115,7 +115,7 @@
 	require.Eventually(t, func() bool { return loads() == 1 }, 10*time.Second, 5*time.Millisecond)
 	c.daemons[placer].Kill()
 	received := <-result
-	require.True(t, received.response.Whole, received.response.Text)
+	require.True(t, received.response.Complete, received.response.Text)
 	require.Equal(t, 1, loads(), "the model is loaded once")
 	c.verifyPlacement()
 }
@@ -144,7 +144,7 @@
 	}
 	signalOthers(syscall.SIGCONT)
 	received := <-result
-	require.True(t, received.response.Whole, received.response.Text)
+	require.True(t, received.response.Complete, received.response.Text)
 	c.verifyPlacement()
 }
 
@@ -176,7 +176,7 @@
 func (c *cluster) servingEngine(model string) int {
 	for number, started := range c.engines {
 		var entries []engines.Entry
-		require.NoError(c.t, processes.History(c.ctx, started.Address, &entries))
+		require.NoError(c.t, processes.ReadHistory(c.ctx, started.Address, &entries))
 		for _, entry := range entries {
 			if entry.Kind == engines.RequestStarted && entry.Model == model {
 				return number
@@ -221,7 +221,7 @@
 		for number, daemon := range c.daemons {
 			text := fmt.Sprintf(settingsText, settings.HashKey(apiKey)) + fmt.Sprintf("    share: %d\n", 2+round*daemonCount+number)
 			go func() {
-				applied, err := processes.Apply(c.ctx, daemon.Admin, revision, text)
+				applied, err := processes.ApplySettings(c.ctx, daemon.Admin, revision, text)
 				if err != nil {
 					applied = 0
 				}
--- a/integration/keyed_test.go
+++ b/integration/keyed_test.go
@@ -25,7 +25,7 @@
 // createdGroups counts the groups that daemons have written to the key-value service.
 func (c *cluster) createdGroups() int {
 	var entries []keyvalue.Entry
-	require.NoError(c.t, processes.History(c.ctx, c.keyValue.Address, &entries))
+	require.NoError(c.t, processes.ReadHistory(c.ctx, c.keyValue.Address, &entries))
 	created := map[string]bool{}
 	for _, entry := range entries {
 		for _, key := range entry.Keys {
@@ -58,7 +58,7 @@
 				key := uuid.Must(uuid.NewV7()).String()
 				for range repeats {
 					result := c.send(random.IntN(daemonCount), request, map[string]string{gateway.HeaderIdempotencyKey: key, gateway.HeaderDeadline: "5s"})
-					if result.err == nil && result.response.Status == http.StatusOK && result.response.Whole {
+					if result.err == nil && result.response.Status == http.StatusOK && result.response.Complete {
 						if previous := textByPrompt[worker][request.prompt]; previous != "" && previous != result.response.Text {
 							t.Errorf("%q received two different responses", request.prompt)
 						}
@@ -101,14 +101,14 @@
 			map[string]string{gateway.HeaderIdempotencyKey: key, gateway.HeaderDeadline: "10s"})
 	}
 	timed, untimed := uuid.Must(uuid.NewV7()).String(), "a key without a time"
-	require.True(t, sendKeyed("timed", timed).response.Whole)
-	require.True(t, sendKeyed("untimed", untimed).response.Whole)
+	require.True(t, sendKeyed("timed", timed).response.Complete)
+	require.True(t, sendKeyed("untimed", untimed).response.Complete)
 	c.restartDaemons(1, 2)
 	for _, daemon := range c.daemons {
 		require.NoError(t, processes.WaitReady(c.ctx, daemon.Admin, 1, daemonCount))
 	}
 	require.Eventually(t, func() bool {
-		return sendKeyed("new "+uuid.NewString(), uuid.Must(uuid.NewV7()).String()).response.Whole
+		return sendKeyed("new "+uuid.NewString(), uuid.Must(uuid.NewV7()).String()).response.Complete
 	}, 40*time.Second, 100*time.Millisecond, "keys created after the restart are accepted")
 	for range 3 {
 		sendKeyed("timed", timed)
--- a/integration/requests_test.go
+++ b/integration/requests_test.go
@@ -25,7 +25,7 @@
 	noRepeat      bool
 	stream        bool
 	tokens        int
-	response      lab.Answer
+	response      lab.Completion
 	err           error // failed connection to the gateway
 }
 
@@ -38,7 +38,7 @@
 	if request.noRepeat {
 		allHeaders[gateway.HeaderNoRepeat] = "true"
 	}
-	request.response, request.err = lab.Ask(c.ctx, lab.AskOptions{Address: c.daemons[daemon].Gateway, Key: apiKey, Model: request.model,
+	request.response, request.err = lab.SendRequest(c.ctx, lab.RequestOptions{Address: c.daemons[daemon].Gateway, Key: apiKey, Model: request.model,
 		Prompt: request.prompt, MaxTokens: request.tokens, Stream: request.stream, Headers: allHeaders})
 	return request
 }
@@ -54,7 +54,7 @@
 
 // verify checks a response against the number of executions of each prompt.
 func (e exchange) verify(t *testing.T, starts map[string]int) {
-	expected := strings.Join(engines.Answer(e.model, e.prompt, e.tokens), "")
+	expected := strings.Join(engines.Completion(e.model, e.prompt, e.tokens), "")
 	runs := starts[e.prompt]
 	if e.noRepeat {
 		require.LessOrEqual(t, runs, 1, "%q must not be executed again", e.prompt)
@@ -62,7 +62,7 @@
 	if e.err != nil {
 		return // the daemon was killed while it served the caller
 	}
-	if e.response.Whole {
+	if e.response.Complete {
 		require.Equal(t, expected, e.response.Text, "a complete response belongs to its request")
 		require.Positive(t, runs)
 		return
@@ -131,7 +131,7 @@
 			if result.err != nil {
 				broken++
 			}
-			if result.response.Whole {
+			if result.response.Complete {
 				complete++
 			}
 			slowest = max(slowest, result.response.Total)
@@ -144,7 +144,7 @@
 	t.Logf("%d complete, %d with a failed connection, of %d; slowest %s", complete, broken, workers*perWorker, slowest)
 	c.requireNoOvercommit()
 	last := c.send(0, exchange{model: "beta", prompt: "after all faults", tokens: 3}, nil)
-	require.True(t, last.response.Whole, last.response.Text)
+	require.True(t, last.response.Complete, last.response.Text)
 }
 
 // injectFaults cycles through the faults until done is closed, and kills the last daemon once.
@@ -211,7 +211,7 @@
 	starts := startsByPrompt(c.history())
 	for range streams {
 		received := <-results
-		require.True(t, received.response.Whole, received.response.Text)
+		require.True(t, received.response.Complete, received.response.Text)
 		received.verify(t, starts)
 	}
 }
@@ -236,11 +236,11 @@
 	for range streams {
 		received := <-results
 		require.NoError(t, received.err)
-		require.True(t, received.response.Whole, received.response.Text)
+		require.True(t, received.response.Complete, received.response.Text)
 	}
 	for prompt, count := range startsByPrompt(c.history()) {
 		require.Equal(t, 1, count, prompt)
 	}
 	after := c.send(0, exchange{model: "alpha", prompt: "after the stop", tokens: 2}, nil)
-	require.True(t, after.response.Whole, after.response.Text)
+	require.True(t, after.response.Complete, after.response.Text)
 }
--- a/lab/scale/adapters.go
+++ b/lab/scale/adapters.go
@@ -126,9 +126,9 @@
 func adaptersFor(shared kv.LongPollStore) node.Adapters {
 	return node.Adapters{
 		Store: shared, ReplicaPrefix: replicaPrefix, ReadReplica: readReplica, TableKey: tableKey, ReadTable: readTable, ReadyPath: readyPath,
-		Replicas: func(*upstream.Pool, node.Notices) node.ReplicaProtocol {
+		Replicas: func(*upstream.Pool, node.ReplicaCallbacks) node.ReplicaProtocol {
 			return node.ReplicaProtocol{Driver: hollow{}, Orders: hollow{}, Prober: hollow{}}
 		},
-		Callers: func(*routing.Store, *access.Gate, *core.Core) http.Handler { return http.NotFoundHandler() },
+		NewCallerHandler: func(*routing.Store, *access.Gate, *core.Core) http.Handler { return http.NotFoundHandler() },
 	}
 }
--- a/limiter/server.go
+++ b/limiter/server.go
@@ -136,7 +136,7 @@
 		first := s.ledger == nil && s.IsFirstTerm()
 		s.ledger, s.fence, s.version = quota.NewLedger(s.Bounds, first, now), term, 0
 		s.pacer = permit.NewPacer(first, now)
-		s.Log.WithFields(logrus.Fields{logging.Fence: term, logging.FirstTerm: first}).Info(logging.MessageLedgerBegun)
+		s.Log.WithFields(logrus.Fields{logging.Fence: term, logging.FirstTerm: first}).Info(logging.MessageLedgerStarted)
 	}
 	table := s.Table.Current()
 	if table == nil || table.Version == s.version {
--- a/loader/directories.go
+++ b/loader/directories.go
@@ -83,7 +83,7 @@
 	l.directories.version++
 	l.directories.wake()
 	l.publishChange()
-	l.Log.WithFields(logrus.Fields{logging.Directories: len(addresses), logging.Serves: len(chosen), logging.Fence: l.fence}).Info(logging.MessageDirectories)
+	l.Log.WithFields(logrus.Fields{logging.Directories: len(addresses), logging.SelectedDirectories: len(chosen), logging.Fence: l.fence}).Info(logging.MessageDirectoriesChanged)
 }
 
 func sameSet(a, b map[string]bool) bool {
--- a/loader/leaving.go
+++ b/loader/leaving.go
@@ -31,7 +31,7 @@
 		l.changedReplicas.add(id)
 	}
 	l.Wake()
-	l.Log.WithFields(logrus.Fields{logging.Replica: changed, logging.Source: message.GetDaemonId(), logging.Fence: l.fence}).Info(logging.MessageLeavingTold)
+	l.Log.WithFields(logrus.Fields{logging.Replica: changed, logging.Source: message.GetDaemonId(), logging.Fence: l.fence}).Info(logging.MessageRelayedDraining)
 }
 
 // resetDraining begins a term with the replicas known to be draining. The caller holds the mutex.
--- a/loader/limits.go
+++ b/loader/limits.go
@@ -30,7 +30,7 @@
 		l.limitChanges.markSent(update, l.version)
 		l.changedReplicas.add(update.ID)
 		l.Log.WithFields(logrus.Fields{logging.Replica: update.ID, logging.Limit: update.PerSecond, logging.Source: message.GetDaemonId(), logging.Fence: l.fence}).
-			Info(logging.MessageLimitTold)
+			Info(logging.MessageRelayedLimit)
 	}
 	l.Wake()
 }
@@ -107,7 +107,7 @@
 		sent.limits[limit.Incarnation] = limit.PerSecond
 		sent.mutex.Unlock()
 		if change, changed := f.Fleet.ApplyRelayedLimit(limit, now); changed {
-			f.Log.WithFields(logrus.Fields{logging.Replica: limit.ID, logging.Limit: change.PerSecond, logging.LimitBefore: change.Previous}).Info(logging.MessageLimitTold)
+			f.Log.WithFields(logrus.Fields{logging.Replica: limit.ID, logging.Limit: change.PerSecond, logging.LimitBefore: change.Previous}).Info(logging.MessageRelayedLimit)
 		}
 	}
 }
--- a/loader/orders.go
+++ b/loader/orders.go
@@ -202,7 +202,7 @@
 	if changed {
 		l.markChanged(id)
 		l.Log.WithFields(logrus.Fields{logging.Replica: id, logging.Sequence: report.Sequence, logging.Model: slices.Sorted(maps.Keys(report.Holdings)),
-			logging.Busy: report.Busy, logging.Fence: fence}).Info(logging.MessageReplicaHeard)
+			logging.Busy: report.Busy, logging.Fence: fence}).Info(logging.MessageReplicaState)
 	}
 	l.Wake()
 }
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -19,20 +19,20 @@
 // Bounded passes lines on to a slow writer without ever blocking those that log.
 // When its queue is full lines are dropped and counted; warnings and errors go
 // before other lines. It implements io.Writer, one line a call, and suture.Service.
-type Bounded struct {
+type BoundedWriter struct {
 	writer  io.Writer
 	lines   chan []byte
 	dropped atomic.Uint64
 	told    uint64
 }
 
-// NewBounded returns a bounded queue before a writer; Serve passes lines on.
-func NewBounded(writer io.Writer) *Bounded {
-	return &Bounded{writer: writer, lines: make(chan []byte, queueLines)}
+// NewBoundedWriter returns a bounded queue before a writer; Serve passes lines on.
+func NewBoundedWriter(writer io.Writer) *BoundedWriter {
+	return &BoundedWriter{writer: writer, lines: make(chan []byte, queueLines)}
 }
 
 // Write takes a line; it never blocks and never fails.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	if len(line) == 0 {
 		return 0, nil // left out
 	}
@@ -54,13 +54,13 @@
 }
 
 // Dropped returns how many lines were dropped so far.
-func (b *Bounded) Dropped() uint64 { return b.dropped.Load() }
+func (b *BoundedWriter) Dropped() uint64 { return b.dropped.Load() }
 
 // String names the service in the supervisor's events.
-func (b *Bounded) String() string { return "log-writer" }
+func (b *BoundedWriter) String() string { return "log-writer" }
 
 // Serve passes lines on until ctx ends.
-func (b *Bounded) Serve(ctx context.Context) error {
+func (b *BoundedWriter) Serve(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -72,7 +72,7 @@
 }
 
 // pass writes a line and those that wait behind it at once.
-func (b *Bounded) pass(line []byte) {
+func (b *BoundedWriter) pass(line []byte) {
 	const mostBytes = 32 << 10
 	for more := true; more && len(line) < mostBytes; {
 		select {
@@ -91,7 +91,7 @@
 }
 
 // Drain passes on what waits, for at most a while; it is for a process that ends.
-func (b *Bounded) Drain(most time.Duration) {
+func (b *BoundedWriter) Drain(most time.Duration) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -12,7 +12,7 @@
 // A pipe that nobody reads must cost those that log nothing.
 func TestAStalledWriterBlocksNobodyAndWarningsHaveRoom(t *testing.T) {
 	reader, writer := io.Pipe()
-	bounded := NewBounded(writer)
+	bounded := NewBoundedWriter(writer)
 	go func() { _ = bounded.Serve(t.Context()) }()
 	logger := New(bounded, "info")
 	for range queueLines {
@@ -27,7 +27,7 @@
 
 func TestDroppedLinesAreCountedInTheLog(t *testing.T) {
 	var out bytes.Buffer
-	bounded := NewBounded(&out)
+	bounded := NewBoundedWriter(&out)
 	for range queueLines + 3 {
 		_, _ = bounded.Write([]byte(`{"level":"warning"}` + "\n"))
 	}
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -16,7 +16,7 @@
 func New(writer io.Writer, level string) *logrus.Logger {
 	logger := logrus.New()
 	logger.SetOutput(writer)
-	logger.SetFormatter(NewSampling(&logrus.JSONFormatter{
+	logger.SetFormatter(NewSamplingFormatter(&logrus.JSONFormatter{
 		TimestampFormat: time.RFC3339Nano,
 		FieldMap:        logrus.FieldMap{logrus.FieldKeyTime: "time", logrus.FieldKeyMsg: "message"},
 	}))
--- a/logging/revision.go
+++ b/logging/revision.go
@@ -6,7 +6,7 @@
 	"github.com/finchspoke/finchspoke/kv"
 )
 
-// AtRevision returns the fields of a revision of the key-value service: its era and the service's own count.
-func AtRevision(revision int64) logrus.Fields {
+// RevisionFields returns the fields of a revision of the key-value service: its era and the service's own count.
+func RevisionFields(revision int64) logrus.Fields {
 	return logrus.Fields{Era: kv.EraOf(revision), Revision: kv.CounterOf(revision)}
 }
--- a/logging/sampling.go
+++ b/logging/sampling.go
@@ -30,7 +30,7 @@
 
 // Sampling is a formatter that leaves out lines of a cause which repeats itself. Lines
 // that name a request, and lines without a cause, are all kept.
-type Sampling struct {
+type SamplingFormatter struct {
 	logrus.Formatter
 	now func() time.Time
 
@@ -38,13 +38,13 @@
 	seen  map[cause]*seenCause
 }
 
-// NewSampling returns a sampling formatter over another.
-func NewSampling(formatter logrus.Formatter) *Sampling {
-	return &Sampling{Formatter: formatter, now: time.Now, seen: map[cause]*seenCause{}}
+// NewSamplingFormatter returns a sampling formatter over another.
+func NewSamplingFormatter(formatter logrus.Formatter) *SamplingFormatter {
+	return &SamplingFormatter{Formatter: formatter, now: time.Now, seen: map[cause]*seenCause{}}
 }
 
 // Format implements logrus.Formatter; it returns nothing for a line that is left out.
-func (s *Sampling) Format(entry *logrus.Entry) ([]byte, error) {
+func (s *SamplingFormatter) Format(entry *logrus.Entry) ([]byte, error) {
 	if entry.Data[Cause] == nil || entry.Data[RequestID] != nil {
 		return s.Formatter.Format(entry)
 	}
@@ -53,7 +53,7 @@
 		return nil, nil
 	}
 	if left > 0 {
-		entry = withField(entry, LeftOut, left)
+		entry = withField(entry, Suppressed, left)
 	}
 	return s.Formatter.Format(entry)
 }
@@ -76,7 +76,7 @@
 
 // admit tells whether a line is written, and how many of its cause were left out
 // since the last that was.
-func (s *Sampling) admit(key cause) (kept bool, left int) {
+func (s *SamplingFormatter) admit(key cause) (kept bool, left int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	now := s.now()
--- a/logging/sampling_test.go
+++ b/logging/sampling_test.go
@@ -13,7 +13,7 @@
 func TestLinesOfOneCauseAreSampledAndCounted(t *testing.T) {
 	var out bytes.Buffer
 	logger := New(&out, "info")
-	sampling, isSampling := logger.Formatter.(*Sampling)
+	sampling, isSampling := logger.Formatter.(*SamplingFormatter)
 	require.True(t, isSampling)
 	now := time.Unix(1_000_000, 0)
 	sampling.now = func() time.Time { return now }
--- a/logstory/crowding.go
+++ b/logstory/crowding.go
@@ -18,16 +18,16 @@
 // late: those that began or paused too late without a wait for a load. Late answers on few of
 // many replicas ask for more copies of the models named; late answers on all of them ask for
 // more replicas.
-type Crowding struct {
-	Late     int           `json:"late"`
-	Replicas int           `json:"replicas"`  // that answered
-	OnFew    float64       `json:"on_few"`    // share of the late answers on the 20 replicas with the most
-	ByModel  []CrowdedLoad `json:"by_model"`  // the ten with the most late answers
-	FewCount int           `json:"few_count"` // the replicas that OnFew counts
+type Concentration struct {
+	Late        int         `json:"late"`
+	Replicas    int         `json:"replicas"`  // that answered
+	TopShare    float64     `json:"on_few"`    // share of the late answers on the 20 replicas with the most
+	ByModel     []LateModel `json:"by_model"`  // the ten with the most late answers
+	TopReplicas int         `json:"few_count"` // the replicas that TopShare counts
 }
 
-// CrowdedLoad is one model's share of the late answers.
-type CrowdedLoad struct {
+// LateModel is one model's share of the late answers.
+type LateModel struct {
 	Model    string `json:"model"`
 	Answered int    `json:"answered"`
 	Late     int    `json:"late"`
@@ -76,15 +76,15 @@
 }
 
 // crowding puts what was counted in order.
-func (c *crowdingCounter) crowding() Crowding {
+func (c *crowdingCounter) crowding() Concentration {
 	few := min(crowdedReplicas, len(c.byReplica))
-	made := Crowding{Late: c.late, Replicas: len(c.byReplica), FewCount: few, OnFew: shareOfMost(c.byReplica, few, c.late)}
+	made := Concentration{Late: c.late, Replicas: len(c.byReplica), TopReplicas: few, TopShare: shareOfMost(c.byReplica, few, c.late)}
 	for name, model := range c.byModel {
 		if model.late > 0 {
-			made.ByModel = append(made.ByModel, CrowdedLoad{Model: name, Answered: model.answered, Late: model.late, Replicas: len(model.replicas)})
+			made.ByModel = append(made.ByModel, LateModel{Model: name, Answered: model.answered, Late: model.late, Replicas: len(model.replicas)})
 		}
 	}
-	slices.SortFunc(made.ByModel, func(a, b CrowdedLoad) int {
+	slices.SortFunc(made.ByModel, func(a, b LateModel) int {
 		return cmp.Or(cmp.Compare(b.Late, a.Late), cmp.Compare(a.Model, b.Model))
 	})
 	made.ByModel = made.ByModel[:min(crowdedModels, len(made.ByModel))]
--- a/logstory/day.go
+++ b/logstory/day.go
@@ -34,11 +34,11 @@
 	// NotServed are the requests that ended without a whole answer, by outcome, in the second of
 	// their end.
 	NotServed map[string]int
-	// LoadsBegun and LoadsEnded are accepted loads, by where the weights came from.
-	LoadsBegun map[string]int
-	LoadsEnded map[string]int
+	// LoadsStarted and LoadsCompleted are accepted loads, by where the weights came from.
+	LoadsStarted   map[string]int
+	LoadsCompleted map[string]int
 	// Lost are the dependencies that daemons lost, by name.
-	Lost map[string]int
+	LostDependencies map[string]int
 	// Terms are the daemons whose term as the holder of load orders began.
 	Terms []string
 }
@@ -46,10 +46,10 @@
 // Day gathers a day from log lines as they are read: what it keeps grows with the seconds of the day,
 // and not with the lines.
 type Day struct {
-	Filter     Filter
-	Lines      int // that were read
-	Unreadable int // without JSON, cut, or longer than a megabyte
-	seconds    map[int64]*Second
+	Filter    Filter
+	Lines     int // that were read
+	Malformed int // without JSON, cut, or longer than a megabyte
+	seconds   map[int64]*Second
 }
 
 // NewDay returns a day without lines.
@@ -59,7 +59,7 @@
 func (d *Day) at(moment time.Time) *Second {
 	key := moment.Unix()
 	if d.seconds[key] == nil {
-		d.seconds[key] = &Second{NotServed: map[string]int{}, LoadsBegun: map[string]int{}, LoadsEnded: map[string]int{}, Lost: map[string]int{}}
+		d.seconds[key] = &Second{NotServed: map[string]int{}, LoadsStarted: map[string]int{}, LoadsCompleted: map[string]int{}, LostDependencies: map[string]int{}}
 	}
 	return d.seconds[key]
 }
@@ -97,12 +97,12 @@
 	start := bytes.IndexByte(data, '{')
 	line := Line{Fields: map[string]any{}}
 	if isLong || start < 0 || json.Unmarshal(data[start:], &line.Fields) != nil {
-		d.Unreadable++
+		d.Malformed++
 		return
 	}
 	at, err := time.Parse(time.RFC3339Nano, line.text("time"))
 	if err != nil {
-		d.Unreadable++
+		d.Malformed++
 		return
 	}
 	line.Time, line.Daemon, line.Message = at, line.text(logging.Daemon), line.text("message")
@@ -119,14 +119,14 @@
 	case logging.MessageLoadOrder:
 		if line.text(logging.Order) == loading.Load.String() && line.text(logging.Outcome) == loader.Accepted.String() && d.takesLoad(line) {
 			source := line.text(logging.Source)
-			d.at(line.Time).LoadsBegun[source]++
-			d.at(line.Time.Add(time.Duration(line.number(logging.ReadyInMs)) * time.Millisecond)).LoadsEnded[source]++
+			d.at(line.Time).LoadsStarted[source]++
+			d.at(line.Time.Add(time.Duration(line.number(logging.ReadyInMs)) * time.Millisecond)).LoadsCompleted[source]++
 		}
-	case logging.MessageTermBegins:
+	case logging.MessageTermStarted:
 		second := d.at(line.Time)
 		second.Terms = append(second.Terms, line.Daemon)
 	case logging.MessageDependencyLost:
-		d.at(line.Time).Lost[line.text(logging.Dependency)]++
+		d.at(line.Time).LostDependencies[line.text(logging.Dependency)]++
 	}
 }
 
--- a/logstory/day_test.go
+++ b/logstory/day_test.go
@@ -32,17 +32,17 @@
 func TestADayIsCountedBySeconds(t *testing.T) {
 	day := dayOf(t, Filter{})
 	require.Equal(t, 10, day.Lines)
-	require.Equal(t, 2, day.Unreadable)
+	require.Equal(t, 2, day.Malformed)
 	from, seconds := day.Seconds()
 	require.Equal(t, time.Date(2026, 12, 2, 10, 0, 1, 0, time.UTC), from)
 	require.Len(t, seconds, 4)
 	require.Equal(t, 1, seconds[0].Arrived)
-	require.Equal(t, map[string]int{"disk": 1}, seconds[0].LoadsBegun)
+	require.Equal(t, map[string]int{"disk": 1}, seconds[0].LoadsStarted)
 	require.Equal(t, 1, seconds[1].InTime)
 	require.Equal(t, 2, seconds[1].Late, "by the first byte, and by a pause")
 	require.Equal(t, []string{"d2"}, seconds[2].Terms)
-	require.Equal(t, map[string]int{"order holder": 1}, seconds[2].Lost)
-	require.Equal(t, map[string]int{"disk": 1}, seconds[2].LoadsEnded)
+	require.Equal(t, map[string]int{"order holder": 1}, seconds[2].LostDependencies)
+	require.Equal(t, map[string]int{"disk": 1}, seconds[2].LoadsCompleted)
 	require.Equal(t, map[string]int{"no_capacity": 1}, seconds[3].NotServed)
 }
 
@@ -71,7 +71,7 @@
 	bytesRead := int64(0)
 	require.NoError(t, day.Read(reader, func(read int64) { bytesRead = read }))
 	require.Equal(t, lines+1, day.Lines)
-	require.Equal(t, 1, day.Unreadable)
+	require.Equal(t, 1, day.Malformed)
 	require.Greater(t, bytesRead, int64(lines*200))
 	var memory runtime.MemStats
 	runtime.GC()
--- a/logstory/daypage/daypage.go
+++ b/logstory/daypage/daypage.go
@@ -64,7 +64,7 @@
 	if len(seconds) == 0 {
 		return errors.New("no line tells of a request, a load or a lost dependency; give the logs of all daemons at level info")
 	}
-	made := page{From: from.Format(time.RFC3339), Seconds: len(seconds), Filter: filterText(day.Filter), Lines: day.Lines, Unreadable: day.Unreadable, Plots: plotsOf(seconds)}
+	made := page{From: from.Format(time.RFC3339), Seconds: len(seconds), Filter: filterText(day.Filter), Lines: day.Lines, Unreadable: day.Malformed, Plots: plotsOf(seconds)}
 	for index, second := range seconds {
 		for _, daemon := range second.Terms {
 			made.Terms = append(made.Terms, term{index, daemon})
@@ -100,7 +100,7 @@
 			lines: linesByKind(seconds, func(one logstory.Second) map[string]int { return one.NotServed })},
 		{Title: "Loads under way", Meaning: "models and adapters, by where the weights come from, as long as they should take", lines: loadsUnderWay(seconds)},
 		{Title: "Lost dependencies", Meaning: "daemons a second that lost another daemon or the key-value service: a fault, or a move to another",
-			lines: linesByKind(seconds, func(one logstory.Second) map[string]int { return one.Lost })},
+			lines: linesByKind(seconds, func(one logstory.Second) map[string]int { return one.LostDependencies })},
 	}
 }
 
@@ -146,13 +146,13 @@
 }
 
 func loadsUnderWay(seconds []logstory.Second) []line {
-	lines := linesByKind(seconds, func(one logstory.Second) map[string]int { return one.LoadsBegun })
+	lines := linesByKind(seconds, func(one logstory.Second) map[string]int { return one.LoadsStarted })
 	for _, one := range lines {
 		underWay := 0.0
 		for index, second := range seconds {
 			begun := one.values[index]
 			one.values[index] = underWay + begun
-			underWay += begun - float64(second.LoadsEnded[one.name])
+			underWay += begun - float64(second.LoadsCompleted[one.name])
 		}
 	}
 	return lines
--- a/logstory/logstory.go
+++ b/logstory/logstory.go
@@ -23,15 +23,15 @@
 
 // beliefMessages are those of lines that change what a daemon believes.
 var beliefMessages = []string{
-	logging.MessageTableRead, logging.MessageHolderChanged, logging.MessageTermBegins, logging.MessageTermLost,
-	logging.MessageReplicaListed, logging.MessageReplicaGone, logging.MessageRegistryFollowed, logging.MessageLoadOrder, logging.MessageReplicaHeard,
-	logging.MessageDependencyLost, logging.MessageDependencyRegained, logging.MessageReplicaLeaves, logging.MessageReplicaRests,
-	logging.MessageReplicaLimit, logging.MessageLimitTold,
+	logging.MessageTableRead, logging.MessageLeaderChanged, logging.MessageTermStarted, logging.MessageTermLost,
+	logging.MessageReplicaListed, logging.MessageReplicaRemoved, logging.MessageRegistrySummary, logging.MessageLoadOrder, logging.MessageReplicaState,
+	logging.MessageDependencyLost, logging.MessageDependencyRegained, logging.MessageReplicaDraining, logging.MessageReplicaBackoff,
+	logging.MessageReplicaLimitChanged, logging.MessageRelayedLimit,
 }
 
 // holderMessages are those that the order holder writes for all daemons.
 var holderMessages = []string{
-	logging.MessageLoadOrder, logging.MessageReplicaListed, logging.MessageReplicaGone, logging.MessageReplicaHeard,
+	logging.MessageLoadOrder, logging.MessageReplicaListed, logging.MessageReplicaRemoved, logging.MessageReplicaState,
 }
 
 // Line is one log line.
@@ -81,7 +81,7 @@
 // Story returns the lines of a request over all daemons, in order, and before its
 // end the newest line of each belief about what it touched. id may be the
 // beginning of the request's id.
-func Story(lines []Line, id string) []Line {
+func Timeline(lines []Line, id string) []Line {
 	var own []Line
 	for _, line := range lines {
 		if strings.HasPrefix(line.text(logging.RequestID), id) {
@@ -130,7 +130,7 @@
 var quietFields = []string{"time", "level", "message", logging.Daemon, logging.RequestID}
 
 // Tell writes a line for people: the time since a moment, daemon, message, fields.
-func (l Line) Tell(writer io.Writer, since time.Time) {
+func (l Line) Print(writer io.Writer, since time.Time) {
 	names := make([]string, 0, len(l.Fields))
 	for name := range l.Fields {
 		if !slices.Contains(quietFields, name) && l.text(name) != "" {
@@ -147,21 +147,21 @@
 
 // Coverage counts requests that failed or were refused, and those of them whose
 // lines name a cause.
-type Coverage struct {
+type CauseCoverage struct {
 	Ended     int            `json:"ended"`
 	Failed    int            `json:"failed"`
 	WithCause int            `json:"with_cause"`
 	ByOutcome map[string]int `json:"by_outcome"`
 	// Without are ids of failed requests without a cause, a few at the most.
-	Without []string `json:"without"`
+	WithoutCause []string `json:"without"`
 }
 
 // mostWithout bounds the ids named.
 const mostWithout = 10
 
 // Count goes over all requests that ended.
-func Count(lines []Line) Coverage {
-	counted := Coverage{ByOutcome: map[string]int{}}
+func CountCauses(lines []Line) CauseCoverage {
+	counted := CauseCoverage{ByOutcome: map[string]int{}}
 	for _, line := range lines {
 		if line.Message != logging.MessageRequestEnded {
 			continue
@@ -175,8 +175,8 @@
 		counted.ByOutcome[outcome]++
 		if line.text(logging.Cause) != "" {
 			counted.WithCause++
-		} else if len(counted.Without) < mostWithout {
-			counted.Without = append(counted.Without, line.text(logging.RequestID))
+		} else if len(counted.WithoutCause) < mostWithout {
+			counted.WithoutCause = append(counted.WithoutCause, line.text(logging.RequestID))
 		}
 	}
 	return counted
--- a/logstory/logstory_test.go
+++ b/logstory/logstory_test.go
@@ -25,7 +25,7 @@
 func TestAStoryHoldsTheRequestsLinesAndTheBeliefsOfItsTime(t *testing.T) {
 	lines, err := Read(strings.NewReader(log))
 	require.NoError(t, err)
-	story := Story(lines, "abc")
+	story := Timeline(lines, "abc")
 	var messages []string
 	for _, line := range story {
 		messages = append(messages, line.Message)
@@ -33,16 +33,16 @@
 	require.Equal(t, []string{"routing table read", "no replica at once", "load order", "request dispatched", "replica gone from the registry", "request ended"}, messages)
 	require.Equal(t, "4", story[0].text("config_version"), "what was believed then, not later")
 	var told bytes.Buffer
-	story[5].Tell(&told, story[1].Time)
+	story[5].Print(&told, story[1].Time)
 	require.Contains(t, told.String(), "+2.000 s")
 	require.Contains(t, told.String(), "cause=model_not_loaded")
-	require.Empty(t, Story(lines, "zzz"))
+	require.Empty(t, Timeline(lines, "zzz"))
 }
 
 func TestCoverageNamesFailedRequestsWithoutACause(t *testing.T) {
 	lines, err := Read(strings.NewReader(log))
 	require.NoError(t, err)
-	require.Equal(t, Coverage{Ended: 3, Failed: 2, WithCause: 1, ByOutcome: map[string]int{"no_capacity": 1, "caller_left": 1}, Without: []string{"def3"}}, Count(lines))
+	require.Equal(t, CauseCoverage{Ended: 3, Failed: 2, WithCause: 1, ByOutcome: map[string]int{"no_capacity": 1, "caller_left": 1}, WithoutCause: []string{"def3"}}, CountCauses(lines))
 }
 
 // A request that never went to a replica at rest names it: the story then tells which answer asked for it.
@@ -53,7 +53,7 @@
 {"daemon":"node-1","message":"request ended","model":"m1","outcome":"no_capacity","request_id":"abc1","time":"2026-01-01T00:00:02.1Z"}
 `))
 	require.NoError(t, err)
-	story := Story(lines, "abc1")
+	story := Timeline(lines, "abc1")
 	require.Len(t, story, 3, "the rest is this daemon's alone")
 	require.Equal(t, "one", story[0].text("request_id"))
 }
--- a/logstory/losses.go
+++ b/logstory/losses.go
@@ -30,7 +30,7 @@
 	Windows []WindowLosses `json:"windows"` // in order
 	Tenants []TenantLosses `json:"tenants"` // by name; none where requests carry no keys
 	// Crowding tells on how few replicas and models the late answers were.
-	Crowding Crowding `json:"crowding"`
+	Concentration Concentration `json:"crowding"`
 }
 
 // RouteLosses are the requests of one route.
@@ -46,11 +46,11 @@
 
 // TenantLosses are the requests of one tenant.
 type TenantLosses struct {
-	Name     string       `json:"name"`
-	Ended    int          `json:"ended"`
-	Answered int          `json:"answered"` // whole, in time or late
-	AtLimit  int          `json:"at_limit"` // refused at the tenant's limit
-	Causes   []CauseCount `json:"causes"`   // of the others, the most frequent first
+	Name        string       `json:"name"`
+	Ended       int          `json:"ended"`
+	Answered    int          `json:"answered"` // whole, in time or late
+	RateLimited int          `json:"at_limit"` // refused at the tenant's limit
+	Causes      []CauseCount `json:"causes"`   // of the others, the most frequent first
 }
 
 // CauseCount is how many requests were lost to a cause.
@@ -61,19 +61,19 @@
 
 // PauseLosses tell what shared the replica of requests that were late by a pause.
 type PauseLosses struct {
-	Requests     int     `json:"requests"`
-	Beside       float64 `json:"beside"`        // requests that ran beside, on the mean
-	Models       float64 `json:"models"`        // models among these and the request's own, on the mean
-	PromptTokens float64 `json:"prompt_tokens"` // of those that began beside it, on the mean
+	Requests           int     `json:"requests"`
+	ConcurrentRequests float64 `json:"beside"`        // requests that ran beside, on the mean
+	Models             float64 `json:"models"`        // models among these and the request's own, on the mean
+	PromptTokens       float64 `json:"prompt_tokens"` // of those that began beside it, on the mean
 }
 
 // WindowLosses are the requests that arrived within a span of time.
 type WindowLosses struct {
-	From    float64 `json:"from"` // seconds after the first request
-	Ended   int     `json:"ended"`
-	InTime  int     `json:"in_time"`
-	Late    int     `json:"late"`
-	MostFor string  `json:"most_for"` // the most frequent cause; empty without losses
+	From     float64 `json:"from"` // seconds after the first request
+	Ended    int     `json:"ended"`
+	InTime   int     `json:"in_time"`
+	Late     int     `json:"late"`
+	TopCause string  `json:"most_for"` // the most frequent cause; empty without losses
 }
 
 // endedRequest is what the line of a request's end tells.
@@ -248,7 +248,7 @@
 	}
 	before := float64(pauses.Requests)
 	mean := func(mean *float64, value int) { *mean = (*mean*before + float64(value)) / (before + 1) }
-	mean(&pauses.Beside, beside)
+	mean(&pauses.ConcurrentRequests, beside)
 	mean(&pauses.Models, len(models))
 	mean(&pauses.PromptTokens, tokens)
 	pauses.Requests++
@@ -256,7 +256,7 @@
 
 // losses puts what was counted in order.
 func (c *lossCounter) losses() Losses {
-	made := Losses{Ended: len(c.requests), Crowding: c.crowding.crowding()}
+	made := Losses{Ended: len(c.requests), Concentration: c.crowding.crowding()}
 	for _, route := range c.routes {
 		route.Causes = sortedCauses(route.causes)
 		made.Routes = append(made.Routes, route.RouteLosses)
@@ -267,7 +267,7 @@
 	for _, number := range slices.Sorted(maps.Keys(c.windows)) {
 		span := c.windows[number]
 		if causes := sortedCauses(span.causes); len(causes) > 0 {
-			span.MostFor = fmt.Sprintf("%s (%d)", causes[0].Name, causes[0].Requests)
+			span.TopCause = fmt.Sprintf("%s (%d)", causes[0].Name, causes[0].Requests)
 		}
 		made.Windows = append(made.Windows, span.WindowLosses)
 	}
--- a/logstory/losses_test.go
+++ b/logstory/losses_test.go
@@ -37,12 +37,12 @@
 
 	draft := losses.Routes[1]
 	require.ElementsMatch(t, []CauseCount{{causePause, 1}, {causeSlowAnswer, 1}}, draft.Causes)
-	require.Equal(t, PauseLosses{Requests: 1, Beside: 2, Models: 2, PromptTokens: 700}, draft.Pauses)
+	require.Equal(t, PauseLosses{Requests: 1, ConcurrentRequests: 2, Models: 2, PromptTokens: 700}, draft.Pauses)
 
 	require.Equal(t, []CauseCount{{causeOwnFailure, 1}}, losses.Routes[2].Causes)
 
 	require.Len(t, losses.Windows, 2)
-	require.Equal(t, WindowLosses{From: 0, Ended: 5, InTime: 1, Late: 3, MostFor: losses.Windows[0].MostFor}, losses.Windows[0])
+	require.Equal(t, WindowLosses{From: 0, Ended: 5, InTime: 1, Late: 3, TopCause: losses.Windows[0].TopCause}, losses.Windows[0])
 	require.Equal(t, 1, losses.Windows[1].Ended)
 	require.Zero(t, losses.Windows[1].Late, "a refusal is no late answer")
 }
@@ -54,10 +54,10 @@
 func TestLateAnswersAreCountedByReplicaAndModel(t *testing.T) {
 	lines, err := Read(strings.NewReader(dayLog))
 	require.NoError(t, err)
-	crowding := CountLosses(lines, 2*time.Second).Crowding
-	require.Equal(t, Crowding{
-		Late: 2, Replicas: 2, FewCount: 2, OnFew: 1,
-		ByModel: []CrowdedLoad{{Model: "m2", Answered: 3, Late: 2, Replicas: 2}},
+	crowding := CountLosses(lines, 2*time.Second).Concentration
+	require.Equal(t, Concentration{
+		Late: 2, Replicas: 2, TopReplicas: 2, TopShare: 1,
+		ByModel: []LateModel{{Model: "m2", Answered: 3, Late: 2, Replicas: 2}},
 	}, crowding, "a wait for a load and a refusal are not the replica's doing")
 	require.InDelta(t, 0.75, shareOfMost(map[string]int{"r1": 6, "r2": 1, "r3": 1}, 1, 8), 1e-9)
 }
--- a/logstory/tenants.go
+++ b/logstory/tenants.go
@@ -26,7 +26,7 @@
 		case logging.OutcomeAnswered:
 			one.Answered++
 		case string(failure.LimitExceeded):
-			one.AtLimit++
+			one.RateLimited++
 		default:
 			causes[request.tenant][request.outcome]++
 		}
--- a/logstory/tenants_test.go
+++ b/logstory/tenants_test.go
@@ -19,6 +19,6 @@
 	})
 	require.Equal(t, []TenantLosses{
 		{Name: "brewery", Ended: 1, Answered: 1, Causes: []CauseCount{}},
-		{Name: "dairy", Ended: 3, Answered: 1, AtLimit: 1, Causes: []CauseCount{{Name: string(failure.LimitUnknown), Requests: 1}}},
+		{Name: "dairy", Ended: 3, Answered: 1, RateLimited: 1, Causes: []CauseCount{{Name: string(failure.LimitUnknown), Requests: 1}}},
 	}, losses)
 }
--- a/membership/core.go
+++ b/membership/core.go
@@ -55,7 +55,7 @@
 	Process       uint64 // start of the process; a restart has a higher one
 	Incarnation   uint64 // only the member itself raises it
 	Status        Status
-	Since         time.Time // of the status, by this daemon's clock
+	StatusSince   time.Time // of the status, by this daemon's clock
 }
 
 // Running tells whether the member can be given work.
@@ -169,8 +169,8 @@
 	return changed
 }
 
-// HeardRevision is the settings revision last heard from a member.
-func (c *Core) HeardRevision(memberID string) uint64 { return c.heard[memberID] }
+// MemberRevision is the settings revision last heard from a member.
+func (c *Core) MemberRevision(memberID string) uint64 { return c.heard[memberID] }
 
 // SetRevision tells the members, a few at once, of new settings in force here.
 func (c *Core) SetRevision(revision uint64) []Envelope {
@@ -195,7 +195,7 @@
 func (c *Core) Leave(now time.Time) []Envelope {
 	c.self.Incarnation++
 	c.self.Status = Left
-	c.self.Since = now
+	c.self.StatusSince = now
 	c.changed = true
 	c.spread(c.self)
 	c.announcements = announceTicks
@@ -270,7 +270,7 @@
 func (c *Core) overdue(now time.Time) {
 	var due []string
 	for id, member := range c.members {
-		age := now.Sub(member.Since)
+		age := now.Sub(member.StatusSince)
 		if (member.Status == Suspect && age >= c.config.SuspicionTimeout) || (!member.Running() && age >= c.config.ForgetAfter) {
 			due = append(due, id)
 		}
@@ -332,7 +332,7 @@
 // Handle takes a packet in and returns the packets to send.
 func (c *Core) Handle(now time.Time, packet *rpc.Packet) []Envelope {
 	for _, claimed := range packet.GetUpdates() {
-		c.Learn(now, claimed)
+		c.ApplyUpdate(now, claimed)
 	}
 	if packet.GetSettingsRevision() > c.heard[packet.GetFromId()] {
 		c.heard[packet.GetFromId()] = packet.GetSettingsRevision()
--- a/membership/core_test.go
+++ b/membership/core_test.go
@@ -51,9 +51,9 @@
 	core := NewCore(DefaultConfig(), self, rand.New(rand.NewPCG(n.random.Uint64(), 1)))
 	if peer := n.cores["m000"]; peer != nil {
 		for _, member := range peer.Members() {
-			core.Learn(n.now, member.Wire())
+			core.ApplyUpdate(n.now, member.Wire())
 		}
-		peer.Learn(n.now, self.Wire())
+		peer.ApplyUpdate(n.now, self.Wire())
 	}
 	n.cores[id] = core
 	delete(n.down, id)
@@ -171,7 +171,7 @@
 			// A member that hears of a revision fetches it and tells others in turn.
 			heard := uint64(0)
 			for _, other := range n.ids() {
-				heard = max(heard, n.cores[id].HeardRevision(other))
+				heard = max(heard, n.cores[id].MemberRevision(other))
 			}
 			n.send(id, n.cores[id].SetRevision(heard))
 			if heard < 7 && id != "m000" {
@@ -216,9 +216,9 @@
 	require.Len(t, n.cores["m000"].Members(), 5, "the other side is forgotten")
 	n.side = map[string]int{}
 	asked, told := n.list("m000"), n.list("m009")
-	n.cores["m000"].LearnList(n.now, told)
+	n.cores["m000"].ApplyMemberList(n.now, told)
 	for _, member := range asked {
-		n.cores["m009"].Learn(n.now, member)
+		n.cores["m009"].ApplyUpdate(n.now, member)
 	}
 	n.run(time.Minute)
 	n.agree(t, "after the cut")
--- a/membership/learn.go
+++ b/membership/learn.go
@@ -8,13 +8,13 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// LearnList takes in a peer's whole list that this daemon asked for. To one that
+// ApplyMemberList takes in a peer's whole list that this daemon asked for. To one that
 // knew nobody yet it is no news worth passing on: others have lists of their own. To
 // others it is, as after a cut that parted the members for long.
-func (c *Core) LearnList(now time.Time, members []*rpc.Member) {
+func (c *Core) ApplyMemberList(now time.Time, members []*rpc.Member) {
 	joining := len(c.members) == 0
 	for _, claimed := range members {
-		c.Learn(now, claimed)
+		c.ApplyUpdate(now, claimed)
 		if joining && claimed.GetId() != c.self.ID {
 			delete(c.news, claimed.GetId())
 		}
@@ -22,7 +22,7 @@
 }
 
 // Learn takes in a claim about a member.
-func (c *Core) Learn(now time.Time, claimed *rpc.Member) {
+func (c *Core) ApplyUpdate(now time.Time, claimed *rpc.Member) {
 	if claimed.GetId() == "" {
 		return
 	}
@@ -33,7 +33,7 @@
 	}
 	known := c.members[claimed.GetId()]
 	if known == nil {
-		known = &Member{ID: claimed.GetId(), Status: status, Incarnation: claimed.GetIncarnation(), Since: now}
+		known = &Member{ID: claimed.GetId(), Status: status, Incarnation: claimed.GetIncarnation(), StatusSince: now}
 		c.members[known.ID] = known
 		c.describe(known, claimed)
 		c.changed = true
@@ -67,7 +67,7 @@
 
 func (c *Core) adopt(member *Member, status Status, incarnation uint64, now time.Time) {
 	if member.Status != status {
-		member.Since = now
+		member.StatusSince = now
 	}
 	member.Status = status
 	member.Incarnation = incarnation
--- a/membership/service.go
+++ b/membership/service.go
@@ -60,7 +60,7 @@
 	now := time.Now()
 	self.Process = uint64(now.UnixMilli())
 	self.Incarnation = self.Process
-	self.Since = now
+	self.StatusSince = now
 	random := rand.New(rand.NewPCG(uint64(now.UnixNano()), xxhash.Sum64String(self.ID)))
 	service := &Service{config: config, seeds: seeds, keys: keys, socket: socket, log: log,
 		core: NewCore(config, self, random)}
@@ -76,15 +76,15 @@
 
 // Listen registers a function to call after each change of the members. It is
 // called with the service's lock not held, in order.
-func (s *Service) Listen(listener func(*View)) {
+func (s *Service) Subscribe(listener func(*View)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.listeners = append(s.listeners, listener)
 }
 
-// OnRevisionHeard sets the function to call when a member tells of settings newer
+// SetRevisionHandler sets the function to call when a member tells of settings newer
 // than those announced here.
-func (s *Service) OnRevisionHeard(heard func(memberID string, revision uint64)) {
+func (s *Service) SetRevisionHandler(heard func(memberID string, revision uint64)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.onHeard = heard
@@ -98,11 +98,11 @@
 	s.send(envelopes)
 }
 
-// HeardRevision is the settings revision last heard from a member.
-func (s *Service) HeardRevision(memberID string) uint64 {
+// MemberRevision is the settings revision last heard from a member.
+func (s *Service) MemberRevision(memberID string) uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.core.HeardRevision(memberID)
+	return s.core.MemberRevision(memberID)
 }
 
 // Traffic returns the bytes sent and received on the socket so far.
@@ -320,7 +320,7 @@
 		return errors.Wrap(err, "exchange members")
 	}
 	s.update(func(now time.Time) []Envelope {
-		s.core.LearnList(now, answer.GetMembers())
+		s.core.ApplyMemberList(now, answer.GetMembers())
 		return nil
 	})
 	return nil
@@ -330,7 +330,7 @@
 func (s *Service) Sync(_ context.Context, list *rpc.MemberList) (*rpc.MemberList, error) {
 	s.update(func(now time.Time) []Envelope {
 		for _, member := range list.GetMembers() {
-			s.core.Learn(now, member)
+			s.core.ApplyUpdate(now, member)
 		}
 		return nil
 	})
--- a/node/follow.go
+++ b/node/follow.go
@@ -23,9 +23,9 @@
 	})
 	n.mirror.Handle(adapters.ReplicaPrefix, func(event kv.Event) { n.takeReplica(adapters, event) })
 	n.mirror.Handle(n.config.TermKey, n.election.Observe)
-	n.mirror.Handle(n.config.EndsPrefix, n.quarantine.Observe)
+	n.mirror.Handle(n.config.CrashPrefix, n.quarantine.Observe)
 	n.mirror.SetUrgentKey(n.config.TermKey)
-	n.mirror.LimitReplicaRecords(adapters.ReplicaPrefix, cmp.Or(n.config.KnownByAll, KnownByAll), n.config.SizeKey, n.replicas.changed)
+	n.mirror.LimitReplicaRecords(adapters.ReplicaPrefix, cmp.Or(n.config.KnownByAll, KnownByAll), n.config.FleetSizeKey, n.replicas.changed)
 	n.mirror.SetFallbackDelay(n.replicas.loneTime)
 	n.mirror.SetHasPeers(n.listensToPeers)
 	n.mirror.SetForwardFilter(func(before, after kv.Pair) bool { return notable(adapters, before, after) })
@@ -49,13 +49,13 @@
 				now := time.Now()
 				n.tableAt.Store(&now)
 			}
-			n.log.WithFields(logrus.Fields{logging.ConfigVersion: table.Version, logging.Outcome: taken}).WithFields(logging.AtRevision(pair.ModRevision)).
+			n.log.WithFields(logrus.Fields{logging.ConfigVersion: table.Version, logging.Outcome: taken}).WithFields(logging.RevisionFields(pair.ModRevision)).
 				Info(logging.MessageTableRead)
 			n.holder.Wake()
 			return
 		}
 	}
-	n.log.WithFields(logrus.Fields{logging.Cause: err.Error(), logging.ConfigVersion: n.routes.Version()}).WithFields(logging.AtRevision(pair.ModRevision)).
+	n.log.WithFields(logrus.Fields{logging.Cause: err.Error(), logging.ConfigVersion: n.routes.Version()}).WithFields(logging.RevisionFields(pair.ModRevision)).
 		Error("routing table not used; the one in force stays")
 }
 
@@ -90,7 +90,7 @@
 	if !n.fleet.PutRestored(entry, time.Now()) {
 		return
 	}
-	n.log.WithField(logging.Replica, entry.ID).Info(logging.MessageReplicaDoubted)
+	n.log.WithField(logging.Replica, entry.ID).Info(logging.MessageRestoredReplicaOnHold)
 	time.AfterFunc(fleet.RestoredEntryHold, func() {
 		n.fleet.TrustRestored(entry.Incarnation())
 		n.holder.RegistryChanged(entry.ID)
--- a/node/gauges.go
+++ b/node/gauges.go
@@ -80,8 +80,8 @@
 	return &kv.MeteredStore{LongPollStore: store, Count: func(call, outcome string) { calls.WithLabelValues(call, outcome).Inc() }}
 }
 
-// CountDropped registers the counter of log lines that were dropped.
-func (n *Node) CountDropped(dropped func() uint64) {
+// CountDroppedLines registers the counter of log lines that were dropped.
+func (n *Node) CountDroppedLines(dropped func() uint64) {
 	n.metrics.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: "finchspoke_log_lines_dropped_total", Help: "Log lines dropped because the writer was too slow.",
 	}, func() float64 { return float64(dropped()) }))
--- a/node/memory.go
+++ b/node/memory.go
@@ -7,9 +7,9 @@
 // 985 daemons had 334 MB, half of it garbage, on a machine whose processes are killed at 536.
 const memoryShare = 0.4
 
-// BoundMemory makes the garbage collector work harder before the process is killed for its memory.
-func (c *Config) BoundMemory() {
-	if c.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(c.MemoryBytes)))
+// ApplyMemoryLimit makes the garbage collector work harder before the process is killed for its memory.
+func (c *Config) ApplyMemoryLimit() {
+	if c.MemoryLimitBytes > 0 {
+		debug.SetMemoryLimit(int64(memoryShare * float64(c.MemoryLimitBytes)))
 	}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -41,49 +41,49 @@
 
 // Config is what a node is started with. Addresses are host:port.
 type Config struct {
-	ID            string
-	Zone          string
-	CallerAddress string
-	ReadyAddress  string
-	PeerAddress   string // for daemons; advertised to them
-	MetricsAddr   string // empty: none
+	ID             string
+	Zone           string
+	CallerAddress  string
+	ReadyAddress   string
+	PeerAddress    string // for daemons; advertised to them
+	MetricsAddress string // empty: none
 	// Seeds are peer addresses of some daemons, which may be out of date.
 	Seeds []string
 	// FirstStart tells that the whole system starts for the first time.
 	FirstStart bool
-	// StopTime is how long a planned stop may take.
-	StopTime time.Duration
-	// TermKey is the record of who holds the load orders; LeaseTime is its lease.
-	TermKey   string
-	LeaseTime time.Duration
+	// StopTimeout is how long a planned stop may take.
+	StopTimeout time.Duration
+	// TermKey is the record of who holds the load orders; LeaseTTL is its lease.
+	TermKey  string
+	LeaseTTL time.Duration
 	// TermDelay is how much later than others this daemon campaigns for the term.
 	TermDelay time.Duration
 	// MemoryBytes is how much memory the process may have; zero: no bound is known.
-	MemoryBytes int64
-	Retries     core.RetryPolicy
-	LoadLimits  loader.Limits
+	MemoryLimitBytes int64
+	Retries          core.RetryPolicy
+	LoadLimits       loader.Limits
 	// Configurations bounds how old the configuration may be that requests are judged by.
-	Configurations access.Bound
+	ConfigurationAge access.AgeLimit
 	// Quotas bounds how closely tenants' limits are kept.
-	Quotas      quota.Bounds
-	RecordsRoot string // prefix of the records that are followed
-	// SizeKey is the record that says whether there are more replicas than every daemon knows.
-	SizeKey string
+	QuotaBounds   quota.Bounds
+	RecordsPrefix string // prefix of the records that are followed
+	// FleetSizeKey is the record that says whether there are more replicas than every daemon knows.
+	FleetSizeKey string
 	// KnownByAll is up to how many replicas every daemon knows them all; zero: KnownByAll of this
 	// package.
 	KnownByAll int
-	// EndsPrefix is that of the records of replicas that ended while they had requests.
-	EndsPrefix string
+	// CrashPrefix is that of the records of replicas that ended while they had requests.
+	CrashPrefix string
 }
 
-// MetricsOn gives metrics a port on the peer address's IP, unless the settings name an
+// EnableMetrics gives metrics a port on the peer address's IP, unless the settings name an
 // address of their own; port 0 changes nothing.
-func (c *Config) MetricsOn(port int) {
-	if c.MetricsAddr != "" || port == 0 {
+func (c *Config) EnableMetrics(port int) {
+	if c.MetricsAddress != "" || port == 0 {
 		return
 	}
 	if ip, _, err := net.SplitHostPort(c.PeerAddress); err == nil {
-		c.MetricsAddr = net.JoinHostPort(ip, strconv.Itoa(port))
+		c.MetricsAddress = net.JoinHostPort(ip, strconv.Itoa(port))
 	}
 }
 
@@ -97,10 +97,10 @@
 	TableKey  string
 	ReadTable func(kv.Pair) (routing.Revision, error)
 	// Replicas makes the protocol of the replicas.
-	Replicas func(*upstream.Pool, Notices) ReplicaProtocol
+	Replicas func(*upstream.Pool, ReplicaCallbacks) ReplicaProtocol
 	// Callers serves the caller interface; ReadyPath is where readiness is asked.
-	Callers   func(*routing.Store, *access.Gate, *core.Core) http.Handler
-	ReadyPath string
+	NewCallerHandler func(*routing.Store, *access.Gate, *core.Core) http.Handler
+	ReadyPath        string
 }
 
 // ReplicaProtocol is the protocol that replicas speak: Driver for requests, Orders for what they are to
@@ -164,7 +164,7 @@
 		into          *net.Listener
 	}{
 		{"callers", config.CallerAddress, &opened.callers}, {"readiness", config.ReadyAddress, &opened.ready},
-		{"daemons", config.PeerAddress, &opened.peers}, {"metrics", config.MetricsAddr, &opened.metrics},
+		{"daemons", config.PeerAddress, &opened.peers}, {"metrics", config.MetricsAddress, &opened.metrics},
 	} {
 		if one.address == "" && one.name == "metrics" {
 			continue
@@ -202,7 +202,7 @@
 	n.pool = upstream.NewPool(opened.Inc)
 	n.fleet.SetConnected(n.pool.HasIdle)
 	n.notices = newNoticeCounts(n.metrics)
-	replicas := adapters.Replicas(n.pool, Notices{Hear: n.hear, Admit: func(replica string, held fleet.Permit) error { return n.fleet.Admit(replica, held, time.Now()) }})
+	replicas := adapters.Replicas(n.pool, ReplicaCallbacks{OnHint: n.hear, Admit: func(replica string, held fleet.Permit) error { return n.fleet.Admit(replica, held, time.Now()) }})
 	tracker := demand.NewTracker()
 	requests := &core.Core{
 		Fleet: n.fleet, Demand: tracker, Driver: replicas.Driver, Retries: n.config.Retries,
@@ -210,16 +210,16 @@
 	}
 	requests.Prepare()
 	n.core = requests
-	n.mirror = records.NewMirror(adapters.Store, n.config.RecordsRoot, n.log)
+	n.mirror = records.NewMirror(adapters.Store, n.config.RecordsPrefix, n.log)
 	n.mirror.SetClock(boottime.Now)
-	n.gate = &access.Gate{Table: n.routes, VerifiedAt: n.mirror.VerifiedAt, Bound: n.config.Configurations, Now: boottime.Now}
+	n.gate = &access.Gate{Table: n.routes, VerifiedAt: n.mirror.VerifiedAt, AgeLimit: n.config.ConfigurationAge, Now: boottime.Now}
 	requests.Gate = n.gate
-	if n.config.Configurations.Strict {
-		n.mirror.VerifyWithin(adapters.TableKey, time.Duration(proofShare*float64(n.config.Configurations.MaxAge)))
+	if n.config.ConfigurationAge.Strict {
+		n.mirror.VerifyWithin(adapters.TableKey, time.Duration(proofShare*float64(n.config.ConfigurationAge.MaxAge)))
 	}
 	n.registryLog = &registryLog{log: n.log, leading: n.mirror.Leading, now: time.Now}
 	n.election = election.New(election.Config{
-		Key: n.config.TermKey, Daemon: n.config.ID, Address: n.config.PeerAddress, TTL: n.config.LeaseTime,
+		Key: n.config.TermKey, Daemon: n.config.ID, Address: n.config.PeerAddress, TTL: n.config.LeaseTTL,
 		HasLeaderHistory: func() bool { return n.holder.HasLeaderHistory() }, CampaignDelay: n.termDelay,
 		Now: boottime.Now, OnWritten: n.mirror.PollNow, // other daemons hear of it from this one
 	}, adapters.Store, n.log)
@@ -244,24 +244,24 @@
 		n.holder.Wake()
 	})
 	n.quarantine = &quarantine.Guard{
-		Prefix: n.config.EndsPrefix, Store: adapters.Store, Prober: replicas.Prober, Leaves: n.leaves, RestsUntil: n.fleet.RestsUntil, Leading: n.mirror.Leading,
+		Prefix: n.config.CrashPrefix, Store: adapters.Store, Prober: replicas.Prober, IsDraining: n.leaves, RestsUntil: n.fleet.RestsUntil, Leading: n.mirror.Leading,
 		Now: time.Now, Metrics: quarantine.NewMetrics(n.metrics), Log: n.log,
 	}
 	n.quarantine.Prepare()
 	requests.Quarantine = n.quarantine
 	n.follow(adapters)
-	n.quotas = &limiter.Client{Bounds: n.config.Quotas, Leader: n.election.LeaderAddress, HasLimits: n.needsQuotas, Now: boottime.Now,
+	n.quotas = &limiter.Client{Bounds: n.config.QuotaBounds, Leader: n.election.LeaderAddress, HasLimits: n.needsQuotas, Now: boottime.Now,
 		Daemons: requests.Daemons, CountPermit: newPermitCounts(n.metrics), Log: n.log}
 	n.quotas.Prepare()
 	requests.Limits, requests.Permits = n.quotas, n.quotas
 	n.quarantine.Turns = &replicaTurns{fleet: n.fleet, quotas: n.quotas}
-	n.limits = &limiter.Server{Bounds: n.config.Quotas, Table: n.routes, Term: n.election.Term, IsFirstTerm: n.holder.FirstTerm, Now: boottime.Now,
+	n.limits = &limiter.Server{Bounds: n.config.QuotaBounds, Table: n.routes, Term: n.election.Term, IsFirstTerm: n.holder.FirstTerm, Now: boottime.Now,
 		Reached: n.holder.Reached, LimitOf: n.fleet.LimitOf, Log: n.log}
 	n.holder.Turns = n.limits
 	subscriber := &records.Subscriber{Daemon: n.config.ID, Mirror: n.mirror, Source: n.recordSource, Standby: n.deputySource, Seeds: n.replicas.recordPeers, Log: n.log}
 	n.registerGauges()
-	n.frontend = frontend.New(n.listeners.callers, adapters.Callers(n.routes, n.gate, requests), frontend.Options{
-		ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTime: n.idleTime, TurnAway: turnAway, Log: n.log,
+	n.frontend = frontend.New(n.listeners.callers, adapters.NewCallerHandler(n.routes, n.gate, requests), frontend.Options{
+		ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: n.idleTime, ShutdownDelay: turnAway, Log: n.log,
 	})
 	server := transport.NewServer(n.listeners.peers)
 	n.peers = server
@@ -329,7 +329,7 @@
 
 // ready tells whether the node should get callers.
 func (n *Node) ready() bool {
-	return !n.frontend.Stopping() && n.gate.Open() && n.replicas.ready()
+	return !n.frontend.Stopping() && n.gate.Ready() && n.replicas.ready()
 }
 
 const (
@@ -373,25 +373,25 @@
 
 // End makes Run end as a killed process does: nothing is handed over, and no request is finished. It
 // is for laboratories, and called once.
-func (n *Node) End() { close(n.ended) }
+func (n *Node) Kill() { close(n.ended) }
 
 // Status is a node's own view of itself.
 type Status struct {
-	Ready         bool
-	ConfigVersion int64
-	Replicas      int   // that it knows
-	KnowsReplicas bool  // all of them
-	Fence         int64 // of its term; zero without one
-	Attached      int   // daemons attached to the holder, as it last told
-	Peers         transport.Traffic
+	Ready            bool
+	ConfigVersion    int64
+	Replicas         int   // that it knows
+	KnowsAllReplicas bool  // all of them
+	Fence            int64 // of its term; zero without one
+	Attached         int   // daemons attached to the holder, as it last told
+	PeerTraffic      transport.Traffic
 }
 
 // Status returns the node's view of itself.
 func (n *Node) Status() Status {
 	fence, _ := n.election.Term()
 	return Status{
-		Ready: n.ready(), ConfigVersion: n.routes.Version(), Replicas: n.fleet.Len(), KnowsReplicas: n.replicas.all(), Fence: fence,
-		Attached: n.core.Daemons(), Peers: n.peers.Traffic(),
+		Ready: n.ready(), ConfigVersion: n.routes.Version(), Replicas: n.fleet.Len(), KnowsAllReplicas: n.replicas.all(), Fence: fence,
+		Attached: n.core.Daemons(), PeerTraffic: n.peers.Traffic(),
 	}
 }
 
@@ -406,9 +406,9 @@
 // leave is a planned stop.
 func (n *Node) leave() error {
 	n.log.Info("planned stop begins")
-	ctx, cancel := context.WithTimeout(context.Background(), n.config.StopTime-stopMargin)
+	ctx, cancel := context.WithTimeout(context.Background(), n.config.StopTimeout-stopMargin)
 	now := time.Now()
-	n.core.Stop(core.StopTimes{AcceptUntil: now.Add(turnAway), EndBy: now.Add(n.config.StopTime - stopMargin - lastAnswers)})
+	n.core.Stop(core.StopTimes{AcceptUntil: now.Add(turnAway), EndBy: now.Add(n.config.StopTimeout - stopMargin - lastAnswers)})
 	defer cancel()
 	resigning, done := context.WithTimeout(ctx, resignTime)
 	defer done()
--- a/node/notices.go
+++ b/node/notices.go
@@ -11,9 +11,9 @@
 )
 
 // Notices is how the replicas' protocol deals with what replicas say of themselves.
-type Notices struct {
+type ReplicaCallbacks struct {
 	// Hear takes in a notice, before the answer that it came with is used.
-	Hear func(fleet.Hint)
+	OnHint func(fleet.Hint)
 	// Admit tells, right before a request is written, whether its replica still takes it.
 	Admit func(replica string, held fleet.Permit) error
 }
@@ -22,11 +22,11 @@
 func (n *Node) hear(notice fleet.Hint) {
 	now := time.Now()
 	if notice.InvalidLimit != "" {
-		n.noticeEntry(notice).WithField(logging.Limit, notice.InvalidLimit).Warn(logging.MessageLimitUnreadable)
+		n.noticeEntry(notice).WithField(logging.Limit, notice.InvalidLimit).Warn(logging.MessageInvalidLimit)
 	}
 	if change, news := n.fleet.ApplyLimitHint(notice, now); news {
 		n.notices.limits.Inc()
-		n.noticeEntry(notice).WithFields(logrus.Fields{logging.Limit: change.PerSecond, logging.LimitBefore: change.Previous}).Info(logging.MessageReplicaLimit)
+		n.noticeEntry(notice).WithFields(logrus.Fields{logging.Limit: change.PerSecond, logging.LimitBefore: change.Previous}).Info(logging.MessageReplicaLimitChanged)
 		n.follower.LimitReported()
 		n.holder.RegistryChanged(notice.Replica)
 	}
@@ -37,11 +37,11 @@
 	n.holder.RegistryChanged(notice.Replica)
 	if leaves {
 		n.notices.leaving.Inc()
-		n.noticeEntry(notice).Info(logging.MessageReplicaLeaves)
+		n.noticeEntry(notice).Info(logging.MessageReplicaDraining)
 	}
 	if notice.Backoff > 0 {
 		n.notices.rests.Inc()
-		n.noticeEntry(notice).WithField(logging.RestMs, notice.Backoff.Milliseconds()).Info(logging.MessageReplicaRests)
+		n.noticeEntry(notice).WithField(logging.BackoffMs, notice.Backoff.Milliseconds()).Info(logging.MessageReplicaBackoff)
 	}
 }
 
--- a/node/registrylog.go
+++ b/node/registrylog.go
@@ -36,7 +36,7 @@
 		return
 	}
 	r.log.WithFields(logrus.Fields{logging.Replica: entry.ID, logging.Service: entry.Service, logging.Address: entry.Address,
-		logging.Draining: entry.Draining}).WithFields(logging.AtRevision(revision)).Info(logging.MessageReplicaListed)
+		logging.Draining: entry.Draining}).WithFields(logging.RevisionFields(revision)).Info(logging.MessageReplicaListed)
 }
 
 // replicaGone logs that a replica's entry is gone.
@@ -45,7 +45,7 @@
 		r.count(0, 1, revision)
 		return
 	}
-	r.log.WithField(logging.Replica, id).WithFields(logging.AtRevision(revision)).Info(logging.MessageReplicaGone)
+	r.log.WithField(logging.Replica, id).WithFields(logging.RevisionFields(revision)).Info(logging.MessageReplicaRemoved)
 }
 
 // entryRefused logs that an entry is not one of a replica. Others may write it again and again.
@@ -54,7 +54,7 @@
 		r.count(1, 0, revision)
 		return
 	}
-	r.log.WithFields(logrus.Fields{logging.Replica: id, logging.Cause: cause.Error()}).WithFields(logging.AtRevision(revision)).Warn(logging.MessageEntryRefused)
+	r.log.WithFields(logrus.Fields{logging.Replica: id, logging.Cause: cause.Error()}).WithFields(logging.RevisionFields(revision)).Warn(logging.MessageEntryRejected)
 }
 
 // mostLines bounds the lines of single changes in a second: 10,000 replicas that a new holder reads at
@@ -82,6 +82,6 @@
 	if now.Sub(r.summaryAt) < registrySummaryPause {
 		return
 	}
-	r.log.WithFields(logrus.Fields{logging.Listed: r.listed, logging.Gone: r.gone}).WithFields(logging.AtRevision(revision)).Info(logging.MessageRegistryFollowed)
+	r.log.WithFields(logrus.Fields{logging.Listed: r.listed, logging.Removed: r.gone}).WithFields(logging.RevisionFields(revision)).Info(logging.MessageRegistrySummary)
 	r.summaryAt, r.listed, r.gone = now, 0, 0
 }
--- a/node/registrylog_test.go
+++ b/node/registrylog_test.go
@@ -26,9 +26,9 @@
 	now = now.Add(registrySummaryPause)
 	registry.replicaListed(fleet.Entry{ID: "r"}, 201)
 	summary := lines.LastEntry()
-	require.Equal(t, logging.MessageRegistryFollowed, summary.Message)
+	require.Equal(t, logging.MessageRegistrySummary, summary.Message)
 	require.Equal(t, 200, summary.Data[logging.Listed], "199 were left out of the first line")
-	require.Equal(t, 1, summary.Data[logging.Gone])
+	require.Equal(t, 1, summary.Data[logging.Removed])
 	require.EqualValues(t, 201, summary.Data[logging.Revision])
 
 	leading = true
@@ -38,7 +38,7 @@
 	require.Len(t, lines.AllEntries(), 2)
 	require.Equal(t, logging.MessageReplicaListed, lines.AllEntries()[0].Message)
 	require.Equal(t, true, lines.AllEntries()[0].Data[logging.Draining])
-	require.Equal(t, logging.MessageReplicaGone, lines.AllEntries()[1].Message)
+	require.Equal(t, logging.MessageReplicaRemoved, lines.AllEntries()[1].Message)
 }
 
 // A new holder reads all replicas at once.
@@ -52,5 +52,5 @@
 	require.Len(t, lines.AllEntries(), mostLines+1, "and a summary")
 	now = now.Add(registrySummaryPause)
 	written.replicaGone("r", 2)
-	require.Equal(t, logging.MessageReplicaGone, lines.LastEntry().Message)
+	require.Equal(t, logging.MessageReplicaRemoved, lines.LastEntry().Message)
 }
--- a/node/turns.go
+++ b/node/turns.go
@@ -16,7 +16,7 @@
 }
 
 // Take implements quarantine.Turns.
-func (t *replicaTurns) Take(ctx context.Context, replica fleet.Incarnation) bool {
+func (t *replicaTurns) TryReserve(ctx context.Context, replica fleet.Incarnation) bool {
 	perSecond := t.fleet.LimitOf(replica.ID)
 	if perSecond == 0 {
 		return true
--- a/placement/decide.go
+++ b/placement/decide.go
@@ -90,7 +90,7 @@
 				wish = Remove
 			}
 			adopted = append(adopted, Assignment{ReplicaID: held.ID, Model: held.Model, Version: held.Version, Accelerators: held.Accelerators,
-				MemoryBytes: held.MemoryBytes, Adapters: held.Adapters, Wish: wish, Since: p.Now, Fence: p.fence})
+				MemoryBytes: held.MemoryBytes, Adapters: held.Adapters, DesiredState: wish, Since: p.Now, Fence: p.fence})
 		}
 		if len(adopted) > len(planned.Assignments) {
 			p.plan.Engines[id] = EnginePlan{EngineID: id, Address: known.Address}
@@ -112,7 +112,7 @@
 			continue
 		}
 		kept := slices.DeleteFunc(slices.Clone(planned.Assignments), func(assignment Assignment) bool {
-			return assignment.Wish == Remove && confirmedGone(known, assignment)
+			return assignment.DesiredState == Remove && confirmedGone(known, assignment)
 		})
 		if len(kept) != len(planned.Assignments) {
 			p.update(id, kept)
@@ -137,7 +137,7 @@
 func (p *planner) retire() {
 	for _, id := range sortedKeys(p.plan.Engines) {
 		for index, assignment := range p.plan.Engines[id].Assignments {
-			if assignment.Wish == Keep && p.retired(id, assignment) {
+			if assignment.DesiredState == Keep && p.retired(id, assignment) {
 				p.remove(id, index)
 			}
 		}
@@ -161,7 +161,7 @@
 // remove turns the wish for an assignment into a removal.
 func (p *planner) remove(engineID string, index int) {
 	assignments := slices.Clone(p.plan.Engines[engineID].Assignments)
-	assignments[index].Wish = Remove
+	assignments[index].DesiredState = Remove
 	assignments[index].Since = p.Now
 	assignments[index].Fence = p.fence
 	p.update(engineID, assignments)
@@ -197,7 +197,7 @@
 			continue
 		}
 		for number, assignment := range p.plan.Engines[id].Assignments {
-			if assignment.Wish == Keep {
+			if assignment.DesiredState == Keep {
 				kept := place{id, number, assignment, isReady(known, assignment.ReplicaID)}
 				p.byModel[assignment.Model] = append(p.byModel[assignment.Model], kept)
 			}
@@ -299,7 +299,7 @@
 func (p *planner) removeReplica(replicaID string) {
 	for id, planned := range p.plan.Engines {
 		for index, assignment := range planned.Assignments {
-			if assignment.ReplicaID == replicaID && assignment.Wish == Keep {
+			if assignment.ReplicaID == replicaID && assignment.DesiredState == Keep {
 				p.remove(id, index)
 				return
 			}
@@ -351,7 +351,7 @@
 	assignments := append(slices.Clone(p.plan.Engines[best.engineID].Assignments), Assignment{
 		ReplicaID: p.NewReplicaID(), Model: need.model.Name, Version: need.model.Version,
 		Accelerators: best.accelerators, MemoryBytes: need.model.MemoryBytes,
-		Wish: Keep, Remote: best.remote, Since: p.Now, Fence: p.fence,
+		DesiredState: Keep, Remote: best.remote, Since: p.Now, Fence: p.fence,
 	})
 	if _, known := p.plan.Engines[best.engineID]; !known {
 		p.plan.Engines[best.engineID] = EnginePlan{EngineID: best.engineID}
@@ -368,7 +368,7 @@
 	running := 0
 	for id, planned := range p.plan.Engines {
 		for _, assignment := range planned.Assignments {
-			if assignment.Remote && assignment.Wish == Keep && !isReady(p.Engines[id], assignment.ReplicaID) {
+			if assignment.Remote && assignment.DesiredState == Keep && !isReady(p.Engines[id], assignment.ReplicaID) {
 				running++
 			}
 		}
--- a/placement/decide_test.go
+++ b/placement/decide_test.go
@@ -101,12 +101,12 @@
 	w.plan, w.state = decision.Plan, decision.State
 	for id, simulated := range w.engines {
 		if simulated.fence.Epoch < w.plan.Fence.Epoch {
-			simulated.pending = append(simulated.pending, engine.Order{Operation: engine.Seal, Fence: w.plan.Fence})
+			simulated.pending = append(simulated.pending, engine.Order{Operation: engine.RaiseFence, Fence: w.plan.Fence})
 		}
 		for _, assignment := range w.plan.Engines[id].Assignments {
 			order := engine.Order{Operation: engine.Load, Fence: w.plan.Fence, ReplicaID: assignment.ReplicaID, Model: assignment.Model,
 				Version: assignment.Version, Accelerators: assignment.Accelerators, MemoryBytes: assignment.MemoryBytes}
-			if assignment.Wish == placement.Remove {
+			if assignment.DesiredState == placement.Remove {
 				order.Operation = engine.Unload
 			}
 			simulated.pending = append(simulated.pending, order)
@@ -121,7 +121,7 @@
 		return
 	}
 	s.fence = order.Fence
-	if order.Operation == engine.Seal {
+	if order.Operation == engine.RaiseFence {
 		return
 	}
 	if order.Operation == engine.Unload {
@@ -153,7 +153,7 @@
 			loaded[held.Model]++
 		}
 	}
-	decided := w.plan.Decided()
+	decided := w.plan.ReplicasByModel()
 	for model, count := range loaded {
 		require.LessOrEqual(t, count, decided[model], "more replicas of %s loaded than decided", model)
 	}
@@ -290,8 +290,8 @@
 	for range 5 {
 		w.decide(t)
 		w.now = w.now.Add(time.Second)
-		require.Equal(t, 1, w.plan.Decided()["large"], "its memory counts until the engine confirms")
-		require.Zero(t, w.plan.Decided()["wide"])
+		require.Equal(t, 1, w.plan.ReplicasByModel()["large"], "its memory counts until the engine confirms")
+		require.Zero(t, w.plan.ReplicasByModel()["wide"])
 	}
 	w.settle(t, 3)
 	require.Equal(t, 1, w.loaded("wide"))
@@ -327,8 +327,8 @@
 	}
 	decision := placement.Decide(placement.Snapshot{Now: w.now, Region: "r", Tree: w.tree, Engines: known, Demand: w.demand, Plan: w.plan,
 		State: w.state, AdoptUnknown: true, NewReplicaID: func() string { return "new" }})
-	require.Equal(t, 1, decision.Plan.Decided()["large"])
-	require.Equal(t, 1, decision.Plan.Decided()["kept"])
+	require.Equal(t, 1, decision.Plan.ReplicasByModel()["large"])
+	require.Equal(t, 1, decision.Plan.ReplicasByModel()["kept"])
 }
 
 func TestAdapterTakesTheSlotOfAnIdleOne(t *testing.T) {
@@ -399,7 +399,7 @@
 		snapshot.Engines[engineID].Inventory.Replicas = append(snapshot.Engines[engineID].Inventory.Replicas, replica)
 		planned := snapshot.Plan.Engines[engineID]
 		planned.Assignments = append(planned.Assignments, placement.Assignment{ReplicaID: replica.ID, Model: model.Name, Version: "1",
-			Accelerators: []int{0}, MemoryBytes: model.MemoryBytes, Wish: placement.Keep, Since: now})
+			Accelerators: []int{0}, MemoryBytes: model.MemoryBytes, DesiredState: placement.Keep, Since: now})
 		snapshot.Plan.Engines[engineID] = planned
 	}
 	return snapshot
--- a/placement/estimate.go
+++ b/placement/estimate.go
@@ -23,20 +23,20 @@
 }
 
 // Unknown is an estimate that cannot be made.
-const Unknown = time.Duration(-1)
+const NoEstimate = time.Duration(-1)
 
 // ReadyIn estimates when a model's first replica is ready: zero if one is, and
 // Unknown if no load runs or no load was seen yet to judge by.
 func ReadyIn(now time.Time, plan Plan, engines map[string]Engine, state State, model string) time.Duration {
-	best := Unknown
+	best := NoEstimate
 	for id, planned := range plan.Engines {
 		known := engines[id]
 		for _, assignment := range planned.Assignments {
-			if assignment.Model != model || assignment.Wish != Keep || !known.Reachable {
+			if assignment.Model != model || assignment.DesiredState != Keep || !known.Reachable {
 				continue
 			}
 			left := loadLeft(now, known, assignment, state)
-			if left != Unknown && (best == Unknown || left < best) {
+			if left != NoEstimate && (best == NoEstimate || left < best) {
 				best = left
 			}
 		}
@@ -52,7 +52,7 @@
 		return costDisk * time.Second
 	}
 	if state.RemoteBytesPerSecond == 0 {
-		return Unknown
+		return NoEstimate
 	}
 	bytes := float64(assignment.MemoryBytes) * float64(len(assignment.Accelerators))
 	whole := time.Duration(bytes / state.RemoteBytesPerSecond * float64(time.Second))
@@ -68,7 +68,7 @@
 			continue
 		}
 		for _, assignment := range plan.Engines[id].Assignments {
-			if assignment.Model != model || assignment.Wish != Keep {
+			if assignment.Model != model || assignment.DesiredState != Keep {
 				continue
 			}
 			for _, held := range known.Inventory.Replicas {
--- a/placement/explain.go
+++ b/placement/explain.go
@@ -63,7 +63,7 @@
 				state = "engine not reachable; its memory stays charged"
 			}
 			lines = append(lines, fmt.Sprintf("replica on %s, accelerators %v: %s since %s, %s; adapters %v",
-				id, assignment.Accelerators, assignment.Wish, assignment.Since.Format(time.RFC3339), state, assignment.Adapters))
+				id, assignment.Accelerators, assignment.DesiredState, assignment.Since.Format(time.RFC3339), state, assignment.Adapters))
 		}
 	}
 	if len(lines) == 0 {
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -15,12 +15,12 @@
 )
 
 // Wish is what the plan wants of an assignment.
-type Wish string
+type DesiredState string
 
 // The wishes.
 const (
-	Keep   Wish = "keep"   // load it, or keep it loaded
-	Remove Wish = "remove" // unload it; its memory counts until confirmed
+	Keep   DesiredState = "keep"   // load it, or keep it loaded
+	Remove DesiredState = "remove" // unload it; its memory counts until confirmed
 )
 
 // Assignment is a replica on an engine.
@@ -31,7 +31,7 @@
 	Accelerators []int        `json:"accelerators"`
 	MemoryBytes  int64        `json:"memory_bytes"` // on each accelerator
 	Adapters     []string     `json:"adapters,omitempty"`
-	Wish         Wish         `json:"wish"`
+	DesiredState DesiredState `json:"wish"`
 	Remote       bool         `json:"remote,omitempty"` // its load reads the weight store
 	Since        time.Time    `json:"since"`            // of the wish
 	Fence        engine.Fence `json:"fence"`            // of the plan that made the wish
@@ -67,7 +67,7 @@
 
 // Decided returns how many replicas of each model the plan allows to be loaded,
 // those that are being removed included.
-func (p Plan) Decided() map[string]int {
+func (p Plan) ReplicasByModel() map[string]int {
 	decided := map[string]int{}
 	for _, planned := range p.Engines {
 		for _, assignment := range planned.Assignments {
--- a/placement/spots.go
+++ b/placement/spots.go
@@ -80,7 +80,7 @@
 	planned := map[string]bool{}
 	for _, assignment := range p.plan.Engines[candidate.ID].Assignments {
 		planned[assignment.ReplicaID] = true
-		if future && assignment.Wish == Remove {
+		if future && assignment.DesiredState == Remove {
 			continue
 		}
 		charge(free, assignment.Accelerators, assignment.MemoryBytes)
--- a/placer/apply.go
+++ b/placer/apply.go
@@ -102,7 +102,7 @@
 	for _, assignment := range c.plan.Engines[id].Assignments {
 		planned[assignment.ReplicaID] = true
 		replica, present := held[assignment.ReplicaID]
-		if assignment.Wish == placement.Remove {
+		if assignment.DesiredState == placement.Remove {
 			unseen := state.inventory.Fence.Less(assignment.Fence)
 			if unseen || (present && replica.State != engine.Unloading) {
 				unloads = append(unloads, engine.Order{Operation: engine.Unload, ReplicaID: assignment.ReplicaID, Model: assignment.Model})
@@ -124,7 +124,7 @@
 	}
 	orders := append(unloads, loads...)
 	if len(orders) == 0 && state.inventory.Fence.Epoch < c.plan.Fence.Epoch {
-		orders = append(orders, engine.Order{Operation: engine.Seal})
+		orders = append(orders, engine.Order{Operation: engine.RaiseFence})
 	}
 	orders = slices.DeleteFunc(orders, func(order engine.Order) bool {
 		return now.Sub(state.ordered[orderKey(order)]) < reorderPause
--- a/placer/cell.go
+++ b/placer/cell.go
@@ -135,7 +135,7 @@
 		switch held.State {
 		case engine.Loading:
 			if _, known := state.loading[held.ID]; !known {
-				state.loading[held.ID] = now.Add(-time.Duration(held.LoadingFor) * time.Millisecond)
+				state.loading[held.ID] = now.Add(-time.Duration(held.LoadingForMs) * time.Millisecond)
 			}
 		case engine.Ready:
 			if began, known := state.loading[held.ID]; known {
--- a/placer/record.go
+++ b/placer/record.go
@@ -83,7 +83,7 @@
 		changes[id] = whole[id] // empty where nothing is left
 	}
 	err = r.register.Propose(ctx, r.pending.Plan.Fence.Revision, changes, whole)
-	if errors.Is(err, group.ErrOutbid) {
+	if errors.Is(err, group.ErrPreempted) {
 		return errDeposed
 	}
 	if err != nil {
--- a/placer/service.go
+++ b/placer/service.go
@@ -85,8 +85,8 @@
 	return 0
 }
 
-// TakeOvers counts the terms begun by this daemon.
-func (s *Service) TakeOvers() uint64 { return s.takeOver.Load() }
+// Takeovers counts the terms begun by this daemon.
+func (s *Service) Takeovers() uint64 { return s.takeOver.Load() }
 
 // Serve implements suture.Service.
 func (s *Service) Serve(ctx context.Context) error {
@@ -195,15 +195,15 @@
 
 func (s *Service) logChanges(epoch uint64, before placement.Plan, decision placement.Decision) {
 	for _, id := range decision.Changed {
-		known := map[string]placement.Wish{}
+		known := map[string]placement.DesiredState{}
 		for _, assignment := range before.Engines[id].Assignments {
-			known[assignment.ReplicaID] = assignment.Wish
+			known[assignment.ReplicaID] = assignment.DesiredState
 		}
 		for _, assignment := range decision.Plan.Engines[id].Assignments {
-			if known[assignment.ReplicaID] != assignment.Wish {
+			if known[assignment.ReplicaID] != assignment.DesiredState {
 				s.Log.WithFields(logrus.Fields{
 					"epoch": epoch, "plan_revision": decision.Plan.Fence.Revision, "model": assignment.Model,
-					"engine": id, "wish": assignment.Wish, "replica": assignment.ReplicaID,
+					"engine": id, "wish": assignment.DesiredState, "replica": assignment.ReplicaID,
 				}).Info("placement changed")
 			}
 		}
@@ -274,16 +274,16 @@
 }
 
 // Picture is the placement as this daemon leads it, for status.
-type Picture struct {
+type PlacementStatus struct {
 	Epoch uint64
 	picture
 }
 
 // Picture returns the placement and whether this daemon leads.
-func (s *Service) Picture() (Picture, bool) {
+func (s *Service) PlacementStatus() (PlacementStatus, bool) {
 	term := s.leading.Load()
 	if term == nil {
-		return Picture{}, false
+		return PlacementStatus{}, false
 	}
-	return Picture{Epoch: term.epoch, picture: term.cell.picture()}, true
+	return PlacementStatus{Epoch: term.epoch, picture: term.cell.picture()}, true
 }
--- a/placer/watch.go
+++ b/placer/watch.go
@@ -157,7 +157,7 @@
 		state.replicas = append(state.replicas, text)
 	}
 	readyIn := placement.ReadyIn(now, shown.Plan, shown.Engines, shown.State, model)
-	if readyIn != placement.Unknown {
+	if readyIn != placement.NoEstimate {
 		message.ReadyInMs = readyIn.Milliseconds()
 		state.known = true
 		if len(message.Replicas) == 0 {
--- a/quarantine/cost_test.go
+++ b/quarantine/cost_test.go
@@ -175,7 +175,7 @@
 // such request costs in two minutes, by how many ends are allowed and how soon all know of one.
 func TestTheCostOfARequestThatEndsReplicas(t *testing.T) {
 	const seeds = 20
-	for _, allowed := range []int{1, 2, EndsAllowed, 4, 1000} {
+	for _, allowed := range []int{1, 2, CrashThreshold, 4, 1000} {
 		for _, spreads := range []time.Duration{0, 500 * time.Millisecond, 3 * time.Second} {
 			var sum cost
 			for seed := range uint64(seeds) {
@@ -188,8 +188,8 @@
 			}
 			t.Logf("ends allowed %4d, known after %4s: replicas ended %5.1f, of %d other requests lost %5.1f, withheld %5.2f",
 				allowed, spreads, float64(sum.ended)/seeds, sum.requests/seeds, float64(sum.lost)/seeds, float64(sum.withheld)/seeds)
-			if allowed == EndsAllowed && spreads <= 500*time.Millisecond {
-				require.LessOrEqual(t, sum.ended, seeds*(EndsAllowed+1))
+			if allowed == CrashThreshold && spreads <= 500*time.Millisecond {
+				require.LessOrEqual(t, sum.ended, seeds*(CrashThreshold+1))
 				require.LessOrEqual(t, sum.withheld, seeds, "of those that merely ran beside")
 			}
 		}
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -40,7 +40,7 @@
 // Turns shares out the messages that replicas with a limit take.
 type Turns interface {
 	// Take takes a turn for a message if one is free now.
-	Take(ctx context.Context, replica fleet.Incarnation) bool
+	TryReserve(ctx context.Context, replica fleet.Incarnation) bool
 	// Charge counts a message that goes to a replica whether it has a turn or not.
 	Charge(replica fleet.Incarnation)
 }
@@ -66,7 +66,7 @@
 	Store  kv.Store
 	Prober Prober
 	// Leaves tells whether a replica was going to end anyway.
-	Leaves func(replica string) bool
+	IsDraining func(replica string) bool
 	// RestsUntil returns until when a replica wants nothing of this daemon; a moment that has passed,
 	// or zero, if it wants requests.
 	RestsUntil func(replica string) time.Time
@@ -128,7 +128,7 @@
 // once it is known whether the replica has ended, or the time for that is over: the request
 // may be withheld from then on, and must not go to another replica before.
 func (g *Guard) ConnectionBroken(ctx context.Context, replica fleet.Incarnation, address string, request Fingerprint) {
-	if g.Leaves(replica.ID) {
+	if g.IsDraining(replica.ID) {
 		return
 	}
 	if g.probe(ctx, replica, address, g.charge) == Ended {
@@ -146,7 +146,7 @@
 
 // hasTurn tells whether a replica may be asked after what was merely given up there.
 func (g *Guard) hasTurn(ctx context.Context, replica fleet.Incarnation) bool {
-	return g.Turns == nil || g.Turns.Take(ctx, replica)
+	return g.Turns == nil || g.Turns.TryReserve(ctx, replica)
 }
 
 // rests tells whether a replica wants nothing of this daemon now.
@@ -156,7 +156,7 @@
 // or its time was over. A replica begins to run, or goes on with, some that were given up, and
 // nothing of its end is then heard on their connections.
 func (g *Guard) Abandoned(replica fleet.Incarnation, address string, request Fingerprint) {
-	if g.Leaves(replica.ID) {
+	if g.IsDraining(replica.ID) {
 		return
 	}
 	g.mutex.Lock()
@@ -176,7 +176,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), probeTime)
 	defer cancel()
 	// Of what was merely given up nothing shows that a replica at rest ended.
-	if !g.Leaves(replica.ID) && !g.rests(replica.ID) {
+	if !g.IsDraining(replica.ID) && !g.rests(replica.ID) {
 		if !g.hasTurn(ctx, replica) {
 			g.checkLater(replica, address)
 			return
@@ -266,9 +266,9 @@
 	g.fill()
 	found := g.ledger.against(request)
 	g.Log.WithFields(logrus.Fields{
-		logging.Fingerprint: request.String(), logging.Replica: replica, logging.Ends: len(found.Replicas),
+		logging.Fingerprint: request.String(), logging.Replica: replica, logging.Crashes: len(found.Replicas),
 		logging.Outcome: map[bool]string{true: "withheld", false: "may go on"}[found.Withheld()],
-	}).Warn(logging.MessageReplicaEndedUnder)
+	}).Warn(logging.MessageReplicaCrashed)
 }
 
 // Served takes in that a replica served a request whole. Daemons are told only where one more
@@ -279,12 +279,12 @@
 	if g.ledger.named[request] == nil {
 		return
 	}
-	if len(g.ledger.against(request).Replicas) < EndsAllowed-1 || !g.room() {
+	if len(g.ledger.against(request).Replicas) < CrashThreshold-1 || !g.room() {
 		return
 	}
 	g.filling.Served = append(g.filling.Served, request[:])
 	g.fill()
-	g.Log.WithField(logging.Fingerprint, request.String()).Info(logging.MessageRequestCleared)
+	g.Log.WithField(logging.Fingerprint, request.String()).Info(logging.MessageSuspectCleared)
 }
 
 // room tells whether the report that is being filled takes another fingerprint; the mutex is
@@ -322,11 +322,11 @@
 	delete(g.lost, event.Pair.Key)
 	report, err := ParseReport(event.Pair.Value)
 	if err != nil {
-		g.Log.WithField(logging.Cause, err.Error()).WithFields(logging.AtRevision(event.Pair.ModRevision)).Warn("report of replicas that ended not used")
+		g.Log.WithField(logging.Cause, err.Error()).WithFields(logging.RevisionFields(event.Pair.ModRevision)).Warn("report of replicas that ended not used")
 		return
 	}
 	g.ledger.put(event.Pair.Key, report, event.Pair.ModRevision, g.Now())
-	for _, end := range report.Ends {
+	for _, end := range report.Crashes {
 		for _, request := range g.left.take(end.Replica, g.Now()) {
 			g.accuse(end.Replica, request)
 		}
--- a/quarantine/guard_test.go
+++ b/quarantine/guard_test.go
@@ -143,7 +143,7 @@
 	log.SetOutput(io.Discard)
 	for number := range daemons {
 		guard := &Guard{
-			Prefix: "ends/", Store: shared, Prober: prober, Leaves: func(replica string) bool { return strings.HasPrefix(replica, "leaving") },
+			Prefix: "ends/", Store: shared, Prober: prober, IsDraining: func(replica string) bool { return strings.HasPrefix(replica, "leaving") },
 			RestsUntil: func(string) time.Time { return time.Time{} },
 			Leading:    func() bool { return number == 0 && !shared.noLeader.Load() }, Now: time.Now, Metrics: NewMetrics(prometheus.NewRegistry()), Log: log,
 		}
@@ -179,7 +179,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		shared, guards := fleetOf(t, 1, &answers{is: map[string]Liveness{"r0": Ended, "r1": Ended, "r2": Ended}})
 		shared.failNext(kv.ErrUnavailable, kv.ErrUnavailable, kv.ErrUncertain, kv.ErrUnavailable)
-		for number := range EndsAllowed {
+		for number := range CrashThreshold {
 			guards[0].ConnectionBroken(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", named(1))
 		}
 		require.NotNil(t, guards[0].Withheld(named(1)), "before the service has it")
@@ -194,7 +194,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		prober := &answers{is: map[string]Liveness{"runs": Running, "cut": Unknown, "leaving": Ended}}
 		shared, guards := fleetOf(t, 1, prober)
-		for range 2 * EndsAllowed {
+		for range 2 * CrashThreshold {
 			for _, replica := range []string{"runs", "cut", "leaving"} {
 				guards[0].ConnectionBroken(t.Context(), fleet.Incarnation{ID: replica}, "address", named(1))
 			}
@@ -415,7 +415,7 @@
 // turns grants some turns and counts the messages that went without one.
 type turns struct{ left, charged, asked atomic.Int64 }
 
-func (t *turns) Take(context.Context, fleet.Incarnation) bool {
+func (t *turns) TryReserve(context.Context, fleet.Incarnation) bool {
 	t.asked.Add(1)
 	return t.left.Add(-1) >= 0
 }
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// EndsAllowed is how many replicas may end while they have a request before it is
+	// CrashThreshold is how many replicas may end while they have a request before it is
 	// withheld. By the users' rules a request that crashed three may reach replicas three
 	// times more at most, by daemons that could know. Two would save one replica a request and
 	// withheld no other in any run; where replicas end one after the other for another cause,
 	// what ran beside meets two ends more easily (docs/design/quarantine.md).
-	EndsAllowed = 3
+	CrashThreshold = 3
 	// withheldTime is how long the ends under a request that is withheld are remembered. It
 	// then costs at most three replicas an hour.
 	withheldTime = time.Hour
@@ -85,7 +85,7 @@
 	for _, one := range r.Served {
 		listed = append(listed, Fingerprint(one))
 	}
-	for _, end := range r.Ends {
+	for _, end := range r.Crashes {
 		for _, one := range end.Requests {
 			listed = append(listed, Fingerprint(one))
 		}
@@ -99,7 +99,7 @@
 }
 
 // Case is what is known against a request.
-type Case struct {
+type CrashHistory struct {
 	Replicas []string // that ended while they had it, in order of their ids
 	// Until is when so many of these are forgotten that the request is no longer withheld;
 	// the zero time if it is not.
@@ -107,10 +107,10 @@
 }
 
 // Withheld tells whether the request must not go to a replica.
-func (c Case) Withheld() bool { return len(c.Replicas) >= EndsAllowed }
+func (c CrashHistory) Withheld() bool { return len(c.Replicas) >= CrashThreshold }
 
 // against returns what is known against a request.
-func (l *ledger) against(request Fingerprint) Case {
+func (l *ledger) against(request Fingerprint) CrashHistory {
 	cleared := int64(math.MinInt64)
 	for key := range l.named[request] {
 		if report := l.reports[key]; names(report.Served, request) {
@@ -123,23 +123,23 @@
 		if report.order < cleared {
 			continue
 		}
-		for _, end := range report.Ends {
+		for _, end := range report.Crashes {
 			if at, known := seen[end.Replica]; names(end.Requests, request) && (!known || report.since.Before(at)) {
 				seen[end.Replica] = report.since
 			}
 		}
 	}
-	found := Case{Replicas: slices.Sorted(maps.Keys(seen))}
+	found := CrashHistory{Replicas: slices.Sorted(maps.Keys(seen))}
 	if found.Withheld() {
 		times := slices.SortedFunc(maps.Values(seen), time.Time.Compare)
-		found.Until = times[len(times)-EndsAllowed].Add(withheldTime)
+		found.Until = times[len(times)-CrashThreshold].Add(withheldTime)
 	}
 	return found
 }
 
 // matters tells whether a report names a request that is withheld.
 func (l *ledger) matters(report *kept) bool {
-	for _, end := range report.Ends {
+	for _, end := range report.Crashes {
 		for _, one := range end.Requests {
 			if l.against(Fingerprint(one)).Withheld() {
 				return true
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -70,17 +70,17 @@
 
 func TestOldReportsGoFirstAndThoseThatWithholdLast(t *testing.T) {
 	l := newLedger()
-	for number := range EndsAllowed {
+	for number := range CrashThreshold {
 		l.put(fmt.Sprintf("withholds-%d", number), reportOf(map[string][]int{fmt.Sprintf("r%d", number): {0}}), int64(number), start)
 	}
 	for number := range mostReports {
 		l.put(fmt.Sprintf("other-%04d", number), reportOf(map[string][]int{"s": {number + 1}}), int64(100+number), start.Add(time.Second))
 	}
 	require.Empty(t, slices.DeleteFunc(l.outdated(start.Add(time.Minute)), func(key string) bool { return key[0] == 'o' }))
-	require.Len(t, l.outdated(start.Add(time.Minute)), EndsAllowed, "as many as there are too many")
+	require.Len(t, l.outdated(start.Add(time.Minute)), CrashThreshold, "as many as there are too many")
 	later := l.outdated(start.Add(suspectTime + time.Minute))
 	require.Len(t, later, mostReports, "what withholds nothing is forgotten earlier")
-	require.Len(t, l.outdated(start.Add(withheldTime+time.Minute)), mostReports+EndsAllowed)
+	require.Len(t, l.outdated(start.Add(withheldTime+time.Minute)), mostReports+CrashThreshold)
 }
 
 // Over any sequence of reports the ledger says what a plain count over all of them says.
@@ -129,7 +129,7 @@
 	}
 	replicas := map[string]bool{}
 	for key, report := range all {
-		for _, end := range report.Ends {
+		for _, end := range report.Crashes {
 			if orders[key] >= cleared && names(end.Requests, request) {
 				replicas[end.Replica] = true
 			}
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -8,7 +8,7 @@
 )
 
 // End is the end of a replica's process with the requests that one daemon had there.
-type End struct {
+type Crash struct {
 	Replica  string   `json:"replica"`  // names the incarnation
 	Requests [][]byte `json:"requests"` // fingerprints
 }
@@ -16,7 +16,7 @@
 // Report is what one daemon saw within a short time. It is kept as a record of the platform's
 // key-value service.
 type Report struct {
-	Ends []End `json:"ends,omitempty"`
+	Crashes []Crash `json:"ends,omitempty"`
 	// Served are fingerprints of requests that a replica served whole although others had
 	// ended with them: those ends had another cause.
 	Served [][]byte `json:"served,omitempty"`
@@ -29,7 +29,7 @@
 		return Report{}, errors.Wrap(err, "decode a report of replicas that ended")
 	}
 	fingerprints := slices.Clone(report.Served)
-	for _, end := range report.Ends {
+	for _, end := range report.Crashes {
 		fingerprints = append(fingerprints, end.Requests...)
 	}
 	for _, one := range fingerprints {
@@ -49,7 +49,7 @@
 // size returns how many fingerprints the report names.
 func (r Report) size() int {
 	size := len(r.Served)
-	for _, end := range r.Ends {
+	for _, end := range r.Crashes {
 		size += len(end.Requests)
 	}
 	return size
@@ -57,22 +57,22 @@
 
 // addEnd notes that a replica ended while it had a request.
 func (r *Report) addEnd(replica string, request Fingerprint) {
-	index := slices.IndexFunc(r.Ends, func(end End) bool { return end.Replica == replica })
+	index := slices.IndexFunc(r.Crashes, func(end Crash) bool { return end.Replica == replica })
 	if index < 0 {
-		index = len(r.Ends)
-		r.Ends = append(r.Ends, End{Replica: replica})
+		index = len(r.Crashes)
+		r.Crashes = append(r.Crashes, Crash{Replica: replica})
 	}
-	if names(r.Ends[index].Requests, request) {
+	if names(r.Crashes[index].Requests, request) {
 		return
 	}
-	r.Ends[index].Requests = append(r.Ends[index].Requests, request[:])
+	r.Crashes[index].Requests = append(r.Crashes[index].Requests, request[:])
 }
 
 // clone returns a copy that later additions do not change.
 func (r Report) clone() Report {
 	copied := Report{Served: slices.Clone(r.Served)}
-	for _, end := range r.Ends {
-		copied.Ends = append(copied.Ends, End{Replica: end.Replica, Requests: slices.Clone(end.Requests)})
+	for _, end := range r.Crashes {
+		copied.Crashes = append(copied.Crashes, Crash{Replica: end.Replica, Requests: slices.Clone(end.Requests)})
 	}
 	return copied
 }
--- a/quarantine/restore_test.go
+++ b/quarantine/restore_test.go
@@ -31,7 +31,7 @@
 		clearing, err := Report{Served: [][]byte{request[:]}}.Encode()
 		require.NoError(t, err)
 		var ended Report
-		for number := range EndsAllowed {
+		for number := range CrashThreshold {
 			ended.addEnd(fmt.Sprintf("r%d", number), request)
 		}
 		ends, err := ended.Encode()
@@ -50,12 +50,12 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				shared, guards := fleetOf(t, 2, &answers{is: map[string]Liveness{"r0": Ended, "r1": Ended, "r2": Ended}})
-				for number := range EndsAllowed {
+				for number := range CrashThreshold {
 					guards[1].ConnectionBroken(t.Context(), fleet.Incarnation{ID: fmt.Sprintf("r%d", number)}, "address", named(1))
 					time.Sleep(2 * gatherTime)
 				}
 				written := shared.recordCount()
-				require.Equal(t, EndsAllowed, written)
+				require.Equal(t, CrashThreshold, written)
 				shared.noLeader.Store(leaderless > 0)
 				shared.restoreEmpty()
 				for _, guard := range guards {
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -243,8 +243,8 @@
 // Waiting is the number of items that wait.
 func (q *Queue) Waiting() int { return len(q.items) }
 
-// IsWaiting tells whether any item waits for a target.
-func (q *Queue) IsWaiting(target string) bool { return q.lanes[target] != nil }
+// HasWaiting tells whether any item waits for a target.
+func (q *Queue) HasWaiting(target string) bool { return q.lanes[target] != nil }
 
 // Running is the number of items that hold a slot.
 func (q *Queue) Running() int { return len(q.running) }
--- a/records/bulk.go
+++ b/records/bulk.go
@@ -135,7 +135,7 @@
 // reportOmitChange logs and announces that this daemon starts or stops omitting replica records.
 // Callers hold applyMutex.
 func (m *Mirror) reportOmitChange(omitsReplicas bool) {
-	m.log.WithField(logging.WithoutReplicas, omitsReplicas).WithFields(logging.AtRevision(m.Revision())).Info(logging.MessageReplicasKnown)
+	m.log.WithField(logging.WithoutReplicas, omitsReplicas).WithFields(logging.RevisionFields(m.Revision())).Info(logging.MessageReplicaRecordScopeChanged)
 	if m.onOmitChanged != nil {
 		m.onOmitChanged(omitsReplicas)
 	}
--- a/records/contact.go
+++ b/records/contact.go
@@ -22,7 +22,7 @@
 func (m *Mirror) markReachable() {
 	if !m.storeReachable {
 		m.storeReachable = true
-		m.log.WithField(logging.Dependency, dependencyService).WithFields(logging.AtRevision(m.revision)).Info(logging.MessageDependencyRegained)
+		m.log.WithField(logging.Dependency, dependencyService).WithFields(logging.RevisionFields(m.revision)).Info(logging.MessageDependencyRegained)
 	}
 }
 
@@ -34,7 +34,7 @@
 		return
 	}
 	m.storeReachable = false
-	m.log.WithFields(logrus.Fields{logging.Dependency: dependencyService, logging.Cause: cause.Error()}).WithFields(logging.AtRevision(m.revision)).
+	m.log.WithFields(logrus.Fields{logging.Dependency: dependencyService, logging.Cause: cause.Error()}).WithFields(logging.RevisionFields(m.revision)).
 		Warn(logging.MessageDependencyLost)
 }
 
--- a/records/era.go
+++ b/records/era.go
@@ -22,7 +22,7 @@
 	}
 	m.outdated = true
 	m.forgetConfirmations()
-	m.log.WithFields(logging.AtRevision(m.revision)).Warn("key-value service was restored from a backup; listing records again")
+	m.log.WithFields(logging.RevisionFields(m.revision)).Warn("key-value service was restored from a backup; listing records again")
 }
 
 // enterEra discards the reports of an earlier era if the records are of a later era than before.
@@ -58,7 +58,7 @@
 			deleted++
 		}
 	}
-	m.log.WithFields(logging.AtRevision(after)).WithFields(logrus.Fields{
-		logging.EraBefore: kv.EraOf(before), logging.RevisionBefore: kv.CounterOf(before), logging.Listed: len(events) - deleted, logging.Gone: deleted,
-	}).Warn(logging.MessageServiceRestored)
+	m.log.WithFields(logging.RevisionFields(after)).WithFields(logrus.Fields{
+		logging.EraBefore: kv.EraOf(before), logging.RevisionBefore: kv.CounterOf(before), logging.Listed: len(events) - deleted, logging.Removed: deleted,
+	}).Warn(logging.MessageStoreRestored)
 }
--- a/records/pauses.go
+++ b/records/pauses.go
@@ -24,7 +24,7 @@
 	if remaining <= 0 || m.leading {
 		if (confirmed <= 0 || m.leading) && !m.confirmedAt.IsZero() {
 			m.confirmedAt = time.Time{}
-			m.log.WithField(logging.Dependency, dependencyPeer).WithFields(logging.AtRevision(m.revision)).Info(logging.MessageDependencyLost)
+			m.log.WithField(logging.Dependency, dependencyPeer).WithFields(logging.RevisionFields(m.revision)).Info(logging.MessageDependencyLost)
 		}
 		m.mutex.Unlock()
 		return false
--- a/records/records.go
+++ b/records/records.go
@@ -176,7 +176,7 @@
 			listed = false
 			m.awaitLeaderList(ctx)
 		case errors.Is(err, kv.ErrCompacted):
-			m.log.WithFields(logging.AtRevision(m.Revision())).Warn("key-value service has compacted its history; listing records again")
+			m.log.WithFields(logging.RevisionFields(m.Revision())).Warn("key-value service has compacted its history; listing records again")
 			listed = false
 			m.awaitLeaderList(ctx)
 		default:
@@ -251,7 +251,7 @@
 	defer m.applyMutex.Unlock()
 	missing := m.missingReplicas()
 	if known := m.Revision(); revision < known && !missing {
-		m.log.WithFields(logging.AtRevision(known)).WithField(logging.ListedRevision, kv.CounterOf(revision)).
+		m.log.WithFields(logging.RevisionFields(known)).WithField(logging.ListedRevision, kv.CounterOf(revision)).
 			Warn("ignoring outdated list of the key-value service; a peer has forwarded newer records")
 		return
 	}
--- a/settings/registry_test.go
+++ b/settings/registry_test.go
@@ -80,7 +80,7 @@
 	require.NoError(t, err)
 	store := &settings.Store{}
 	seen := make(chan uint64, 10)
-	store.Listen(func(revision *settings.Revision) { seen <- revision.Number })
+	store.Subscribe(func(revision *settings.Revision) { seen <- revision.Number })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = registry.Follow(ctx, store, func(error) {}) }()
--- a/settings/store.go
+++ b/settings/store.go
@@ -38,7 +38,7 @@
 }
 
 // Listen registers a function to call after each advance.
-func (s *Store) Listen(listener func(*Revision)) {
+func (s *Store) Subscribe(listener func(*Revision)) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.listeners = append(s.listeners, listener)
--- a/standin/engines/orders.go
+++ b/standin/engines/orders.go
@@ -36,7 +36,7 @@
 	}
 	slices.Sort(described.Adapters)
 	if r.state == engine.Loading {
-		described.LoadingFor = now.Sub(r.since).Milliseconds()
+		described.LoadingForMs = now.Sub(r.since).Milliseconds()
 	}
 	return described
 }
@@ -49,7 +49,7 @@
 	}
 	time.Sleep(time.Duration(e.Faults.Get().DelayOrders))
 	answer := e.Execute(order)
-	if e.Faults.Get().LoseOrderAnswers {
+	if e.Faults.Get().DropOrderResponses {
 		panic(http.ErrAbortHandler)
 	}
 	status := http.StatusOK
@@ -60,29 +60,29 @@
 }
 
 // Execute acts on an order, unless the fence or the memory forbids it.
-func (e *Engine) Execute(order engine.Order) engine.OrderAnswer {
+func (e *Engine) Execute(order engine.Order) engine.OrderResponse {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if order.Fence.Less(e.fence) {
 		e.record(Entry{Kind: FenceRefused, ReplicaID: order.ReplicaID, Model: order.Model,
 			Epoch: order.Fence.Epoch, Revision: order.Fence.Revision, Detail: string(order.Operation)})
-		return engine.OrderAnswer{Reason: "fence is lower than one already seen", Fence: e.fence}
+		return engine.OrderResponse{Reason: "fence is lower than one already seen", Fence: e.fence}
 	}
 	if order.Process != e.process {
-		return engine.OrderAnswer{Reason: "the order is for an earlier process of this engine", Fence: e.fence}
+		return engine.OrderResponse{Reason: "the order is for an earlier process of this engine", Fence: e.fence}
 	}
 	if e.fence.Less(order.Fence) {
 		e.touch()
 		e.fence = order.Fence
 	}
 	reason := e.act(order)
-	return engine.OrderAnswer{Accepted: reason == "", Reason: reason, Fence: e.fence}
+	return engine.OrderResponse{Accepted: reason == "", Reason: reason, Fence: e.fence}
 }
 
 // act returns why an order is refused, or nothing.
 func (e *Engine) act(order engine.Order) string {
 	switch order.Operation {
-	case engine.Seal:
+	case engine.RaiseFence:
 		return ""
 	case engine.Load:
 		return e.load(order)
@@ -115,7 +115,7 @@
 		if index < 0 || index >= len(e.used) {
 			return fmt.Sprintf("accelerator %d does not exist", index)
 		}
-		if e.used[index]+order.MemoryBytes > e.config.AcceleratorBytes {
+		if e.used[index]+order.MemoryBytes > e.config.AcceleratorMemoryBytes {
 			e.record(Entry{Kind: MemoryRefused, ReplicaID: order.ReplicaID, Model: order.Model,
 				Epoch: order.Fence.Epoch, Revision: order.Fence.Revision})
 			return fmt.Sprintf("accelerator %d has no room", index)
@@ -267,7 +267,7 @@
 	e.workers.Add(1)
 	go func() {
 		defer e.workers.Done()
-		if !sleep.For(e.ctx, e.config.Timing.AdapterLoad) {
+		if !sleep.For(e.ctx, e.config.Timing.AdapterLoadTime) {
 			return
 		}
 		e.mutex.Lock()
--- a/transport/transport.go
+++ b/transport/transport.go
@@ -48,7 +48,7 @@
 }
 
 // To returns a connection to a daemon for calls; it is dialed when first used.
-func (p *Pool) To(ctx context.Context, address string) drpc.Conn {
+func (p *Pool) Conn(ctx context.Context, address string) drpc.Conn {
 	return p.connections.Get(ctx, address, func(ctx context.Context, address string) (drpcpool.Conn, error) {
 		return Dial(ctx, address)
 	})
