--- a/faultproxy/faultproxy.go
+++ b/faultproxy/faultproxy.go
@@ -1,6 +1,5 @@
-// Package faultproxy is a small TCP proxy that injects faults between two
-// processes of a test: delay, cut, half-open connections, answers lost after the
-// question went through, and refusal of new connections.
+// Package faultproxy is a TCP proxy for tests that injects faults between two processes: delays, closed, stalled and
+// refused connections, and responses dropped after the request was delivered.
 package faultproxy
 
 import (
@@ -11,31 +10,30 @@
 	"github.com/pkg/errors"
 )
 
-// Faults are what the proxy does to connections, new and open ones.
+// Faults are the faults that the proxy injects, on open connections too.
 type Faults struct {
-	// Refuse closes new connections at once.
+	// Refuse closes new connections immediately.
 	Refuse bool
-	// Delay is added to each chunk, in both directions. Connections are delayed
-	// one by one, so what is sent on several is reordered between them.
+	// Delay is added to each chunk, in both directions. Each connection is delayed independently, so data on
+	// different connections may be reordered.
 	Delay time.Duration
-	// DropAnswers lets what the client sends through, and cuts the connection
-	// when the server begins to answer.
-	DropAnswers bool
-	// Silent keeps connections open and passes nothing: half-open.
-	Silent bool
+	// DropResponses forwards what the client sends, and closes the connection when the server sends data.
+	DropResponses bool
+	// Stall keeps connections open and forwards nothing.
+	Stall bool
 }
 
-// Proxy forwards from its address to a target.
+// Proxy forwards TCP connections from its address to a target.
 type Proxy struct {
-	listener net.Listener
-	mutex    sync.Mutex
-	target   string
-	faults   Faults
-	changed  chan struct{}
-	open     map[net.Conn]bool
-	muted    map[net.Conn]bool // open ones on which nothing passes any more
-	closed   bool
-	finished sync.WaitGroup
+	listener    net.Listener
+	mutex       sync.Mutex
+	target      string
+	faults      Faults
+	changed     chan struct{} // closed and replaced when the faults change
+	connections map[net.Conn]bool
+	stalled     map[net.Conn]bool // connections that forward nothing any more
+	closed      bool
+	finished    sync.WaitGroup
 }
 
 const (
@@ -43,22 +41,22 @@
 	dialTimeout = time.Second
 )
 
-// New starts a proxy on a free loopback port. The target may be set later.
+// New starts a proxy on an unused loopback port. The target may be set later with SetTarget.
 func New(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, errors.Wrap(err, "listen on loopback")
+		return nil, errors.Wrap(err, "listen on a loopback address")
 	}
-	proxy := &Proxy{listener: listener, target: target, changed: make(chan struct{}), open: map[net.Conn]bool{}, muted: map[net.Conn]bool{}}
+	proxy := &Proxy{listener: listener, target: target, changed: make(chan struct{}), connections: map[net.Conn]bool{}, stalled: map[net.Conn]bool{}}
 	proxy.finished.Add(1)
 	go proxy.accept()
 	return proxy, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// SetTarget changes where new connections go.
+// SetTarget changes the target of new connections.
 func (p *Proxy) SetTarget(target string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -74,33 +72,31 @@
 	p.changed = make(chan struct{})
 }
 
-// Cut closes all open connections.
-func (p *Proxy) Cut() {
+// CloseConnections closes all open connections.
+func (p *Proxy) CloseConnections() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for connection := range p.open {
+	for connection := range p.connections {
 		_ = connection.Close()
 	}
 }
 
-// SilenceOpen lets nothing pass any more on the connections that are open now, for good; new
-// ones work.
-func (p *Proxy) SilenceOpen() {
+// StallOpen stalls the connections that are open now, permanently. New connections are not affected.
+func (p *Proxy) StallOpen() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for connection := range p.open {
-		p.muted[connection] = true
+	for connection := range p.connections {
+		p.stalled[connection] = true
 	}
 }
 
-// isMuted tells whether nothing passes on a connection any more.
-func (p *Proxy) isMuted(connection net.Conn) bool {
+func (p *Proxy) isStalled(connection net.Conn) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.muted[connection]
+	return p.stalled[connection]
 }
 
-// Close ends the proxy.
+// Close stops the proxy, closes all connections and waits until they have ended.
 func (p *Proxy) Close() {
 	p.mutex.Lock()
 	p.closed = true
@@ -108,31 +104,32 @@
 	p.changed = make(chan struct{})
 	p.mutex.Unlock()
 	_ = p.listener.Close()
-	p.Cut()
+	p.CloseConnections()
 	p.finished.Wait()
 }
 
+// state returns the current settings, with the channel that is closed when they change.
 func (p *Proxy) state() (faults Faults, target string, changed <-chan struct{}, closed bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.faults, p.target, p.changed, p.closed
 }
 
-// track remembers a connection; it is closed at once if the proxy is.
+// track adds an open connection, and closes it if the proxy is closed.
 func (p *Proxy) track(connection net.Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.open[connection] = true
+	p.connections[connection] = true
 	if p.closed {
 		_ = connection.Close()
 	}
 }
 
-func (p *Proxy) forget(connection net.Conn) {
+func (p *Proxy) untrack(connection net.Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	delete(p.open, connection)
-	delete(p.muted, connection)
+	delete(p.connections, connection)
+	delete(p.stalled, connection)
 }
 
 func (p *Proxy) accept() {
@@ -157,30 +154,30 @@
 
 func (p *Proxy) forward(client net.Conn, target string) {
 	p.track(client)
-	defer p.forget(client)
+	defer p.untrack(client)
 	defer func() { _ = client.Close() }()
 	server, err := net.DialTimeout("tcp", target, dialTimeout)
 	if err != nil {
 		return
 	}
 	p.track(server)
-	defer p.forget(server)
+	defer p.untrack(server)
 	defer func() { _ = server.Close() }()
-	var both sync.WaitGroup
-	both.Add(2)
+	var directions sync.WaitGroup
+	directions.Add(2)
 	go func() {
-		defer both.Done()
-		p.pump(server, client, false)
+		defer directions.Done()
+		p.copyDirection(server, client, false)
 	}()
 	go func() {
-		defer both.Done()
-		p.pump(client, server, true)
+		defer directions.Done()
+		p.copyDirection(client, server, true)
 	}()
-	both.Wait()
+	directions.Wait()
 }
 
-// pump copies one direction until it ends, then ends the other.
-func (p *Proxy) pump(to, from net.Conn, answers bool) {
+// copyDirection forwards data in one direction until that ends, and closes both connections.
+func (p *Proxy) copyDirection(to, from net.Conn, fromServer bool) {
 	defer func() {
 		_ = to.Close()
 		_ = from.Close()
@@ -188,7 +185,7 @@
 	buffer := make([]byte, chunkBytes)
 	for {
 		size, err := from.Read(buffer)
-		if size > 0 && !p.pass(to, buffer[:size], answers) {
+		if size > 0 && !p.writeChunk(to, buffer[:size], fromServer) {
 			return
 		}
 		if err != nil {
@@ -197,18 +194,18 @@
 	}
 }
 
-// pass writes a chunk as the faults allow; false ends the connection.
-func (p *Proxy) pass(to net.Conn, chunk []byte, answers bool) bool {
+// writeChunk forwards a chunk subject to the faults. It returns false if the connection is to be closed.
+func (p *Proxy) writeChunk(to net.Conn, chunk []byte, fromServer bool) bool {
 	for {
 		faults, _, changed, closed := p.state()
 		switch {
-		case closed || (answers && faults.DropAnswers):
+		case closed || (fromServer && faults.DropResponses):
 			return false
-		case faults.Silent:
+		case faults.Stall:
 			<-changed
 			continue
 		}
-		if p.isMuted(to) {
+		if p.isStalled(to) {
 			return true
 		}
 		if faults.Delay > 0 {
--- a/integration/cluster_test.go
+++ b/integration/cluster_test.go
@@ -1,5 +1,5 @@
-// Package integration proves what must always hold with real processes, behind
-// the fault-injecting proxy and judged by the stand-ins' histories.
+// Package integration tests invariants with real daemon processes and simulated engines, connected through
+// fault-injecting proxies. The tests verify results against the histories of the simulated services.
 package integration
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/finchspoke/finchspoke/standin/engines"
 )
 
-var programs string // directory of the built programs
+var binDirectory string // contains the built programs
 
 func TestMain(m *testing.M) { os.Exit(run(m)) }
 
@@ -32,11 +32,11 @@
 	if err := processes.Build(context.Background(), "..", directory); err != nil {
 		panic(err)
 	}
-	programs = directory
+	binDirectory = directory
 	return m.Run()
 }
 
-const treeText = `regions:
+const settingsText = `regions:
   - name: here
     zones: [zone-1, zone-2, zone-3]
     weight_store: {loads_per_second: 20, concurrent_loads: 8}
@@ -54,8 +54,8 @@
 
 const apiKey = "integration-key"
 
-// cluster is three daemons and three engines as real processes; each engine, and
-// the key-value service, stand behind a proxy.
+// cluster runs daemons and simulated services as processes of their own. Connections to the engines and to the
+// key-value service pass through proxies.
 type cluster struct {
 	*processes.Cluster
 	t             *testing.T
@@ -75,19 +75,20 @@
 	daemonCount = 3
 )
 
+// startCluster starts a cluster, applies its settings and waits until all daemons are ready.
 func startCluster(t *testing.T) *cluster {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
-	c := &cluster{Cluster: &processes.Cluster{Directory: programs}, t: t, ctx: ctx}
+	c := &cluster{Cluster: &processes.Cluster{Directory: binDirectory}, t: t, ctx: ctx}
 	t.Cleanup(c.Stop)
-	c.keyValue = c.standin("key-value", "--rate", "1000")
+	c.keyValue = c.startStandin("key-value", "--rate", "1000")
 	c.keyValueProxy = c.proxy(c.keyValue.Address)
-	c.machines = c.standin("machines")
-	c.weights = c.standin("weights", "--bandwidth", "100GiB", "--loads-per-second", "20")
+	c.machines = c.startStandin("machines")
+	c.weights = c.startStandin("weights", "--bandwidth", "100GiB", "--loads-per-second", "20")
 	for number := range engineCount {
 		id := fmt.Sprintf("engine-%d", number)
-		started := c.standin("engine", "--id", id, "--weight-store", c.weights.Address, "--accelerators", "2", "--step", "2ms")
+		started := c.startStandin("engine", "--id", id, "--weight-store", c.weights.Address, "--accelerators", "2", "--step", "2ms")
 		proxy := c.proxy(started.Address)
 		c.engines = append(c.engines, started)
 		c.engineProxies = append(c.engineProxies, proxy)
@@ -97,7 +98,7 @@
 	for number := range daemonCount {
 		c.startDaemon(number)
 	}
-	_, err := processes.ApplySettings(ctx, c.daemons[0].Admin, 0, fmt.Sprintf(treeText, settings.HashKey(apiKey)))
+	_, err := processes.ApplySettings(ctx, c.daemons[0].Admin, 0, fmt.Sprintf(settingsText, settings.HashKey(apiKey)))
 	require.NoError(t, err)
 	for _, daemon := range c.daemons {
 		require.NoError(t, processes.WaitReady(ctx, daemon.Admin, 1, daemonCount))
@@ -107,7 +108,7 @@
 
 func zone(number int) string { return fmt.Sprintf("zone-%d", number+1) }
 
-func (c *cluster) standin(kind string, arguments ...string) *processes.Process {
+func (c *cluster) startStandin(kind string, arguments ...string) *processes.Process {
 	started, err := c.Standin(kind, arguments...)
 	require.NoError(c.t, err)
 	return started
@@ -120,23 +121,23 @@
 	return proxy
 }
 
-// startDaemon starts one more daemon in a zone.
+// startDaemon starts an additional daemon in a zone.
 func (c *cluster) startDaemon(zoneNumber int) *processes.Daemon {
-	c.daemons = append(c.daemons, c.launch(fmt.Sprintf("daemon-%d", len(c.daemons)), zoneNumber))
+	c.daemons = append(c.daemons, c.launchDaemon(fmt.Sprintf("daemon-%d", len(c.daemons)), zoneNumber))
 	return c.daemons[len(c.daemons)-1]
 }
 
-// restartDaemons kills daemons and starts them again under their ids.
+// restartDaemons kills daemons and then starts them again with the same IDs.
 func (c *cluster) restartDaemons(numbers ...int) {
 	for _, number := range numbers {
 		c.daemons[number].Kill()
 	}
 	for _, number := range numbers {
-		c.daemons[number] = c.launch(c.daemons[number].Name, number)
+		c.daemons[number] = c.launchDaemon(c.daemons[number].Name, number)
 	}
 }
 
-func (c *cluster) launch(id string, zoneNumber int) *processes.Daemon {
+func (c *cluster) launchDaemon(id string, zoneNumber int) *processes.Daemon {
 	arguments := []string{"--region", "here", "--zone", zone(zoneNumber), "--key-value", c.keyValueProxy.Address(),
 		"--machine-list", c.machines.Address, "--probe-interval", "200ms", "--log-level", "debug"}
 	for _, peer := range c.daemons {
@@ -149,7 +150,7 @@
 	return started
 }
 
-// history gathers what all engines recorded.
+// history returns the recorded entries of all running engines.
 func (c *cluster) history() []engines.Entry {
 	var all []engines.Entry
 	for _, started := range c.engines {
@@ -163,8 +164,8 @@
 	return all
 }
 
-// logs shows the daemons' logs when a test fails.
-func (c *cluster) logs() {
+// logOnFailure prints the end of each daemon's log if the test has failed.
+func (c *cluster) logOnFailure() {
 	if !c.t.Failed() {
 		return
 	}
