--- a/core/budget.go
+++ b/core/budget.go
@@ -15,7 +15,7 @@
 	tokens      float64
 }
 
-// Deposit adds the share of one new request to the budget.
+// Deposit adds Ratio to the budget, for one new request.
 func (b *RetryBudget) Deposit() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/core/core.go
+++ b/core/core.go
@@ -20,7 +20,7 @@
 	Reserve float64 // retries that may accumulate, over all daemons
 }
 
-// defaultDaemonCount is the number of daemons assumed to share the reserve until it is known.
+// defaultDaemonCount is assumed while the number of daemons that share the reserve is unknown.
 const defaultDaemonCount = 10
 
 // reservePerDaemon returns one daemon's share of the reserve.
@@ -243,8 +243,8 @@
 		if verdict.Retry && ctx.Err() == nil {
 			continue
 		}
-		if outcome.held != nil && ctx.Err() == nil {
-			return c.relayHeldFailure(state, outcome.held)
+		if outcome.errorReply != nil && ctx.Err() == nil {
+			return c.relayErrorReply(state, outcome.errorReply)
 		}
 		return c.finalFailure(ctx, state, verdict.Kind, outcome.cause)
 	}
@@ -263,8 +263,8 @@
 	}
 }
 
-// relayHeldFailure sends a replica's error response to the caller.
-func (c *Core) relayHeldFailure(state *callState, reply *heldReply) *failure.Error {
+// relayErrorReply sends a replica's buffered error response to the caller.
+func (c *Core) relayErrorReply(state *callState, reply *bufferedReply) *failure.Error {
 	state.responseStarted, state.failedStatus = true, reply.status
 	state.writer.WriteHead(reply.status, reply.header, int64(len(reply.body)))
 	if err := state.writer.Write(reply.body); err != nil {
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -81,9 +81,9 @@
 	status int
 }
 
-func (h *responseRecorder) WriteHead(status int, _ http.Header, _ int64) { h.status = status }
-func (h *responseRecorder) Write(data []byte) error                      { h.Buffer.Write(data); return nil }
-func (h *responseRecorder) Flush() error                                 { return nil }
+func (r *responseRecorder) WriteHead(status int, _ http.Header, _ int64) { r.status = status }
+func (r *responseRecorder) Write(data []byte) error                      { r.Buffer.Write(data); return nil }
+func (r *responseRecorder) Flush() error                                 { return nil }
 
 type testSetup struct {
 	core   *Core
@@ -201,7 +201,7 @@
 func TestCallWaitsOnlyForLoadThatFinishesInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSetup(t, routing.Stream, 2, reply(200, "id: 1\n\n", false))
-		s.call.Target.Model = "slow" // takes 4 s to load; callers of this route wait for 4 s
+		s.call.Target.Model = "slow" // loads in 4 s, as long as callers of this route wait
 		startedAt := time.Now()
 		failed, _ := s.serve(t)
 		require.Equal(t, failure.NotRun, failed.Execution)
@@ -228,9 +228,9 @@
 	})
 }
 
-// stopAfter returns the times of a stop that accepts calls as long as they can finish.
-func stopAfter(left time.Duration) StopTimes {
-	return StopTimes{AcceptUntil: time.Now().Add(left), EndBy: time.Now().Add(left)}
+// stopAfter returns the times of a stop that accepts calls as long as they can finish in time.
+func stopAfter(delay time.Duration) StopTimes {
+	return StopTimes{AcceptUntil: time.Now().Add(delay), EndBy: time.Now().Add(delay)}
 }
 
 func TestStopRefusesWaitingCallsAndFinishesRunningOnes(t *testing.T) {
@@ -291,7 +291,7 @@
 			last := ""
 			for start := 0; start < len(text); start += size {
 				splitter.pending = append(splitter.pending, text[start:min(start+size, len(text))]...)
-				events, id := splitter.complete()
+				events, id := splitter.completeEvents()
 				passed = append(passed, events...)
 				if id != "" {
 					last = id
@@ -336,8 +336,8 @@
 	}
 }
 
-// Guards against counting a replica as failed, or charging the retry budget, if a hint arrived while
-// the connection was opened.
+// Guards against counting a replica as failed, or charging the retry budget, if the replica began to
+// drain or asked for a back-off while the connection was opened.
 func TestNotAdmittedRequestIsRetriedWithoutBudget(t *testing.T) {
 	for _, refusal := range []error{fleet.ErrDraining, fleet.ErrBackingOff} {
 		refuse := func(context.Context, Dispatch) (*Reply, error) {
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -17,14 +17,14 @@
 	// an interrupted one can be retried.
 	maxBufferedResponse = 256 << 10
 	chunkBytes          = 16 << 10
-	// minAttemptTime is the minimum time that a replica has for a repeatable request before another is
-	// tried.
+	// minAttemptTime and objectivesPerAttempt, in multiples of the route's objective, give the time
+	// that a replica has for a repeatable request before another is tried; the longer one applies.
 	minAttemptTime       = 250 * time.Millisecond
 	objectivesPerAttempt = 2
 )
 
-// heldReply is a replica's complete error response, not yet relayed.
-type heldReply struct {
+// bufferedReply is a replica's complete error response, not yet relayed.
+type bufferedReply struct {
 	status int
 	header http.Header
 	body   []byte
@@ -32,11 +32,11 @@
 
 // dispatchOutcome is the result of a dispatch and its cause.
 type dispatchOutcome struct {
-	result Result
-	cause  error
-	status int // of the replica's response; zero without one
-	health fleet.Result
-	held   *heldReply
+	result     Result
+	cause      error
+	status     int // of the replica's response; zero without one
+	health     fleet.Result
+	errorReply *bufferedReply // to relay if the call is not retried; nil if there is none
 }
 
 // dispatch sends the call to a replica and relays the response.
@@ -122,7 +122,7 @@
 	}
 	if reply.Status >= http.StatusInternalServerError {
 		return dispatchOutcome{result: Failed, cause: errors.Errorf("replica responded with status %d", reply.Status), health: fleet.Failed,
-			held: &heldReply{reply.Status, reply.Header, body}}
+			errorReply: &bufferedReply{reply.Status, reply.Header, body}}
 	}
 	state.responseStarted = true
 	state.recordWrite(time.Now())
--- a/core/events.go
+++ b/core/events.go
@@ -25,12 +25,12 @@
 // one.
 type eventSplitter struct {
 	pending []byte // incomplete event, or bytes not scanned yet
-	scanned int    // scanned bytes of pending, without the end of an event
+	scanned int    // length of the part of pending that is known to contain no end of an event
 }
 
-// complete returns the complete events read so far and the last event id among them. The result is
-// valid until discard is called.
-func (s *eventSplitter) complete() (events []byte, lastID string) {
+// completeEvents returns the complete events read so far and the id of the last one that has an id.
+// The result is valid until discard is called.
+func (s *eventSplitter) completeEvents() (events []byte, lastID string) {
 	end := 0
 	for {
 		length := eventEnd(s.pending[max(end, s.scanned):])
@@ -46,7 +46,7 @@
 	return s.pending[:end], lastID
 }
 
-// discard drops events that complete returned.
+// discard drops the first length bytes, which completeEvents has returned.
 func (s *eventSplitter) discard(length int) {
 	s.pending = append(s.pending[:0], s.pending[length:]...)
 	// The end of an event may be split between two reads.
@@ -97,7 +97,7 @@
 		if len(splitter.pending) > maxEventBytes {
 			return dispatchOutcome{result: Broken, cause: errEventLength, health: fleet.Failed}
 		}
-		events, lastID := splitter.complete()
+		events, lastID := splitter.completeEvents()
 		if readErr == io.EOF {
 			events = splitter.pending // a complete response may end without a blank line
 		}
--- a/core/lifecycle.go
+++ b/core/lifecycle.go
@@ -32,11 +32,11 @@
 // String returns the name used in logs and metrics.
 func (r Result) String() string { return resultNames[r] }
 
-// maxDispatches limits the dispatches of one request that replicas may have noticed.
+// maxDispatches limits how often one request may be sent to replicas.
 const maxDispatches = 6
 
-// Lifecycle is the state of one request: what is known of its execution, and whether it may be
-// dispatched again. It does not read the clock.
+// Lifecycle tracks whether one request may have run and whether it may be dispatched again. It does
+// not read the clock.
 type Lifecycle struct {
 	Repeatable bool // may run more than once
 	Resumable  bool // another replica may resume an interrupted response
--- a/core/limits_test.go
+++ b/core/limits_test.go
@@ -20,7 +20,7 @@
 
 func (l *fakeLimits) Admit(context.Context, *routing.Tenant, int, time.Duration) (Permit, *failure.Error) {
 	if l.refuse {
-		return nil, failure.New(failure.LimitExceeded, "come back", "at its limit")
+		return nil, failure.New(failure.LimitExceeded, "retry later", "the tenant has reached its limit")
 	}
 	l.permitted++
 	return l, nil
--- a/core/obstacle.go
+++ b/core/obstacle.go
@@ -10,11 +10,11 @@
 	"github.com/finchspoke/finchspoke/fleet"
 )
 
-// demandWait counts a call as waiting demand while no replica can take it.
+// demandWait records a call as waiting demand while no replica can take it.
 type demandWait struct{ stop func() }
 
-// starts reports whether the call must be counted as demand from now on. A call whose replicas are not
-// known yet is not counted, since its target may be loaded already.
+// starts reports whether to begin recording the call as waiting demand. A call whose replicas this
+// daemon has not discovered yet is not recorded, since its target may be loaded already.
 func (w *demandWait) starts(miss fleet.Miss) bool { return w.stop == nil && miss != fleet.Undiscovered }
 
 func (w *demandWait) end() {
@@ -35,58 +35,58 @@
 }
 
 // constraint is why no replica can take a call now.
-type constraint struct {
+type waitConstraint struct {
 	miss fleet.Miss
-	// until is when the constraint should end; valid only if known is set.
-	until time.Time
-	known bool
-	// backingOff is the replica whose back-off ends first; empty if none is backing off.
-	backingOff string
+	// until is when the constraint should end; valid only if untilKnown is set.
+	until      time.Time
+	untilKnown bool
+	// backingOffReplica is the id of the replica whose back-off ends first; empty if there is none.
+	backingOffReplica string
 	// deniedBy is the rate-limited replica that may accept the call first.
 	deniedBy deniedReplica
 }
 
 // findConstraint returns why no replica can take a call now, and when one is expected to.
-func (c *Core) findConstraint(state *callState, miss fleet.Miss, now time.Time) constraint {
-	found := constraint{miss: miss}
-	found.until, found.known = c.Fleet.ExpectedLoad(state.Service.Name, requiredLoad(state.Target, miss), now)
+func (c *Core) findConstraint(state *callState, miss fleet.Miss, now time.Time) waitConstraint {
+	result := waitConstraint{miss: miss}
+	result.until, result.untilKnown = c.Fleet.ExpectedLoad(state.Service.Name, requiredLoad(state.Target, miss), now)
 	switch miss {
 	case fleet.BackingOff:
 		if backoff, exists := c.Fleet.EarliestBackoff(state.Service.Name, state.Target, now); exists {
-			found.backingOff = backoff.Replica
-			found.clearBy(backoff.Until)
+			result.backingOffReplica = backoff.Replica
+			result.endBy(backoff.Until)
 		}
 	case fleet.RateLimited:
-		found.deniedBy = state.denied.earliest(now)
-		found.clearBy(found.deniedBy.notBefore)
+		result.deniedBy = state.denied.earliest(now)
+		result.endBy(result.deniedBy.notBefore)
 	}
-	return found
+	return result
 }
 
-// clearBy moves the constraint's end to the given time unless it ends earlier.
-func (c *constraint) clearBy(at time.Time) {
-	if !c.known || at.Before(c.until) {
-		c.until, c.known = at, true
+// endBy moves the constraint's end to the given time unless it ends earlier.
+func (c *waitConstraint) endBy(at time.Time) {
+	if !c.untilKnown || at.Before(c.until) {
+		c.until, c.untilKnown = at, true
 	}
 }
 
-// recheckIn returns the time after which to choose again even if no replica has changed.
-func (c *constraint) recheckIn(now time.Time) time.Duration {
+// recheckIn returns the time after which the call looks for a replica again even if none has changed.
+func (c *waitConstraint) recheckIn(now time.Time) time.Duration {
 	if c.miss == fleet.RateLimited {
 		return min(recheckInterval, max(minPause, c.until.Sub(now)))
 	}
 	return recheckInterval
 }
 
-// decide returns whether the call keeps waiting or is refused.
-func (c *Core) decide(state *callState, found constraint, now time.Time) waitDecision {
+// decide decides whether the call keeps waiting or is refused.
+func (c *Core) decide(state *callState, constraint waitConstraint, now time.Time) waitDecision {
 	var estimate loadEstimate
-	if !found.known { // no estimate is needed if the end of the constraint is known
-		estimate = c.estimateLoad(state.Call, found.miss, now)
+	if !constraint.untilKnown { // no estimate is needed if the end of the constraint is known
+		estimate = c.estimateLoad(state.Call, constraint.miss, now)
 	}
-	decision := decideWait(now, state.Call, found.miss, found.until, found.known, estimate)
-	if found.miss == fleet.RateLimited {
-		decision.source = found.deniedBy.source
+	decision := decideWait(now, state.Call, constraint.miss, constraint.until, constraint.untilKnown, estimate)
+	if constraint.miss == fleet.RateLimited {
+		decision.source = constraint.deniedBy.source
 	}
 	if c.isStopping() {
 		// Another daemon has more time to wait and to serve the call.
@@ -96,16 +96,16 @@
 }
 
 // recordWait records and logs that a call could not be served at once, and the decision.
-func (c *Core) recordWait(state *callState, found constraint, decision waitDecision) {
+func (c *Core) recordWait(state *callState, constraint waitConstraint, decision waitDecision) {
 	if decision.wait && state.waitEstimate == 0 {
 		state.waitEstimate = decision.readyIn
 	}
 	if state.miss == fleet.Found {
-		state.miss = found.miss
+		state.miss = constraint.miss
 	}
-	if found.miss == fleet.RateLimited {
-		c.logReservation(state, found.deniedBy.replicaLimit, decision)
+	if constraint.miss == fleet.RateLimited {
+		c.logReservation(state, constraint.deniedBy.replicaLimit, decision)
 		return
 	}
-	c.logWait(state, found.miss, decision, found.backingOff)
+	c.logWait(state, constraint.miss, decision, constraint.backingOffReplica)
 }
--- a/core/permission.go
+++ b/core/permission.go
@@ -20,7 +20,7 @@
 type Limits interface {
 	// Admit checks a request against its tenant's limit; zero tokens means unknown. It blocks for at
 	// most the given time if the answer is not known locally.
-	Admit(ctx context.Context, tenant *routing.Tenant, tokens int, most time.Duration) (Permit, *failure.Error)
+	Admit(ctx context.Context, tenant *routing.Tenant, tokens int, maxWait time.Duration) (Permit, *failure.Error)
 }
 
 // Permit is the admission of one request by Limits.
@@ -29,8 +29,8 @@
 	Return()
 }
 
-// limitWaitDivisor divides the route's objective to limit the wait for a tenant limit decision. A new
-// leader may exist by then, and the caller can still be served in time elsewhere.
+// limitWaitDivisor divides the route's objective to limit the wait for a decision on a tenant limit.
+// The wait lets a new leader take over and leaves the caller time to try another daemon.
 const limitWaitDivisor = 5
 
 // admit serves a call that is within its tenant's limit, and returns the permit if the call did not
--- a/core/quarantine_test.go
+++ b/core/quarantine_test.go
@@ -24,7 +24,7 @@
 	if q.broken < q.allowed {
 		return nil
 	}
-	return failure.New(failure.Quarantined, "send another", "replicas ended").WithRetryAfter(time.Hour)
+	return failure.New(failure.Quarantined, "send another request", "the request is suspected of crashing replicas").WithRetryAfter(time.Hour)
 }
 
 func (q *fakeQuarantine) ConnectionBroken(context.Context, fleet.Incarnation, string, quarantine.Fingerprint) {
--- a/core/replica_model_test.go
+++ b/core/replica_model_test.go
@@ -100,11 +100,11 @@
 }
 
 // RequestPermit implements ReplicaPermitter in place of the leader.
-func (m *replicaModel) RequestPermit(_ context.Context, ask permit.Request) (ReplicaPermit, PermitDenial) {
+func (m *replicaModel) RequestPermit(_ context.Context, request permit.Request) (ReplicaPermit, PermitDenial) {
 	time.Sleep(2 * modelNetworkDelay)
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	answer := m.pacer.Request(ask, 1, time.Now())
+	answer := m.pacer.Request(request, 1, time.Now())
 	if !answer.Granted {
 		return nil, PermitDenial{RetryIn: answer.RetryIn}
 	}
--- a/core/replicalimit.go
+++ b/core/replicalimit.go
@@ -13,7 +13,7 @@
 type ReplicaPermitter interface {
 	// RequestPermit requests a permit for one message to a replica. If no reservation is available in
 	// time, it returns nil and the denial.
-	RequestPermit(ctx context.Context, ask permit.Request) (ReplicaPermit, PermitDenial)
+	RequestPermit(ctx context.Context, request permit.Request) (ReplicaPermit, PermitDenial)
 }
 
 // PermitDenial describes why no permit was granted.
@@ -33,8 +33,9 @@
 	Source() string
 }
 
-// awaitReservation obtains a permit and waits for its time if the chosen replica is rate-limited. If
-// denied, it cancels the pick, records when the replica may accept the call, and returns false.
+// awaitReservation obtains a permit and waits until its reserved time if the chosen replica is
+// rate-limited. If denied, it cancels the pick, records when the replica may accept the call, and
+// returns false.
 func (c *Core) awaitReservation(ctx context.Context, state *callState, pick *fleet.Pick) (permitted bool) {
 	if pick.PerSecond == 0 || c.Permits == nil {
 		return true
--- a/core/replicalimit_test.go
+++ b/core/replicalimit_test.go
@@ -23,12 +23,12 @@
 	returned int
 }
 
-func (p *scriptedPermits) RequestPermit(_ context.Context, ask permit.Request) (ReplicaPermit, PermitDenial) {
-	p.requests = append(p.requests, ask)
+func (p *scriptedPermits) RequestPermit(_ context.Context, request permit.Request) (ReplicaPermit, PermitDenial) {
+	p.requests = append(p.requests, request)
 	delays := p.delays[0]
 	p.delays = p.delays[1:]
 	if delays < 0 {
-		return nil, PermitDenial{RetryIn: -delays, Source: "holder"}
+		return nil, PermitDenial{RetryIn: -delays, Source: "leader"}
 	}
 	return &trackedPermit{modelPermit: modelPermit{usableAt: time.Now().Add(delays)}, permits: p}, PermitDenial{}
 }
@@ -115,7 +115,7 @@
 	})
 }
 
-// Guards against sending without a permit if a limit is stated while the connection opens.
+// Guards against sending without a permit if the replica states a limit while the connection opens.
 func TestCallRequestsPermitForLimitSetAfterChoice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		permits := &scriptedPermits{delays: []time.Duration{0}}
@@ -142,7 +142,7 @@
 		_, _ = s.serve(t)
 		require.Equal(t, logging.MessageNoReplica, hook.Entries[0].Message)
 		fields := hook.Entries[0].Data
-		require.Equal(t, []any{"at_limit", "holder", 2.0, int64(1000), int64(7000), "refused"}, []any{fields[logging.Reason], fields[logging.Source],
+		require.Equal(t, []any{"at_limit", "leader", 2.0, int64(1000), int64(7000), "refused"}, []any{fields[logging.Reason], fields[logging.Source],
 			fields[logging.Limit], fields[logging.LimitAgeMs], fields[logging.ReadyInMs], fields[logging.Outcome]})
 		require.Equal(t, "at_limit", hook.LastEntry().Data[logging.WaitReason])
 	})
--- a/core/wait.go
+++ b/core/wait.go
@@ -19,7 +19,7 @@
 	loadReportWait         = 150 * time.Millisecond
 	loadReportDivisor      = 4
 	defaultAdapterLoadTime = 250 * time.Millisecond
-	// defaultDecisionTime is the assumed time until a load that is not in progress is ordered.
+	// defaultDecisionTime is the assumed time until the leader orders a load that is not in progress.
 	defaultDecisionTime = 300 * time.Millisecond
 	// noReplicaDivisor divides the objective to get the wait for a service without replicas.
 	noReplicaDivisor = 4
@@ -69,8 +69,8 @@
 	source  string        // origin of the estimate, for log fields
 }
 
-// decideWait decides whether a call keeps waiting or is refused. expected is when its constraint
-// should end, if known is set.
+// decideWait decides whether a call keeps waiting or is refused. expected is when the constraint that
+// causes the miss should end, if known is set.
 func decideWait(now time.Time, call *Call, miss fleet.Miss, expected time.Time, known bool, estimate loadEstimate) waitDecision {
 	waitUntil := waitLimit(call)
 	switch miss {
@@ -78,15 +78,15 @@
 		grace := call.Arrived.Add(call.Route.Objective / noReplicaDivisor)
 		return waitDecision{wait: now.Before(grace), readyIn: defaultRetryAfter, source: "no_replica"}
 	case fleet.Undiscovered:
-		// The records arrive within a round trip unless the directories are lost.
+		// The records arrive within a round trip unless no directory daemon responds.
 		grace := min(maxDiscoveryWait, time.Duration(discoveryWaitShare*float64(waitUntil.Sub(call.Arrived))))
 		return waitDecision{wait: now.Before(call.Arrived.Add(grace)), readyIn: defaultRetryAfter, source: miss.String()}
 	case fleet.AllTried:
 		// After a pause the same replicas are tried again.
 		return waitDecision{wait: now.Add(recheckInterval + responseStartMargin).Before(waitUntil), readyIn: defaultRetryAfter, source: miss.String()}
 	case fleet.Saturated:
-		// Waiting longer than the caller does only delays other requests. A load in progress may add a
-		// replica.
+		// A call that waits for longer than its caller only delays other requests. It waits if a load in
+		// progress adds a replica in time.
 		decision := waitDecision{readyIn: saturatedRetryAfter, source: miss.String()}
 		if known {
 			decision.readyIn, decision.source = max(defaultRetryAfter, expected.Sub(now)), "order_holder"
@@ -116,7 +116,7 @@
 		return decision
 	}
 	if now.Sub(call.Arrived) > decision.readyIn && !known {
-		// The estimate has passed, so only the wait limit counts.
+		// The estimated time has passed without a report, so only the wait limit applies.
 		decision.readyIn = 0
 	}
 	decision.wait = now.Add(decision.readyIn + responseStartMargin).Before(waitUntil)
@@ -184,16 +184,16 @@
 			requirements.NotBefore = state.denied.notBefore()
 			continue
 		}
-		found := c.findConstraint(state, miss, now)
-		decision := c.decide(state, found, now)
+		constraint := c.findConstraint(state, miss, now)
+		decision := c.decide(state, constraint, now)
 		if demandWait.starts(miss) {
 			demandWait.stop = c.Demand.BeginWait(state.key(), now)
-			c.recordWait(state, found, decision)
+			c.recordWait(state, constraint, decision)
 		}
 		if !decision.wait {
 			return nil, c.capacityFailure(state, miss, decision)
 		}
-		pause := found.recheckIn(now)
+		pause := constraint.recheckIn(now)
 		select {
 		case <-ctx.Done():
 			return nil, c.finalFailure(ctx, state, failure.DeadlineExceeded, errors.New(miss.String()))
--- a/core/wait_test.go
+++ b/core/wait_test.go
@@ -71,7 +71,7 @@
 	require.Zero(t, decision.readyIn)
 }
 
-// A call refused for a late reservation must be told when that would be.
+// A call refused because its reservation would be too late must get that time as retry advice.
 func TestCallWaitsForReservationOnlyWithinObjective(t *testing.T) {
 	now := time.Now()
 	call := &Call{Arrived: now, Deadline: now.Add(10 * time.Second), Route: &routing.Route{Kind: routing.Stream, Objective: time.Second, MaxGap: time.Second}}
@@ -81,5 +81,5 @@
 	late := decideWait(now, call, fleet.RateLimited, now.Add(3*time.Second), true, loadEstimate{})
 	require.Equal(t, waitDecision{readyIn: 3 * time.Second, source: "at_limit"}, late)
 	call.Route.Objective = 150 * time.Millisecond
-	require.Equal(t, now.Add(75*time.Millisecond), reservationLimit(call), "half of a short objective is reserved for the response")
+	require.Equal(t, now.Add(75*time.Millisecond), reservationLimit(call), "half of a short objective remains for the response")
 }
