--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -15,7 +15,7 @@
 	// Prefix identifies the shared prefix of the prompt. Requests with the same prefix prefer the same
 	// replica, whose cache may still hold it. Empty means no shared prefix.
 	Prefix string
-	// Tried lists the ids of replicas that must not be used again.
+	// Tried lists the ids of replicas on which this request failed; Choose skips them.
 	Tried []string
 	// NotBefore maps rate-limited replicas to the earliest time at which they may accept the request.
 	// Replicas without a rate limit ignore it.
@@ -116,7 +116,8 @@
 	return pick, Found
 }
 
-// candidates lists the replicas that can take a request; the caller holds the mutex.
+// candidates lists the replicas that can take a request, or the reason why there is none; the caller
+// holds the mutex.
 func (d *Directory) candidates(requirements Ask, now time.Time) ([]*Replica, Miss) {
 	var usable []*Replica
 	service := d.index(requirements.Service)
@@ -130,7 +131,7 @@
 			miss = closerMiss(miss, NotLoaded)
 		case !replica.hasLoaded(requirements.Target, now):
 			miss = closerMiss(miss, AdapterNotLoaded)
-		case d.restsUntil(replica.ID).After(now):
+		case d.requestedBackoffEnd(replica.ID).After(now):
 			miss = closerMiss(miss, BackingOff)
 		case replica.perSecond > 0 && now.Before(requirements.NotBefore[replica.ID]):
 			miss = closerMiss(miss, RateLimited)
@@ -171,10 +172,10 @@
 // target. After that it sends one request, because only a response shows that the limit has ended.
 const limitedRetryInterval = 2 * time.Second
 
-// preferUnlimited drops candidates that are backing off, then rate-limited ones, as long as any
-// candidate remains.
+// preferUnlimited drops candidates that this daemon recently failed to reach, then rate-limited ones
+// chosen within limitedRetryInterval, as long as any candidate remains.
 func preferUnlimited(candidates []*Replica, now time.Time) []*Replica {
-	reachable := withoutBackoff(candidates, now)
+	reachable := reachableCandidates(candidates, now)
 	isAvoided := func(r *Replica) bool { return r.perSecond > 0 && now.Sub(r.lastChosenAt) < limitedRetryInterval }
 	if !slices.ContainsFunc(reachable, isAvoided) {
 		return reachable // common case: no rate-limited candidates
@@ -185,9 +186,10 @@
 	return reachable
 }
 
-// withoutBackoff drops candidates that are backing off, unless all are, and sorts the rest by id.
-func withoutBackoff(candidates []*Replica, now time.Time) []*Replica {
-	reachable := slices.DeleteFunc(slices.Clone(candidates), func(replica *Replica) bool { return replica.health.isBackingOff(now) })
+// reachableCandidates drops candidates that this daemon recently failed to reach, unless that applies
+// to all, and sorts the rest by id.
+func reachableCandidates(candidates []*Replica, now time.Time) []*Replica {
+	reachable := slices.DeleteFunc(slices.Clone(candidates), func(replica *Replica) bool { return replica.health.isUnreachable(now) })
 	if len(reachable) == 0 {
 		reachable = candidates
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -87,7 +87,7 @@
 	leaderRecord    *LeaderRecord // nil if the leader has reported nothing
 	leaderRecordAt  time.Time
 	missingUntil    map[Target]time.Time // targets that the replica reported missing, with expiry; may be nil
-	removalPending  bool                 // no longer followed; removed with its last request
+	removalPending  bool                 // no longer reported; removed when its last request ends
 	unlisted        bool                 // not yet in the registry list of the current full sync
 	untrusted       bool                 // listed again by a restored registry; draining until trusted
 	perSecond       float64              // rate limit over all daemons in messages per second; zero means none
@@ -126,10 +126,10 @@
 	hintsSweptAt time.Time
 	services     map[string]*serviceIndex
 	signals      map[signalKey]chan struct{}
-	// interest tracks the targets whose replicas this daemon follows; nil means all replicas.
-	interest Interest
-	limited  bool // records from directory daemons are applied
-	observer Observer
+	// interest tracks the targets whose replicas this daemon needs; nil means all replicas.
+	interest     Interest
+	acceptsState bool // records from directory daemons are applied
+	observer     Observer
 	// connected reports whether an idle connection to an address is open; nil means none is.
 	connected func(address string) bool
 	// remoteInflightAt is when other daemons' requests were last reported.
@@ -189,12 +189,12 @@
 	r.Entry, r.entryReceivedAt, r.removalPending = entry, now, false
 }
 
-// Remove drops a replica that the registry no longer lists, but remembers the removal.
+// Remove drops a replica that the registry no longer lists, and records the removal.
 func (d *Directory) Remove(id string, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if member := d.replicas[id]; member != nil {
-		d.recordHistory(member.Incarnation(), registryHistory{removed: true}, now)
+	if replica := d.replicas[id]; replica != nil {
+		d.recordHistory(replica.Incarnation(), registryHistory{removed: true}, now)
 	}
 	d.remove(id)
 }
@@ -233,9 +233,9 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	running := map[string]uint32{}
-	for id, member := range d.replicas {
-		if member.inflight > 0 {
-			running[id] = uint32(member.inflight)
+	for id, replica := range d.replicas {
+		if replica.inflight > 0 {
+			running[id] = uint32(replica.inflight)
 		}
 	}
 	return running
@@ -248,7 +248,7 @@
 	d.recordUpdate(now)
 	if replica := d.replicas[id]; replica != nil && replica.remoteInflight != max(0, requests) {
 		replica.remoteInflight = max(0, requests)
-		d.observe(Change{ID: id, Service: replica.Service})
+		d.notifyObserver(Change{ID: id, Service: replica.Service})
 	}
 }
 
@@ -263,8 +263,9 @@
 	return replica.inflight + replica.remoteInflight
 }
 
-// overdueGrace is the minimum time a load is still expected after its estimated end; slow loads get as
-// long again as estimated. It covers delayed reports. Later loads are taken as lost with their daemon.
+// overdueGrace is the minimum time for which a load is still expected after its estimated end, since
+// reports may be delayed; slow loads get as long again as estimated. After that, the report is assumed
+// to be lost.
 const overdueGrace = 2 * time.Second
 
 // ExpectedLoad returns the earliest time at which a load in progress makes a target available on a
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -64,7 +64,7 @@
 	other, _ := directory.Choose(Ask{Service: "press"}, testTime)
 	require.NotEqual(t, first.ID, other.ID)
 	later, _ := directory.Choose(Ask{Service: "press", Tried: []string{other.ID}}, testTime)
-	require.Equal(t, first.ID, later.ID, "a replica that is backing off is used if it is the only one")
+	require.Equal(t, first.ID, later.ID, "an unreachable replica is used if it is the only one")
 }
 
 // Prompt processing delays everything else on a replica, so a long prompt outweighs several running
@@ -186,7 +186,7 @@
 	require.InDelta(t, 19, all["r3"], 3)
 	require.InDelta(t, 12, all["r2"], 3)
 	require.InDelta(t, 6, all["r1"], 3)
-	require.Zero(t, countChoices("r4")["r4"], "a replica that is backing off is not drawn")
+	require.Zero(t, countChoices("r4")["r4"], "an unreachable replica is not drawn")
 	requests["r1"] = 40
 	require.Zero(t, countChoices("")["r1"], "a replica above the fill level is not drawn")
 }
--- a/fleet/health.go
+++ b/fleet/health.go
@@ -40,4 +40,5 @@
 	h.failureShare += failureWeight * (sample - h.failureShare)
 }
 
-func (h *health) isBackingOff(now time.Time) bool { return now.Before(h.backoffUntil) }
+// isUnreachable reports whether the back-off after a failure to reach the replica is in effect.
+func (h *health) isUnreachable(now time.Time) bool { return now.Before(h.backoffUntil) }
--- a/fleet/index.go
+++ b/fleet/index.go
@@ -31,7 +31,7 @@
 	return s.loadedReplicas[model]
 }
 
-// initialMiss returns the miss reason for when no replica has the model loaded.
+// initialMiss returns the reason for a miss if no replica has the model loaded.
 func (s *serviceIndex) initialMiss(target Target) Miss {
 	if s.accepting > 0 && target.Model != "" {
 		return NotLoaded
@@ -126,7 +126,7 @@
 	}
 	d.services[replica.Service].add(replica)
 	d.signal(replica)
-	d.observe(Change{ID: id, Service: replica.Service, Gained: d.targetsOf(replica).without(before)})
+	d.notifyObserver(Change{ID: id, Service: replica.Service, Gained: d.targetsOf(replica).without(before)})
 }
 
 // unindex removes a replica from its service's index; the caller holds the mutex.
@@ -147,7 +147,7 @@
 	d.unindex(replica)
 	delete(d.replicas, id)
 	d.signal(replica)
-	d.observe(Change{ID: id, Service: replica.Service, Removed: true})
+	d.notifyObserver(Change{ID: id, Service: replica.Service, Removed: true})
 }
 
 // signalKey identifies what requests wait for: a change of a replica concerning a model, or of any
--- a/fleet/interest.go
+++ b/fleet/interest.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// Interest tracks the targets of a daemon that follows only some replicas.
+// Interest tracks the targets that this daemon's requests need, if it receives the records of only
+// some replicas.
 type Interest interface {
-	// Register records that a request needs a target, and reports whether the replicas that serve it
-	// are known. It is called with the directory's mutex held.
+	// Register records that a request needs a target, and reports whether this daemon has the records of
+	// the replicas that serve it. The directory calls it with its mutex held.
 	Register(service string, target Target) (known bool)
 }
 
@@ -14,7 +15,7 @@
 func (d *Directory) Limit(interest Interest) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.interest, d.limited = interest, true
+	d.interest, d.acceptsState = interest, true
 	for id := range d.replicas {
 		d.forget(id)
 	}
@@ -25,7 +26,7 @@
 func (d *Directory) BeginFullSync() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.limited = false
+	d.acceptsState = false
 	for _, replica := range d.replicas {
 		replica.unlisted = true
 	}
@@ -56,7 +57,7 @@
 func (d *Directory) Forget(id string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.limited {
+	if d.acceptsState {
 		d.forget(id)
 	}
 }
@@ -65,7 +66,7 @@
 func (d *Directory) RemoveUnlisted(id string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.limited {
+	if d.acceptsState {
 		d.remove(id)
 	}
 }
@@ -82,12 +83,12 @@
 	}
 }
 
-// Retain forgets the replicas for which keep returns false.
+// Retain drops the replicas for which keep returns false, as Forget does.
 func (d *Directory) Retain(keep func(id string) bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for id := range d.replicas {
-		if d.limited && !keep(id) {
+		if d.acceptsState && !keep(id) {
 			d.forget(id)
 		}
 	}
@@ -145,7 +146,7 @@
 func (d *Directory) ApplyState(state State, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if !d.limited {
+	if !d.acceptsState {
 		return
 	}
 	d.recordUpdate(now)
--- a/fleet/limit.go
+++ b/fleet/limit.go
@@ -90,20 +90,20 @@
 func (d *Directory) setLimit(incarnation Incarnation, observed limit, now time.Time) (change LimitChange, changed bool) {
 	record := d.hintRecordOf(incarnation, now)
 	if bornBefore(incarnation.Born, max(record.born, d.startOf(incarnation.ID))) {
-		return LimitChange{}, false // superseded by a newer incarnation, which has stated no limit
+		return LimitChange{}, false // a newer incarnation has replaced it and has stated no limit
 	}
 	previous := record.limit.perSecond
 	record.limit = observed
 	change = LimitChange{record.limitRecord(incarnation.ID), previous}
-	member, changed := d.replicas[incarnation.ID], change.Previous != change.PerSecond
+	replica, changed := d.replicas[incarnation.ID], change.Previous != change.PerSecond
 	switch {
-	case member == nil:
+	case replica == nil:
 	case changed:
-		d.change(incarnation.ID, func(member *Replica) {
-			member.perSecond, member.limitObservedAt, member.lastChosenAt = observed.perSecond, observed.observedAt, now
+		d.change(incarnation.ID, func(replica *Replica) {
+			replica.perSecond, replica.limitObservedAt, replica.lastChosenAt = observed.perSecond, observed.observedAt, now
 		})
 	default:
-		member.limitObservedAt = observed.observedAt
+		replica.limitObservedAt = observed.observedAt
 	}
 	return change, changed
 }
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -24,7 +24,7 @@
 type hintRecord struct {
 	born         int64 // start time of the incarnation; zero means unknown
 	draining     bool
-	localReport  bool      // this daemon is to report the draining to the leader
+	localReport  bool      // this daemon must report the draining to the leader
 	backoffUntil time.Time // end of the requested back-off
 	limit        limit
 	registry     registryHistory
@@ -50,8 +50,8 @@
 // startOf returns the start time of the incarnation that currently has the id, or zero; the caller
 // holds the mutex.
 func (d *Directory) startOf(id string) int64 {
-	if member := d.replicas[id]; member != nil {
-		return member.Born
+	if replica := d.replicas[id]; replica != nil {
+		return replica.Born
 	}
 	return 0
 }
@@ -69,11 +69,12 @@
 func (d *Directory) RestsUntil(id string) time.Time {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.restsUntil(id)
+	return d.requestedBackoffEnd(id)
 }
 
-// restsUntil implements RestsUntil; the caller holds the mutex.
-func (d *Directory) restsUntil(id string) time.Time {
+// requestedBackoffEnd returns the end of the back-off that a replica asked for, or zero; the caller
+// holds the mutex.
+func (d *Directory) requestedBackoffEnd(id string) time.Time {
 	if record := d.hints[id]; record != nil {
 		return record.backoffUntil
 	}
@@ -131,7 +132,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, replica := range d.index(service).withModel(target.Model) {
-		until := d.restsUntil(replica.ID)
+		until := d.requestedBackoffEnd(replica.ID)
 		if replica.Draining || !until.After(now) || !replica.hasLoaded(target, now) {
 			continue
 		}
@@ -176,8 +177,8 @@
 		return false
 	}
 	record.draining, record.localReport = true, localReport
-	if member := d.replicas[incarnation.ID]; member != nil && !member.Draining {
-		d.change(incarnation.ID, func(member *Replica) { member.Draining = true })
+	if replica := d.replicas[incarnation.ID]; replica != nil && !replica.Draining {
+		d.change(incarnation.ID, func(replica *Replica) { replica.Draining = true })
 	}
 	return true
 }
@@ -212,7 +213,7 @@
 	return entry
 }
 
-// LocallyReportedDraining lists the draining replicas that this daemon is to report to the leader,
+// LocallyReportedDraining lists the draining replicas that this daemon must report to the leader,
 // sorted by id.
 func (d *Directory) LocallyReportedDraining() []Incarnation {
 	return d.drainingWhere(func(record *hintRecord) bool { return record.localReport })
--- a/fleet/observe.go
+++ b/fleet/observe.go
@@ -24,7 +24,7 @@
 }
 
 // observe passes a change to the observer; the caller holds the mutex.
-func (d *Directory) observe(change Change) {
+func (d *Directory) notifyObserver(change Change) {
 	if d.observer != nil {
 		d.observer(change)
 	}
--- a/fleet/restored.go
+++ b/fleet/restored.go
@@ -12,48 +12,49 @@
 	removed bool // no longer listed
 }
 
-// PutRestored applies an entry of a registry restored from a backup, which may be older than what is
-// known. It reports whether the entry is untrusted until TrustRestored is called.
+// PutRestored applies an entry of a registry restored from a backup, which may be older than the known
+// record. It reports whether the entry is untrusted until TrustRestored is called.
 func (d *Directory) PutRestored(entry Entry, now time.Time) (untrusted bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	member, record := d.replicas[entry.ID], d.hints[entry.ID]
+	replica, record := d.replicas[entry.ID], d.hints[entry.ID]
 	if !entry.Draining && record != nil && record.registry.drained && record.born == entry.Born {
-		// The restored registry no longer says so; daemons that start now learn it from the leader.
+		// The restored registry has lost that the replica is draining. This daemon reports it to the
+		// leader, from which daemons that start now learn it.
 		record.draining, record.localReport = true, true
 	}
-	if member != nil {
-		member.unlisted = false
+	if replica != nil {
+		replica.unlisted = false
 	}
 	switch {
 	case bornBefore(entry.Born, d.startOf(entry.ID)), record != nil && bornBefore(entry.Born, record.born):
 		return false // a newer incarnation is known
-	case member != nil && member.Born == entry.Born && !entry.Draining:
+	case replica != nil && replica.Born == entry.Born && !entry.Draining:
 		return false // the known record is newer
-	case member == nil && record != nil && record.registry.removed && record.born == entry.Born:
+	case replica == nil && record != nil && record.registry.removed && record.born == entry.Born:
 		entry.Draining, untrusted = true, true
 	case entry.Draining:
 		d.recordHistory(entry.Incarnation(), registryHistory{drained: true}, now)
 	}
-	d.change(entry.ID, func(replica *Replica) {
-		d.applyEntry(replica, entry, now)
-		replica.unlisted, replica.untrusted = false, untrusted
+	d.change(entry.ID, func(r *Replica) {
+		d.applyEntry(r, entry, now)
+		r.unlisted, r.untrusted = false, untrusted
 	})
 	return untrusted
 }
 
-// TrustRestored accepts an entry that PutRestored reported as untrusted: it has outlived the entry of
-// a process that ended.
+// TrustRestored makes an entry that PutRestored reported as untrusted accept requests. The caller has
+// waited for RestoredEntryHold, after which the entry of an ended process would have expired.
 func (d *Directory) TrustRestored(incarnation Incarnation) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	member := d.replicas[incarnation.ID]
-	if member == nil || !member.untrusted || member.Born != incarnation.Born {
+	replica := d.replicas[incarnation.ID]
+	if replica == nil || !replica.untrusted || replica.Born != incarnation.Born {
 		return
 	}
-	d.change(incarnation.ID, func(replica *Replica) {
-		replica.Draining, replica.untrusted = false, false
-		replica.Entry = d.mergeHints(replica.Entry)
+	d.change(incarnation.ID, func(r *Replica) {
+		r.Draining, r.untrusted = false, false
+		r.Entry = d.mergeHints(r.Entry)
 	})
 }
 
--- a/fleet/restored_test.go
+++ b/fleet/restored_test.go
@@ -26,7 +26,7 @@
 	require.Empty(t, directory.LocallyReportedDraining(), "daemons learn it from the registry, not from the leader")
 	require.False(t, directory.PutRestored(testEntry(5, false), now))
 	require.False(t, acceptsRequests(directory))
-	require.Equal(t, []Incarnation{{"i-1", 5}}, directory.LocallyReportedDraining(), "the restored registry no longer says so, so the leader must")
+	require.Equal(t, []Incarnation{{"i-1", 5}}, directory.LocallyReportedDraining(), "the restored registry has lost the draining, so the leader must report it")
 	directory.Put(testEntry(5, false), now)
 	require.False(t, acceptsRequests(directory), "draining is final for an incarnation")
 	directory.Put(testEntry(6, false), now)
--- a/fleet/share.go
+++ b/fleet/share.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// These bound the replicas that a daemon learns of for a target that none serves: those loading
-	// it, those with the model but not the adapter, and those with cached weights. The daemon derives
-	// its requests' wait time from them.
+	// For a target that no replica serves, a daemon receives the records of at most this many replicas
+	// that load it, have the model without the adapter, or have cached weights. From these the daemon
+	// estimates how long its requests must wait.
 	maxLoading        = 4
 	maxWithoutAdapter = 2
 	maxCached         = 2
@@ -19,9 +19,9 @@
 	saturationThreshold = 0.5
 )
 
-// Subset returns the replicas that a daemon in a zone learns of for a target, and how many of them
-// serve it, up to limit. All daemons of a zone get the same ones for a model, so that prompts with a
-// common prefix meet. For a service without models each daemon gets different ones.
+// Subset returns the replicas whose records a daemon in a zone receives for a target, and how many of
+// them serve it, up to limit. All daemons of a zone receive the same ones for a model, so that prompts
+// with a common prefix reach the same replica. Without models each daemon receives different ones.
 func (d *Directory) Subset(service string, target Target, daemon, zone string, limit int, now time.Time) (ids []string, serving int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/fleet/spread.go
+++ b/fleet/spread.go
@@ -6,8 +6,7 @@
 )
 
 const (
-	// reportLag is the age of the request counts that the leader sums, given how often daemons report
-	// them.
+	// reportLag is the assumed age of daemons' request counts when the leader sums them.
 	reportLag = 300 * time.Millisecond
 	// initialUpdateInterval is the assumed interval between updates of other daemons' requests until
 	// two have arrived; it is the leader's minimum interval.
@@ -18,10 +17,9 @@
 	updateIntervalWeight = 0.2
 )
 
-// drawByCost draws one of several candidates at random, weighted by cost. All daemons see the same
-// load figures; if all chose the cheapest candidate, it would be overloaded until the next update.
-// arrivals is the number of requests that all daemons send before then. They fill the candidates up to
-// an equal cost, so a single request goes to the cheapest.
+// drawByCost draws a candidate at random so that arrivals, the number of requests that all daemons
+// send until the next update of load figures, fill the cheapest candidates up to an equal cost. If all
+// daemons chose the cheapest candidate, it would be overloaded until that update.
 func drawByCost(costs []float64, arrivals, random float64) int {
 	level := fillLevel(costs, arrivals)
 	drawn, chosen := random*arrivals, 0
@@ -65,8 +63,9 @@
 	d.remoteInflightAt = now
 }
 
-// expectedArrivals estimates how many requests all daemons send to the candidates before they learn of
-// each other's: as many as finish, and are replaced, in that time. The caller holds the mutex.
+// expectedArrivals estimates how many requests all daemons send to the candidates until the next update
+// of load figures. It assumes that each request that ends is followed by another. The caller holds the
+// mutex.
 func (d *Directory) expectedArrivals(candidates []*Replica, now time.Time) float64 {
 	const minimum = 1.0 // the current request
 	if now.Sub(d.remoteInflightAt) > remoteInflightTTL {
