--- a/routing/routing.go
+++ b/routing/routing.go
@@ -54,7 +54,7 @@
 	Resumable  bool
 	// Attempts is the maximum number of replicas that one request may run on.
 	Attempts int
-	// Timeout bounds how long the daemon holds a request.
+	// Timeout bounds the time from the arrival of a request to the end of its response.
 	Timeout time.Duration
 	// Objective is the time to first byte that callers expect.
 	Objective time.Duration
@@ -239,8 +239,8 @@
 // goldenRatio distributes consecutive sequence numbers evenly over [0, 1).
 const goldenRatio = 0.6180339887498949
 
-// Pick returns the service for the request with a sequence number. Consecutive numbers follow the
-// weights more evenly than random choices.
+// Pick returns the service for the request with the given sequence number. Consecutive numbers follow
+// the weights more evenly than random choices. offset, in [0, 1), is the point where a daemon begins.
 func (r *Route) Pick(sequence uint64, offset float64) string {
 	if len(r.Splits) == 1 {
 		return r.Splits[0].Service
