--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -63,7 +63,7 @@
 	mutex  sync.Mutex
 	idle   map[string][]*connection
 	onDial func()
-	now    func() time.Time
+	now    func() time.Time // replaced by tests
 }
 
 // NewPool returns an empty pool, which calls onDial for each new connection.
@@ -82,7 +82,7 @@
 type connection struct {
 	net.Conn
 	reader  *bufio.Reader
-	expires time.Time // when idle
+	expires time.Time // end of its use as an idle connection
 }
 
 // Request is a request to a replica.
@@ -217,7 +217,7 @@
 	address     string
 	cancelWatch func() bool
 	bodyErr     chan error // result of a body that is written concurrently; nil otherwise
-	once        sync.Once
+	releaseOnce sync.Once
 }
 
 // countingConn counts the bytes written to a connection.
@@ -290,7 +290,7 @@
 				response: response, exchange: e}, nil
 		}
 		if response.Close || response.ContentLength < 0 && !chunked(response) {
-			return nil, errors.New("received a response to another request whose body has no delimiter")
+			return nil, errors.New("received a response to another request, whose body has no known end")
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
 			return nil, errors.Wrap(err, "skip a response to another request")
@@ -321,7 +321,7 @@
 }
 
 func (e *exchange) releaseFor(reusable bool, idleTimeout time.Duration) {
-	e.once.Do(func() {
+	e.releaseOnce.Do(func() {
 		contextActive := e.cancelWatch()
 		if e.bodyErr != nil {
 			select {
