--- a/permit/book.go
+++ b/permit/book.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// savedReservations is how many unused reservations a schedule accumulates; they may exceed the rate
-	// as a burst. The last one is reserved for the highest priority, which finds it free when other
-	// requests use up the rate.
+	// savedReservations is the number of unused slots that a schedule saves for a burst above the rate.
+	// The last one is kept for the highest priority, so that other requests cannot use up the rate.
 	savedReservations = 2
 	// MaxReservationDelay bounds how far ahead a reservation may be. A new leader, which does not know
 	// its predecessor's reservations, waits for as long before its first one.
 	MaxReservationDelay = time.Second
 	// Validity is how long after its reserved time a permit may be used, for instance while a connection
-	// opens. It counts from the request, so that a paused process cannot use a stale permit.
+	// opens. Daemons compute the expiry from when they sent the request, not from when the answer
+	// arrived, so that a paused process cannot use a stale permit.
 	Validity = 500 * time.Millisecond
 	// maxRetryIn bounds the RetryIn of answers.
 	maxRetryIn = 10 * time.Second
@@ -44,8 +44,8 @@
 type Answer struct {
 	Granted bool
 	Delay   time.Duration // until the reserved time, if granted
-	// RetryIn is when a reservation should be free, after the retries of earlier refused requests. It is
-	// set only if the request was not granted.
+	// RetryIn is the time until a reservation should be free, after the retries of earlier refused
+	// requests. It is set only if the request was not granted.
 	RetryIn time.Duration
 }
 
@@ -83,14 +83,14 @@
 // Request answers a request. share is the share of daemons that are connected to this leader, above
 // zero; the others use their local shares or another leader.
 func (p *Pacer) Request(request Request, share float64, now time.Time) Answer {
-	replica := p.schedule(request, share, now)
-	isUrgent := replica.recordPriority(request.Priority, now)
-	reservation := replica.reservation(isUrgent, now)
+	s := p.schedule(request, share, now)
+	isUrgent := s.recordPriority(request.Priority, now)
+	reservation := s.reservation(isUrgent, now)
 	wait := max(0, reservation.Sub(now))
 	if wait > maxWaitFor(request, isUrgent) {
-		return Answer{RetryIn: replica.nextRetry(wait, isUrgent, now)}
+		return Answer{RetryIn: s.nextRetry(wait, isUrgent, now)}
 	}
-	replica.take(now)
+	s.take(now)
 	return Answer{Granted: true, Delay: wait}
 }
 
@@ -108,8 +108,8 @@
 
 // Return cancels the reservation of an unused permit.
 func (p *Pacer) Return(replica fleet.Incarnation) {
-	if found := p.schedules[replica]; found != nil {
-		found.next = found.next.Add(-found.interval())
+	if s := p.schedules[replica]; s != nil {
+		s.next = s.next.Add(-s.interval())
 	}
 }
 
@@ -127,20 +127,20 @@
 // schedule returns the schedule of a replica, adjusted to its current rate.
 func (p *Pacer) schedule(request Request, share float64, now time.Time) *schedule {
 	rate := request.PerSecond * min(1, share)
-	known := p.schedules[request.Replica]
-	if known == nil {
+	s := p.schedules[request.Replica]
+	if s == nil {
 		p.removeIdle(now)
-		known = &schedule{perSecond: rate, next: now, topPriority: request.Priority}
-		if notBefore := p.notBefore.Add(known.interval()); p.notBefore.After(now) {
-			known.next = notBefore
+		s = &schedule{perSecond: rate, next: now, topPriority: request.Priority}
+		if notBefore := p.notBefore.Add(s.interval()); p.notBefore.After(now) {
+			s.next = notBefore
 		}
-		p.schedules[request.Replica] = known
+		p.schedules[request.Replica] = s
 	}
-	if known.perSecond != rate {
-		known.setRate(rate, now)
+	if s.perSecond != rate {
+		s.setRate(rate, now)
 	}
-	known.lastRequestAt = now
-	return known
+	s.lastRequestAt = now
+	return s
 }
 
 // removeIdle deletes schedules without recent requests.
@@ -164,8 +164,8 @@
 	s.perSecond, s.retryAt = rate, retryTimes{}
 }
 
-// recordPriority records the priority of a request and reports whether it is the highest one of
-// late.
+// recordPriority records the priority of a request and reports whether it is the highest within
+// priorityWindow.
 func (s *schedule) recordPriority(priority int, now time.Time) (isUrgent bool) {
 	if priority <= s.topPriority || now.Sub(s.topPriorityAt) > priorityWindow {
 		s.topPriority, s.topPriorityAt = priority, now
@@ -175,15 +175,15 @@
 
 // reservation returns the slot that a request would get.
 func (s *schedule) reservation(isUrgent bool, now time.Time) time.Time {
-	reservation := s.earliest(now)
+	reservation := s.earliestSlot(now)
 	if !isUrgent {
 		reservation = reservation.Add((savedReservations - 1) * s.interval())
 	}
 	return reservation
 }
 
-// earliest returns the next slot. It drops unused slots beyond savedReservations.
-func (s *schedule) earliest(now time.Time) time.Time {
+// earliestSlot returns the next slot. It drops unused slots beyond savedReservations.
+func (s *schedule) earliestSlot(now time.Time) time.Time {
 	if oldest := now.Add(-(savedReservations - 1) * s.interval()); s.next.Before(oldest) {
 		return oldest
 	}
@@ -191,7 +191,7 @@
 }
 
 // take reserves the next slot.
-func (s *schedule) take(now time.Time) { s.next = s.earliest(now).Add(s.interval()) }
+func (s *schedule) take(now time.Time) { s.next = s.earliestSlot(now).Add(s.interval()) }
 
 // nextRetry returns when a refused request should retry. Requests that are refused together get
 // consecutive times at the replica's rate.
--- a/permit/book_test.go
+++ b/permit/book_test.go
@@ -47,12 +47,12 @@
 		now = now.Add(100 * time.Millisecond)
 		if pacer.Request(lowPriority, 1, now).Granted {
 			served++
-			require.True(t, pacer.Request(highPriority, 1, now).Granted, "without delay")
+			require.True(t, pacer.Request(highPriority, 1, now).Granted, "the saved slot is free at once")
 		}
 	}
 	require.Positive(t, served)
 	require.GreaterOrEqual(t, 2*served, 7, "together they use the whole rate")
-	require.True(t, pacer.Request(lowPriority, 1, now.Add(priorityWindow+time.Second)).Granted, "the higher priority is forgotten")
+	require.True(t, pacer.Request(lowPriority, 1, now.Add(priorityWindow+time.Second)).Granted, "the schedule has forgotten the higher priority")
 }
 
 func TestReturnedPermitIsGrantedAgain(t *testing.T) {
--- a/permit/model_test.go
+++ b/permit/model_test.go
@@ -27,7 +27,7 @@
 	uncoordinated                 // the full limit per daemon
 )
 
-func (w strategy) String() string { return [...]string{"leader", "even", "none"}[w] }
+func (s strategy) String() string { return [...]string{"leader", "even", "none"}[s] }
 
 const (
 	modelWindow        = 4 * time.Second
@@ -338,15 +338,15 @@
 		length    = 60 * time.Second
 	)
 	type figures struct{ most, served int }
-	played := map[strategy]figures{}
+	results := map[strategy]figures{}
 	for _, strategy := range []strategy{coordinated, evenShares, uncoordinated} {
 		synctest.Test(t, func(t *testing.T) {
 			m := newModel(strategy, 1, 69, perSecond)
 			m.runCallers(2*perSecond, 2*time.Second, time.Now().Add(length))
-			played[strategy] = figures{testwindow.Most(m.arrivals, modelWindow), len(m.arrivals)}
+			results[strategy] = figures{testwindow.Most(m.arrivals, modelWindow), len(m.arrivals)}
 		})
 	}
-	t.Log(played)
-	require.Greater(t, played[uncoordinated].most, maxArrivals(perSecond))
-	require.Less(t, cmp.Compare(played[evenShares].served, played[coordinated].served*3/4), 0)
+	t.Log(results)
+	require.Greater(t, results[uncoordinated].most, maxArrivals(perSecond))
+	require.Less(t, cmp.Compare(results[evenShares].served, results[coordinated].served*3/4), 0)
 }
--- a/permit/shares.go
+++ b/permit/shares.go
@@ -13,8 +13,8 @@
 // LocalShares is a daemon's part of each limit while it has no leader. It is not safe for concurrent
 // use.
 type LocalShares struct {
-	random func() float64 // in [0, 1)
-	next   map[fleet.Incarnation]time.Time
+	random func() float64                  // in [0, 1)
+	next   map[fleet.Incarnation]time.Time // time of the next slot
 }
 
 // NewLocalShares returns unused shares. random spreads the first slots of daemons that lose their
@@ -39,5 +39,5 @@
 	return Answer{Granted: true, Delay: wait}
 }
 
-// Reset clears all reservations once a leader answers again.
+// Reset clears all reservations. The daemon calls it when a leader answers.
 func (s *LocalShares) Reset() { clear(s.next) }
