--- a/limiter/admit.go
+++ b/limiter/admit.go
@@ -16,8 +16,8 @@
 	answerTimeout = 150 * time.Millisecond
 	// leaderPollInterval is how often a waiting request checks whether the leader answers.
 	leaderPollInterval = 10 * time.Millisecond
-	// minRetryAfter and unknownRetryAfter are the delays that callers are advised to wait: the minimum
-	// if the limit is reached, and that if no leader can check it.
+	// minRetryAfter is the minimum retry advice if the limit is reached, and unknownRetryAfter the advice
+	// if no leader can check it.
 	minRetryAfter     = 200 * time.Millisecond
 	unknownRetryAfter = 500 * time.Millisecond
 )
@@ -61,7 +61,7 @@
 			return nil, limitExceeded(tenant, answer)
 		}
 		if !c.awaitLeader(ctx, time.Until(deadline)) {
-			return nil, failure.New(failure.LimitUnknown, "retry after the time given", "no leader answers whether tenant %s is within its limit", tenant.Name).
+			return nil, failure.New(failure.LimitUnknown, "retry after the given time", "no leader answered whether tenant %s is within its limit", tenant.Name).
 				WithRetryAfter(unknownRetryAfter)
 		}
 	}
@@ -69,7 +69,7 @@
 
 // limitExceeded returns the error for a request beyond its tenant's limit.
 func limitExceeded(tenant *routing.Tenant, answer leaderAnswer) *failure.Error {
-	return failure.New(failure.LimitExceeded, "retry after the time given, or ask your operator for a higher limit",
+	return failure.New(failure.LimitExceeded, "retry after the given time, or ask your operator for a higher limit",
 		"tenant %s has reached its limit of %.0f per second", tenant.Name, tenant.Limit.PerSecond).WithRetryAfter(max(minRetryAfter, answer.RetryIn))
 }
 
@@ -89,8 +89,8 @@
 	returnGrant func(answer leaderAnswer)
 }
 
-// requestAdmission asks the leader whether a request is within its tenant's limit. answered is false if no
-// leader answers in time.
+// requestAdmission asks the leader whether a request is within its tenant's limit. answered is false
+// if no leader answers in time.
 func (c *Client) requestAdmission(ctx context.Context, tenant string, cost float64) (answer leaderAnswer, answered bool) {
 	return c.sendToLeader(ctx, leaderRequest{
 		enqueue: func(now time.Time) uint64 {
@@ -113,8 +113,8 @@
 	}
 	now := c.Now()
 	id := asked.enqueue(now)
-	answered := make(chan leaderAnswer, 1)
-	c.waiting[id] = answered
+	answers := make(chan leaderAnswer, 1)
+	c.waiting[id] = answers
 	if c.unansweredSince.IsZero() {
 		c.unansweredSince = now
 	}
@@ -124,7 +124,7 @@
 	timer := time.NewTimer(answerTimeout)
 	defer timer.Stop()
 	select {
-	case answer = <-answered:
+	case answer = <-answers:
 		// After a pause of this process the answer may be too old to be valid.
 		if c.Now().Sub(now) <= 2*answerTimeout {
 			answer.asked = now
@@ -138,18 +138,18 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	c.abandon(id, asked, answered)
+	c.abandon(id, asked, answers)
 	return leaderAnswer{}, false
 }
 
 // abandon stops waiting for an answer and returns a grant that has arrived meanwhile.
-func (c *Client) abandon(id uint64, asked leaderRequest, answered <-chan leaderAnswer) {
+func (c *Client) abandon(id uint64, asked leaderRequest, answers <-chan leaderAnswer) {
 	c.mutex.Lock()
 	delete(c.waiting, id)
 	c.account.Abandon(id)
 	c.mutex.Unlock()
 	select {
-	case answer := <-answered:
+	case answer := <-answers:
 		if answer.Granted {
 			asked.returnGrant(answer)
 		}
--- a/limiter/client.go
+++ b/limiter/client.go
@@ -20,18 +20,18 @@
 )
 
 const (
-	// heartbeatInterval is the time between messages of an idle client. They tell the leader that
-	// expired credit was not used.
+	// heartbeatInterval is the time between messages of an idle client, which show the leader that the
+	// client has not used expired credit.
 	heartbeatInterval = 2 * time.Second
 	reconnectDelay    = 100 * time.Millisecond
 	// maxReconnectDelay bounds the delay, which doubles with each failed attempt so that many daemons do
 	// not overload a leader whose term is uncertain.
 	maxReconnectDelay = 400 * time.Millisecond
 	dialTimeout       = 500 * time.Millisecond
-	// unresponsiveTimeout closes a stream on which requests stay unanswered.
+	// unresponsiveTimeout is how long requests may stay unanswered before the client closes the stream.
 	unresponsiveTimeout = time.Second
-	// unusedStreamTimeout keeps a stream open for a while after the last limit is gone, since replicas
-	// may set limits again soon.
+	// unusedStreamTimeout is how long a stream stays open without any limit, since replicas may set
+	// limits again soon.
 	unusedStreamTimeout = 10 * time.Second
 )
 
@@ -39,7 +39,7 @@
 // rate-limited replicas. It is a suture service.
 type Client struct {
 	Bounds quota.Bounds
-	// Returns the address of the leader, or an empty string if it is unknown.
+	// Leader returns the address of the leader, or an empty string if it is unknown.
 	Leader func() string
 	// HasLimits reports whether any tenant or replica has a limit; nil means that one has. Without
 	// limits the client keeps no stream to the leader.
@@ -64,8 +64,8 @@
 	fence        int64
 	// sentReports are the numbers of the usage reports in messages that have no reply yet.
 	sentReports []uint64
-	// unansweredSince is when the leader fell silent: the time of the first unanswered request, or of the
-	// last message if requests were still unanswered then; zero if none is.
+	// unansweredSince is when the oldest unanswered message was sent, or when the leader's last message
+	// arrived if requests were still unanswered then; zero if none is.
 	unansweredSince time.Time
 	// pendingPermits are the IDs of unanswered permit requests.
 	pendingPermits map[uint64]bool
--- a/limiter/owner.go
+++ b/limiter/owner.go
@@ -13,7 +13,7 @@
 const uncertainRetryIn = 300 * time.Millisecond
 
 // BeginTerm creates the ledger and the pacer as soon as a term begins, so that the wait for the
-// predecessor's reservations counts from then, not from the first request.
+// predecessor's reservations starts then rather than with the first request.
 func (s *Server) BeginTerm() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -23,7 +23,7 @@
 }
 
 // TryReserve reserves a free slot for a message of the leader itself.
-func (s *Server) TryReserve(request permit.Request) (taken bool, retryIn time.Duration) {
+func (s *Server) TryReserve(request permit.Request) (reserved bool, retryIn time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	term, status := s.Term()
@@ -50,14 +50,14 @@
 // the daemons that reach this leader, so that two leaders with overlapping terms together stay
 // within the limit.
 func (s *Server) reserve(request permit.Request, status election.TermStatus, now time.Time) permit.Answer {
-	reached := 1.0
+	share := 1.0
 	if s.Reached != nil {
-		reached = s.Reached()
+		share = s.Reached()
 	}
-	if status == election.TermUncertain || reached <= 0 {
+	if status == election.TermUncertain || share <= 0 {
 		return permit.Answer{RetryIn: uncertainRetryIn}
 	}
-	return s.pacer.Request(s.withKnownRate(request), reached, now)
+	return s.pacer.Request(s.withKnownRate(request), share, now)
 }
 
 // withKnownRate sets the request's rate to the limit that this daemon knows, since daemons may have
--- a/limiter/permits.go
+++ b/limiter/permits.go
@@ -13,15 +13,15 @@
 
 const (
 	// fallbackDelay is how long a daemon waits for a leader before it uses its local share of replicas'
-	// limits. By then the leader has noticed the disconnect and grants that share to nobody.
+	// limits. By then the leader has noticed the disconnect and grants that share to no other daemon.
 	fallbackDelay = 6 * time.Second
 	// leaderWaitTimeout bounds how long a request waits for a leader that does not answer, such as while
 	// the stream to it opens.
 	leaderWaitTimeout = 300 * time.Millisecond
 	// maxReturnDelay is how long after its reserved time a permit may be returned: about the time that a
-	// message travels. Slots returned later would add to the current ones.
+	// message travels. The leader would grant a slot returned later in addition to the current ones.
 	maxReturnDelay = 20 * time.Millisecond
-	// unansweredRetryIn is the delay for requests refused without a leader.
+	// unansweredRetryIn is the retry delay of permit requests that no leader has answered.
 	unansweredRetryIn = 500 * time.Millisecond
 )
 
@@ -50,8 +50,8 @@
 type Permit struct {
 	client     *Client
 	replica    fleet.Incarnation
-	reservedAt time.Time // counted from the answer, so not before the leader's reservation
-	expiresAt  time.Time // counted from the request
+	reservedAt time.Time // computed from the answer's arrival, so not before the leader's reservation
+	expiresAt  time.Time // computed from when the request was sent
 	source     string
 	fence      int64
 
@@ -97,8 +97,8 @@
 	}
 }
 
-// RequestPermit implements core.ReplicaPermitter. It asks the leader and falls back on this daemon's local
-// share if no leader has answered for fallbackDelay.
+// RequestPermit implements core.ReplicaPermitter. It asks the leader and falls back on this daemon's
+// local share if no leader has answered for fallbackDelay.
 func (c *Client) RequestPermit(ctx context.Context, request permit.Request) (core.ReplicaPermit, core.PermitDenial) {
 	for deadline := time.Now().Add(min(request.MaxWait, leaderWaitTimeout)); ; {
 		answer, answered := c.sendToLeader(ctx, c.permitRequest(request))
@@ -142,7 +142,7 @@
 }
 
 // requestLocally requests a permit from this daemon's local share; allowed tells whether it may use
-// that. A leader of a version without permits counts as none.
+// that. A leader whose version does not support permits is treated as absent.
 func (c *Client) requestLocally(request permit.Request, leaderAnswered bool) (answer permit.Answer, allowed bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/limiter/permits_test.go
+++ b/limiter/permits_test.go
@@ -80,8 +80,8 @@
 	require.InDelta(t, 1, denial.RetryIn.Seconds(), 0.15)
 	_, later := second.RequestPermit(t.Context(), newPermitRequest(4, 0))
 	require.Greater(t, later.RetryIn, denial.RetryIn)
-	taken, _ := leader.TryReserve(request)
-	require.False(t, taken, "the leader's own messages need a free slot")
+	reserved, _ := leader.TryReserve(request)
+	require.False(t, reserved, "the leader's own messages need a free slot")
 }
 
 func TestPermitIsUsableOnceUntilItExpires(t *testing.T) {
@@ -126,8 +126,8 @@
 	require.Nil(t, refused, "another leader may exist")
 	require.Equal(t, uncertainRetryIn, denial.RetryIn)
 	leader.reachablePercent.Store(0)
-	taken, _ := leader.TryReserve(newPermitRequest(1, 0))
-	require.False(t, taken)
+	reserved, _ := leader.TryReserve(newPermitRequest(1, 0))
+	require.False(t, reserved)
 }
 
 func TestNewLeaderDelaysFromStartOfTerm(t *testing.T) {
--- a/limiter/server.go
+++ b/limiter/server.go
@@ -78,7 +78,8 @@
 func (s *Server) handle(process string, fence int64, message *rpc.QuotaQuestions, now time.Time) (*rpc.QuotaAnswers, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	// Checked under the mutex, so that nothing is granted if the lease expired while waiting for it.
+	// The term is read under the mutex, so that nothing is granted if the lease expired while this
+	// message waited for it.
 	term, status := s.Term()
 	uncertain := status == election.TermStoreUnreachable || status == election.TermUncertain
 	if term == 0 || fence != 0 && fence != term || uncertain && term != s.fence {
