--- a/quota/account.go
+++ b/quota/account.go
@@ -67,17 +67,17 @@
 // renew adds credit for a tenant and extends its expiry. Expired credit is dropped, since the leader
 // may have granted it to others.
 func (a *Account) renew(tenant string, amount float64, expiresAt, now time.Time) {
-	known := a.credits[tenant]
-	if known == nil {
-		known = &credit{}
-		a.credits[tenant] = known
+	balance := a.credits[tenant]
+	if balance == nil {
+		balance = &credit{}
+		a.credits[tenant] = balance
 	}
-	if !now.Before(known.expiresAt) {
-		known.left = 0
+	if !now.Before(balance.expiresAt) {
+		balance.left = 0
 	}
-	known.left += amount
-	if expiresAt.After(known.expiresAt) {
-		known.expiresAt = expiresAt
+	balance.left += amount
+	if expiresAt.After(balance.expiresAt) {
+		balance.expiresAt = expiresAt
 	}
 }
 
@@ -91,27 +91,27 @@
 
 // UseCredit spends prepaid credit and reports whether there was enough.
 func (a *Account) UseCredit(tenant string, cost float64, now time.Time) bool {
-	known := a.credits[tenant]
-	if known == nil || !now.Before(known.expiresAt) || known.left < cost {
+	balance := a.credits[tenant]
+	if balance == nil || !now.Before(balance.expiresAt) || balance.left < cost {
 		return false
 	}
-	known.left -= cost
-	known.unreported += cost
+	balance.left -= cost
+	balance.unreported += cost
 	return true
 }
 
 // RefundCredit restores credit that was spent on a request that did not run.
 func (a *Account) RefundCredit(tenant string, cost float64) {
-	if known := a.credits[tenant]; known != nil && known.unreported >= cost {
-		known.left += cost
-		known.unreported -= cost
+	if balance := a.credits[tenant]; balance != nil && balance.unreported >= cost {
+		balance.left += cost
+		balance.unreported -= cost
 	}
 }
 
 // Ahead returns the usable credit for a tenant.
 func (a *Account) Ahead(tenant string, now time.Time) float64 {
-	if known := a.credits[tenant]; known != nil && now.Before(known.expiresAt) {
-		return known.left
+	if balance := a.credits[tenant]; balance != nil && now.Before(balance.expiresAt) {
+		return balance.left
 	}
 	return 0
 }
@@ -120,8 +120,8 @@
 func (a *Account) Credits(now time.Time) []Credit {
 	var usable []Credit
 	for _, tenant := range slices.Sorted(maps.Keys(a.credits)) {
-		if known := a.credits[tenant]; now.Before(known.expiresAt) && known.left > 0 {
-			usable = append(usable, Credit{Tenant: tenant, Left: known.left, TTL: known.expiresAt.Sub(now)})
+		if balance := a.credits[tenant]; now.Before(balance.expiresAt) && balance.left > 0 {
+			usable = append(usable, Credit{Tenant: tenant, Left: balance.left, TTL: balance.expiresAt.Sub(now)})
 		}
 	}
 	return usable
@@ -130,8 +130,8 @@
 // ReturnCredits removes and returns the usable credit after the leader has recalled it.
 func (a *Account) ReturnCredits(now time.Time) []Credit {
 	returned := a.Credits(now)
-	for _, one := range returned {
-		a.credits[one.Tenant].left = 0
+	for _, credit := range returned {
+		a.credits[credit.Tenant].left = 0
 	}
 	return returned
 }
@@ -141,15 +141,15 @@
 func (a *Account) ReportUsage() (number uint64, unreported map[string]float64) {
 	a.lastReport++
 	var report map[string]float64
-	for tenant, known := range a.credits {
-		if known.unreported <= 0 {
+	for tenant, balance := range a.credits {
+		if balance.unreported <= 0 {
 			continue
 		}
 		if report == nil {
 			report = map[string]float64{}
 		}
-		report[tenant] = known.unreported
-		known.unreported = 0
+		report[tenant] = balance.unreported
+		balance.unreported = 0
 	}
 	if report != nil {
 		a.reports[a.lastReport] = report
--- a/quota/callin.go
+++ b/quota/callin.go
@@ -9,12 +9,12 @@
 		if use == nil {
 			continue
 		}
-		known := use.outstandingCredit[daemon]
-		if known == nil || credit.Left <= 0 {
+		outstanding := use.outstandingCredit[daemon]
+		if outstanding == nil || credit.Left <= 0 {
 			continue
 		}
-		returned := min(known.amount, credit.Left)
-		use.take(known, returned)
+		returned := min(outstanding.amount, credit.Left)
+		use.reduceCredit(outstanding, returned)
 		expires := now.Add(credit.TTL)
 		if use.recalledPool.amount == 0 || expires.Before(use.recalledPool.expiresAt) {
 			use.recalledPool.expiresAt = expires
--- a/quota/credit.go
+++ b/quota/credit.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// recalledPool is credit that daemons returned, for requests of any daemon. It expires with the
-// first part of it.
+// recalledPool is credit that daemons returned, for requests of any daemon. All of it expires when its
+// first part does.
 type recalledPool struct {
 	amount    float64
 	expiresAt time.Time
@@ -14,7 +14,7 @@
 	amount    float64
 	inherited float64 // part granted by earlier leaders
 	expiresAt time.Time
-	use       rate
+	use       rate      // the tenant's requests at this daemon
 	since     time.Time // start of the measurement of use
 }
 
@@ -26,12 +26,12 @@
 	}
 	use.creditUsed.add(amount, now)
 	if credit := use.outstandingCredit[daemon]; credit != nil {
-		use.take(credit, min(credit.amount, amount))
+		use.reduceCredit(credit, min(credit.amount, amount))
 	}
 }
 
-// take removes part of a daemon's credit; the inherited part goes last.
-func (u *tenantUsage) take(credit *outstandingCredit, amount float64) {
+// reduceCredit removes part of a daemon's credit; the inherited part goes last.
+func (u *tenantUsage) reduceCredit(credit *outstandingCredit, amount float64) {
 	credit.amount -= amount
 	u.creditTotal -= amount
 	if surplus := credit.inherited - credit.amount; surplus > 0 {
@@ -49,9 +49,9 @@
 			continue
 		}
 		inherited := credit.Left
-		if known := use.outstandingCredit[daemon]; known != nil { // from an earlier connection
-			inherited = min(inherited, known.inherited)
-			use.take(known, known.amount)
+		if earlier := use.outstandingCredit[daemon]; earlier != nil { // from an earlier connection
+			inherited = min(inherited, earlier.inherited)
+			use.reduceCredit(earlier, earlier.amount)
 		}
 		use.outstandingCredit[daemon] = &outstandingCredit{amount: credit.Left, inherited: inherited, expiresAt: now.Add(credit.TTL), use: rate{timeConstant: daemonTimeConstant}, since: now}
 		use.creditTotal += credit.Left
@@ -77,7 +77,7 @@
 			use.creditUsed.add(credit.amount, credit.expiresAt)
 			use.creditUsed.expire(l.bounds.Window, now)
 		}
-		use.take(credit, credit.amount)
+		use.reduceCredit(credit, credit.amount)
 		delete(use.outstandingCredit, daemon)
 	}
 }
@@ -90,13 +90,13 @@
 	renewAfterShare = 0.25
 	// growthFactor is how far a daemon's demand must exceed its credit for an early renewal.
 	growthFactor = 1.5
-	// expireBelowShare is the ratio of demand to credit below which credit is not renewed.
+	// expireBelowShare is the ratio of demand to credit below which credit expires without renewal.
 	expireBelowShare = 0.4
 )
 
-// lend grants a daemon more credit for a tenant, or a later expiry. It never reduces credit, which
-// the daemon may be spending at the same time; unneeded credit expires.
-func (l *Ledger) lend(use *tenantUsage, daemon string, cost float64, now time.Time) (extra float64, renewed bool) {
+// renewCredit grants a daemon more credit for a tenant, or a later expiry. It never reduces credit,
+// which the daemon may be spending at the same time; unneeded credit expires.
+func (l *Ledger) renewCredit(use *tenantUsage, daemon string, cost float64, now time.Time) (extra float64, renewed bool) {
 	credit := use.outstandingCredit[daemon]
 	switch {
 	case credit == nil:
@@ -114,7 +114,7 @@
 		}
 	}
 	if desired > credit.amount {
-		extra = max(0, min(desired-credit.amount, l.lendable(use, now)))
+		extra = max(0, min(desired-credit.amount, l.grantableCredit(use, now)))
 	}
 	if credit.amount+extra <= 0 {
 		return 0, false
@@ -126,9 +126,9 @@
 	return extra, true
 }
 
-// lendable returns how much more credit may be granted for a tenant. Credit may be spent at once, so
-// the window must have room for it.
-func (l *Ledger) lendable(use *tenantUsage, now time.Time) float64 {
+// grantableCredit returns how much more credit may be granted for a tenant. Credit may be spent at once,
+// so the window must have room for it.
+func (l *Ledger) grantableCredit(use *tenantUsage, now time.Time) float64 {
 	outstanding := l.outstanding(use, now)
 	maxCredit := use.budget.creditAt(use.use.since(l.startedAt, minAge, now), use.limit.PerSecond)
 	if now.Before(l.inheritedUntil) {
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -15,10 +15,10 @@
 	Granted bool
 	// Unknown means that the leader knows no such tenant.
 	Unknown bool
-	// RetryIn is when the limit should have room for the request. It is set only if the request was not
-	// granted.
+	// RetryIn is the time until the limit should have room for the request. It is set only if the
+	// request was not granted.
 	RetryIn time.Duration
-	// Slot is the slot of the history that contains the grant.
+	// Slot is the slot of the usage history that contains the grant; a Refund refers to it.
 	Slot int64
 	// Renewed means that the daemon's credit for the tenant expires later and grows by Ahead.
 	Renewed bool
@@ -47,7 +47,7 @@
 type Ledger struct {
 	bounds  Bounds
 	tenants map[string]*tenantUsage
-	// inheritedUntil is when credit granted by earlier leaders no longer counts.
+	// inheritedUntil is the end of the time in which credit granted by earlier leaders may be outstanding.
 	inheritedUntil time.Time
 	startedAt      time.Time
 	lastContact    map[string]time.Time // last message of each daemon
@@ -116,7 +116,7 @@
 	if !now.Before(use.nextSettleAt) {
 		l.settleExpired(use, now)
 	}
-	use.recalledPool = recalledPool{} // nobody used the rest
+	use.recalledPool = recalledPool{} // the lease is certain again, so the rest is no longer outstanding
 	use.bucket.refill(use.limit.PerSecond, now)
 	available := l.available(use, now)
 	if available <= 0 || use.granted.sum+l.outstanding(use, now)+request.Cost > use.budget.maxUse {
@@ -124,7 +124,7 @@
 	}
 	use.bucket.deficit += request.Cost
 	answer := Answer{ID: request.ID, Granted: true, Slot: use.granted.add(request.Cost, now)}
-	answer.Ahead, answer.Renewed = l.lend(use, daemon, request.Cost, now)
+	answer.Ahead, answer.Renewed = l.renewCredit(use, daemon, request.Cost, now)
 	return answer
 }
 
--- a/quota/limit.go
+++ b/quota/limit.go
@@ -35,7 +35,7 @@
 	// small requests cannot starve large ones. It is reserved twice, for two consecutive leaders.
 	overdraftShare = 0.25
 	// creditShare is the share of the remaining reserve that may be granted as credit. The rest lets a
-	// new leader grant credit while that of its predecessor still counts.
+	// new leader grant credit while that of its predecessor is outstanding.
 	creditShare = 0.5
 	// A tenant that uses up to fullCreditUtilization of its limit gets full credit. Above that its
 	// credit decreases, to none at noCreditUtilization, and the bucket keeps the reserve instead.
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -28,8 +28,8 @@
 	}
 	return e[a].at.Before(e[b].at)
 }
-func (e events) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
-func (e *events) Push(one any) { *e = append(*e, one.(event)) }
+func (e events) Swap(a, b int)  { e[a], e[b] = e[b], e[a] }
+func (e *events) Push(item any) { *e = append(*e, item.(event)) }
 func (e *events) Pop() any {
 	last := len(*e) - 1
 	one := (*e)[last]
@@ -62,12 +62,12 @@
 	daemons  []*modelDaemon
 	leader   *modelLeader // nil if there is none
 
-	ideal    *idealBucket // for tenant one; may be nil
-	admitted map[string][]admission
-	asked    map[string]float64 // cost, by tenant
-	granted  map[string]float64
-	refused  map[string]int
-	requests map[string]int
+	ideal         *idealBucket // for tenant one; may be nil
+	admitted      map[string][]admission
+	requestedCost map[string]float64 // cost, by tenant
+	granted       map[string]float64
+	refused       map[string]int
+	requests      map[string]int
 }
 
 type admission struct {
@@ -78,7 +78,7 @@
 func newModel(seed uint64, daemons int, limits map[string]Limit) *model {
 	m := &model{
 		random: rand.New(rand.NewPCG(seed, 7)), bounds: Bounds{Window: 8 * time.Second, Overshoot: 0.1, Slack: 11_000}, limits: limits,
-		now: time.Unix(1_000, 0), admitted: map[string][]admission{}, asked: map[string]float64{}, granted: map[string]float64{},
+		now: time.Unix(1_000, 0), admitted: map[string][]admission{}, requestedCost: map[string]float64{}, granted: map[string]float64{},
 		refused: map[string]int{}, requests: map[string]int{},
 	}
 	for number := range daemons {
@@ -193,7 +193,7 @@
 	if m.ideal != nil && tenant == "one" {
 		m.ideal.request(cost, m.now)
 	}
-	m.asked[tenant] += cost
+	m.requestedCost[tenant] += cost
 	m.requests[tenant]++
 	if daemon.leader == nil || daemon.partitioned {
 		m.useCredit(daemon, tenant, cost)
@@ -285,9 +285,9 @@
 	maxUse := m.bounds.budgetFor(m.limits[tenant]).maxUse
 	first, sum, maxUtilization := 0, 0.0, 0.0
 	all := m.admitted[tenant]
-	for _, one := range all {
-		sum += one.cost
-		for one.at.Sub(all[first].at) > m.bounds.Window {
+	for _, request := range all {
+		sum += request.cost
+		for request.at.Sub(all[first].at) > m.bounds.Window {
 			sum -= all[first].cost
 			first++
 		}
@@ -392,11 +392,11 @@
 		large := Limit{PerSecond: 20_000 + 60_000*float64(seed%3), Burst: 20_000}
 		m := newModel(seed, daemons, map[string]Limit{"small": small, "large": large})
 		for tenant, limit := range m.limits {
-			hot := 0.5 + 5*m.random.Float64()
+			loadFactor := 0.5 + 5*m.random.Float64()
 			from := m.now.Add(time.Duration(m.random.Float64() * float64(length)))
 			m.generateLoad(tenant, func() float64 {
 				if m.now.After(from) {
-					return hot * limit.PerSecond
+					return loadFactor * limit.PerSecond
 				}
 				return limit.PerSecond / 2
 			}, m.randomDaemons(40), 0.1*m.random.Float64())
--- a/quota/rate.go
+++ b/quota/rate.go
@@ -37,8 +37,8 @@
 	return r.value * math.Exp(-now.Sub(r.updatedAt).Seconds()/r.timeConstant.Seconds())
 }
 
-// since returns the average of a measurement that began at startedAt, corrected for the missing time
-// before that.
+// since returns the average of a measurement that began at startedAt, corrected for the missing
+// time before that.
 func (r *rate) since(startedAt time.Time, minAge time.Duration, now time.Time) float64 {
 	age := max(minAge, now.Sub(startedAt))
 	return r.perSecond(now) / (1 - math.Exp(-age.Seconds()/r.timeConstant.Seconds()))
