--- a/core/call.go
+++ b/core/call.go
@@ -59,7 +59,7 @@
 	return c.Tenant.Name
 }
 
-// key returns the key under which the call counts as demand.
+// key returns the key under which the call is recorded as demand.
 func (c *Call) key() demand.Key { return demand.Key{Service: c.Service.Name, Target: c.Target} }
 
 // ResponseWriter writes the response to the caller; caller interfaces implement it.
@@ -113,8 +113,8 @@
 // Driver implements the protocol of the replicas.
 type Driver interface {
 	// Send sends a dispatch and returns the head of the response. Errors are of type *SendError. Right
-	// before writing, Send asks the fleet directory to admit the request; a request that is not
-	// admitted counts as not written.
+	// before writing, Send asks the fleet directory to admit the request; if that fails, the error
+	// wraps a fleet.AdmissionError and is not Written.
 	Send(ctx context.Context, dispatch Dispatch) (*Reply, error)
 }
 
--- a/core/core.go
+++ b/core/core.go
@@ -211,7 +211,7 @@
 const undeclaredRetryAfter = time.Second
 
 // rejectUndeclared refuses a call whose target the service does not declare. Such a target is never
-// loaded, and must not count as demand since callers can make up names.
+// loaded, and must not be recorded as demand, since callers can make up names.
 func rejectUndeclared(call *Call) *failure.Error {
 	target := call.Target
 	if call.Service.Engine == nil || target.Model == "" || call.Service.Engine.HasModel(target.Model, target.Adapter) {
--- a/core/lifecycle.go
+++ b/core/lifecycle.go
@@ -46,7 +46,7 @@
 
 	dispatches  int
 	runs        int  // dispatches that may have run
-	mayHaveRun  bool // a dispatch failed or was lost
+	mayHaveRun  bool // a dispatch had the result Failed or Lost
 	partialSent bool // part of a response was sent to the caller
 	done        bool
 }
--- a/core/log.go
+++ b/core/log.go
@@ -17,7 +17,7 @@
 	})
 }
 
-// logWait logs that no replica could take a call at once, and the decision. backingOff is the replica
+// logWait logs that no replica could take a call at once, and whether the call waits. backingOff is the replica
 // whose back-off the call waits for; it may be empty.
 func (c *Core) logWait(state *callState, reason fleet.Miss, decision waitDecision, backingOff string) {
 	entry := c.entry(state)
--- a/core/obstacle.go
+++ b/core/obstacle.go
@@ -34,7 +34,7 @@
 	return nil, c.finalFailure(ctx, state, failure.DeadlineExceeded, errors.New(fleet.RateLimited.String()))
 }
 
-// constraint is why no replica can take a call now.
+// waitConstraint describes why no replica can take a call now.
 type waitConstraint struct {
 	miss fleet.Miss
 	// until is when the constraint should end; valid only if untilKnown is set.
--- a/core/permission.go
+++ b/core/permission.go
@@ -9,7 +9,7 @@
 	"github.com/finchspoke/finchspoke/routing"
 )
 
-// Gate resolves callers' keys, provided that the records of keys are known to be current.
+// Gate resolves callers' keys. It refuses them while its records of keys may be outdated.
 type Gate interface {
 	// ResolveTenant returns the tenant that currently owns a key, or why a request with the key must
 	// not be dispatched.
@@ -19,7 +19,7 @@
 // Limits enforces the usage limits of tenants.
 type Limits interface {
 	// Admit checks a request against its tenant's limit; zero tokens means unknown. It blocks for at
-	// most the given time if the answer is not known locally.
+	// most maxWait if the decision needs another daemon.
 	Admit(ctx context.Context, tenant *routing.Tenant, tokens int, maxWait time.Duration) (Permit, *failure.Error)
 }
 
--- a/core/quarantine.go
+++ b/core/quarantine.go
@@ -13,10 +13,10 @@
 type Quarantine interface {
 	// Withheld returns why a request must not be dispatched, or nil if it may.
 	Withheld(request quarantine.Fingerprint) *failure.Error
-	// ConnectionBroken reports that the connection to a replica broke while it had a request. It
-	// returns once a resulting quarantine would be in effect.
+	// ConnectionBroken reports that the connection to a replica broke while it had a request. If
+	// that puts the request into quarantine, it returns once the quarantine is in effect.
 	ConnectionBroken(ctx context.Context, replica fleet.Incarnation, address string, request quarantine.Fingerprint)
-	// Abandoned reports that a dispatch was given up while the replica had the request.
+	// Abandoned reports that this daemon ended a dispatch while the replica had the request.
 	Abandoned(replica fleet.Incarnation, address string, request quarantine.Fingerprint)
 	// Served reports that a replica completed a request.
 	Served(request quarantine.Fingerprint)
