--- a/fleet/connect_test.go
+++ b/fleet/connect_test.go
@@ -36,7 +36,7 @@
 	require.True(t, known, "a slow load is expected for longer")
 }
 
-// pendingInterest is an Interest whose targets are never known.
+// pendingInterest is an Interest that never has the records of a target's replicas.
 type pendingInterest struct{}
 
 func (pendingInterest) Register(string, Target) bool { return false }
--- a/fleet/index.go
+++ b/fleet/index.go
@@ -17,8 +17,8 @@
 
 // index returns the index of a service; the caller holds the mutex.
 func (d *Directory) index(service string) *serviceIndex {
-	if known := d.services[service]; known != nil {
-		return known
+	if existing := d.services[service]; existing != nil {
+		return existing
 	}
 	return noReplicas
 }
--- a/fleet/limit.go
+++ b/fleet/limit.go
@@ -119,11 +119,11 @@
 func (d *Directory) LimitRecord(id string) (record ReplicaLimit, observed bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	known := d.hints[id]
-	if known == nil || known.limit.observedAt.IsZero() {
+	stored := d.hints[id]
+	if stored == nil || stored.limit.observedAt.IsZero() {
 		return ReplicaLimit{}, false
 	}
-	return known.limitRecord(id), true
+	return stored.limitRecord(id), true
 }
 
 // limitRecord returns the record as the limit of the replica with the given id.
