--- a/routing/routing.go
+++ b/routing/routing.go
@@ -117,8 +117,8 @@
 	PlainTokens int
 }
 
-// Cost returns what a request counts toward the tenant's limit. tokens is zero if the request does
-// not state a number.
+// Cost returns how much of the tenant's limit a request uses. tokens is zero if the request does not
+// state a number.
 func (t *Tenant) Cost(tokens int) int {
 	switch {
 	case !t.CountsTokens:
