--- a/limiter/permits.go
+++ b/limiter/permits.go
@@ -66,8 +66,8 @@
 func (p *Permit) Source() string { return p.source }
 
 // Use implements fleet.Permit. A permit expires so that a paused process does not send late, in
-// addition to the messages of later slots. Its validity counts from the request, since the answer
-// may have been delayed.
+// addition to the messages of later slots. The expiry is computed from when the request was sent,
+// since the answer may have been delayed.
 func (p *Permit) Use() bool {
 	if p.client.Now().After(p.expiresAt) {
 		return false
