--- a/quota/account.go
+++ b/quota/account.go
@@ -55,7 +55,7 @@
 	}
 	delete(a.pending, answer.ID)
 	if answer.Renewed {
-		// The expiry counts from the request, since the answer may have been delayed.
+		// The expiry is computed from when the request was sent, since the answer may be delayed.
 		a.renew(request.Tenant, answer.Ahead, request.sent.Add(a.bounds.creditTTL()), now)
 	}
 	if answer.Granted && request.abandoned {
--- a/quota/credit.go
+++ b/quota/credit.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// reduceCredit removes part of a daemon's credit; the inherited part goes last.
+// reduceCredit removes part of a daemon's credit; it uses up the inherited part last.
 func (u *tenantUsage) reduceCredit(credit *outstandingCredit, amount float64) {
 	credit.amount -= amount
 	u.creditTotal -= amount
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -70,8 +70,8 @@
 }
 
 // NewLedger returns the ledger of a term that begins at now; first means that there was no earlier
-// leader. Otherwise buckets start empty, and all credit that may exist counts as outstanding until
-// it has expired and left every window. This covers the most that the predecessor can have granted.
+// leader. Otherwise buckets start empty, and the ledger treats the most credit that the predecessor
+// can have granted as outstanding until it has expired and its use has left every window.
 func NewLedger(bounds Bounds, first bool, now time.Time) *Ledger {
 	ledger := &Ledger{bounds: bounds, tenants: map[string]*tenantUsage{}, startedAt: now, inheritedUntil: now, lastContact: map[string]time.Time{}}
 	if !first {
--- a/quota/model_test.go
+++ b/quota/model_test.go
@@ -32,9 +32,9 @@
 func (e *events) Push(item any) { *e = append(*e, item.(event)) }
 func (e *events) Pop() any {
 	last := len(*e) - 1
-	one := (*e)[last]
+	item := (*e)[last]
 	*e = (*e)[:last]
-	return one
+	return item
 }
 
 type modelDaemon struct {
