--- a/core/permission.go
+++ b/core/permission.go
@@ -9,7 +9,7 @@
 	"github.com/finchspoke/finchspoke/routing"
 )
 
-// Gate resolves callers' keys, provided that the records of keys are known to be current.
+// Gate resolves callers' keys. It refuses them while its records of keys may be outdated.
 type Gate interface {
 	// ResolveTenant returns the tenant that currently owns a key, or why a request with the key must
 	// not be dispatched.
@@ -19,8 +19,8 @@
 // Limits enforces the usage limits of tenants.
 type Limits interface {
 	// Admit checks a request against its tenant's limit; zero tokens means unknown. It blocks for at
-	// most the given time if the answer is not known locally.
-	Admit(ctx context.Context, tenant *routing.Tenant, tokens int, most time.Duration) (Permit, *failure.Error)
+	// most maxWait if the decision needs another daemon.
+	Admit(ctx context.Context, tenant *routing.Tenant, tokens int, maxWait time.Duration) (Permit, *failure.Error)
 }
 
 // Permit is the admission of one request by Limits.
@@ -29,8 +29,8 @@
 	Return()
 }
 
-// limitWaitDivisor divides the route's objective to limit the wait for a tenant limit decision. A new
-// leader may exist by then, and the caller can still be served in time elsewhere.
+// limitWaitDivisor divides the route's objective to limit the wait for a decision on a tenant limit.
+// The wait lets a new leader take over and leaves the caller time to try another daemon.
 const limitWaitDivisor = 5
 
 // admit serves a call that is within its tenant's limit, and returns the permit if the call did not
