--- a/kv/client.go
+++ b/kv/client.go
@@ -213,7 +213,7 @@
 	if response.StatusCode == http.StatusTooManyRequests {
 		return nil, errRateLimited
 	}
-	return nil, errors.Wrapf(ErrUncertain, "status %d", response.StatusCode)
+	return nil, errors.Wrapf(ErrUncertain, "unexpected status %d from the service", response.StatusCode)
 }
 
 func (p WirePair) pair() Pair {
--- a/kv/client_test.go
+++ b/kv/client_test.go
@@ -16,7 +16,7 @@
 	"github.com/finchspoke/finchspoke/standin/keyvalue"
 )
 
-func start(t *testing.T) (*kv.Client, *keyvalue.Server, *faultproxy.Proxy) {
+func startService(t *testing.T) (*kv.Client, *keyvalue.Server, *faultproxy.Proxy) {
 	t.Helper()
 	service := keyvalue.New(100_000)
 	server := httptest.NewServer(service)
@@ -27,17 +27,17 @@
 	return kv.NewClient(proxy.Address()), service, proxy
 }
 
-func create(key, value string) kv.Txn {
+func createTxn(key, value string) kv.Txn {
 	return kv.Txn{Conditions: []kv.Condition{{Key: key}}, Puts: []kv.Put{{Key: key, Value: []byte(value)}}}
 }
 
 func TestCompareAndSwap(t *testing.T) {
-	client, _, _ := start(t)
+	client, _, _ := startService(t)
 	ctx := context.Background()
-	result, err := client.Commit(ctx, create("k", "one"))
+	result, err := client.Commit(ctx, createTxn("k", "one"))
 	require.NoError(t, err)
 	require.True(t, result.Succeeded)
-	refused, err := client.Commit(ctx, create("k", "two"))
+	refused, err := client.Commit(ctx, createTxn("k", "two"))
 	require.NoError(t, err)
 	require.False(t, refused.Succeeded)
 	require.Equal(t, "one", string(refused.Current[0].Value))
@@ -51,40 +51,40 @@
 }
 
 func TestErrorsDistinguishUncertainWrites(t *testing.T) {
-	client, service, proxy := start(t)
+	client, service, proxy := startService(t)
 	ctx := context.Background()
 	service.Faults.Set(keyvalue.Faults{LoseAnswers: 100})
-	_, err := client.Commit(ctx, create("lost", "v"))
+	_, err := client.Commit(ctx, createTxn("lost", "v"))
 	require.ErrorIs(t, err, kv.ErrUncertain)
 	_, found, err := client.Get(ctx, "lost")
 	require.NoError(t, err)
 	require.True(t, found, "the write took effect")
 	service.Faults.Set(keyvalue.Faults{})
 	proxy.Close()
-	_, err = client.Commit(ctx, create("never", "v"))
+	_, err = client.Commit(ctx, createTxn("never", "v"))
 	require.Error(t, err)
-	_, err = kv.NewClient("127.0.0.1:1").Commit(ctx, create("never", "v"))
+	_, err = kv.NewClient("127.0.0.1:1").Commit(ctx, createTxn("never", "v"))
 	require.ErrorIs(t, err, kv.ErrUnavailable)
 }
 
 func TestCommitResolvedHandlesLostResponses(t *testing.T) {
-	client, service, proxy := start(t)
+	client, service, proxy := startService(t)
 	ctx := context.Background()
 	service.Faults.Set(keyvalue.Faults{LoseAnswers: 100})
-	result, err := kv.CommitResolved(ctx, client, create("mine", "writer-1"))
+	result, err := kv.CommitResolved(ctx, client, createTxn("mine", "writer-1"))
 	require.NoError(t, err)
 	require.True(t, result.Succeeded)
-	result, err = kv.CommitResolved(ctx, client, create("mine", "writer-2"))
+	result, err = kv.CommitResolved(ctx, client, createTxn("mine", "writer-2"))
 	require.NoError(t, err)
 	require.False(t, result.Succeeded, "another writer holds the key")
 	service.Faults.Set(keyvalue.Faults{})
 	proxy.Set(faultproxy.Faults{DropAnswers: true})
-	_, err = kv.CommitResolved(ctx, client, create("other", "writer-1"))
+	_, err = kv.CommitResolved(ctx, client, createTxn("other", "writer-1"))
 	require.ErrorIs(t, err, kv.ErrUncertain, "the key cannot be read back")
 }
 
 func TestFollowReportsEveryChangeAcrossOutages(t *testing.T) {
-	client, service, proxy := start(t)
+	client, service, proxy := startService(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	received := make(chan string, 100)
@@ -93,8 +93,8 @@
 	}()
 	for number := range 3 {
 		key := fmt.Sprintf("p/%d", number)
-		// The proxy may just have cut the connection, which loses the response.
-		_, err := kv.CommitResolved(ctx, client, create(key, "v"))
+		// The proxy may just have closed the connection, so that the response is lost.
+		_, err := kv.CommitResolved(ctx, client, createTxn(key, "v"))
 		require.NoError(t, err)
 		require.Eventually(t, func() bool { return <-received == key+"=v" }, 10*time.Second, time.Millisecond)
 		switch number {
@@ -108,11 +108,11 @@
 }
 
 func TestKeysAreDeletedWhenTheirLeaseExpires(t *testing.T) {
-	client, _, _ := start(t)
+	client, _, _ := startService(t)
 	ctx := context.Background()
 	lease, err := client.GrantLease(ctx, time.Second)
 	require.NoError(t, err)
-	txn := create("leased", "v")
+	txn := createTxn("leased", "v")
 	txn.Puts[0].Lease = lease
 	_, err = client.Commit(ctx, txn)
 	require.NoError(t, err)
--- a/kv/era.go
+++ b/kv/era.go
@@ -4,7 +4,7 @@
 
 // counterBits is the number of low bits of a revision that hold the service's own change counter. The era,
 // which is the number of restores from a backup, is above them: a restored service reuses counter values,
-// and the era keeps revisions ordered across restores. Services that report no era are in era zero.
+// and the era makes revisions increase across restores. Services that report no era are in era zero.
 // Era and counter together fit in the integers that a JSON number represents exactly.
 const counterBits = 40
 
--- a/kv/kv.go
+++ b/kv/kv.go
@@ -14,8 +14,8 @@
 // ErrUnavailable means that the service did not execute the operation.
 var ErrUnavailable = errors.New("key-value service unavailable; the operation did not run")
 
-// ErrUncertain means that the service may or may not have executed a write.
-var ErrUncertain = errors.New("key-value service did not respond; the write may have taken effect")
+// ErrUncertain means that the service may or may not have executed the operation.
+var ErrUncertain = errors.New("key-value service did not confirm the operation; a write may have taken effect")
 
 // ErrCompacted means that the service has compacted the revisions that a watch starts from.
 var ErrCompacted = errors.New("key-value service has compacted the requested revisions")
@@ -97,7 +97,7 @@
 // Retries are safe because the condition lets at most one copy of txn take effect.
 func CommitResolved(ctx context.Context, store Store, txn Txn) (TxnResult, error) {
 	marker := txn.Puts[0]
-	expected := conditionFor(txn, marker.Key)
+	expected := expectedRevision(txn, marker.Key)
 	uncertain := false
 	var lastErr error
 	for range resolveAttempts {
@@ -143,7 +143,8 @@
 	return refused, nil
 }
 
-func conditionFor(txn Txn, key string) int64 {
+// expectedRevision returns the revision that txn's condition on a key requires; zero without a condition.
+func expectedRevision(txn Txn, key string) int64 {
 	for _, condition := range txn.Conditions {
 		if condition.Key == key {
 			return condition.ModRevision
@@ -169,8 +170,7 @@
 			for _, pair := range pairs {
 				handle(Event{Pair: pair})
 			}
-			// After a broken watch the next iteration lists again, so no revision
-			// has to be remembered.
+			// The next iteration lists all pairs again, so no revision has to be kept.
 			_ = store.Watch(ctx, prefix, revision+1, handle)
 		}
 		select {
--- a/kv/lease.go
+++ b/kv/lease.go
@@ -38,9 +38,9 @@
 // a watch stream.
 type LongPollStore interface {
 	LeaseStore
-	// Changes waits for changes under prefix after a revision, and returns them with the revision up to
-	// which they are complete; none if there are none within wait. They include every write that was
-	// acknowledged before the call. The error wraps ErrCompacted if the service no longer has the
-	// changes, and ErrRestored if it was restored from a backup since the revision.
+	// Changes returns the changes under prefix after a revision, and the revision up to which they are complete;
+	// if there are none yet, it waits for at most the given time. They include every write that was acknowledged
+	// before the call. The error wraps ErrCompacted if the service no longer has the changes, and ErrRestored if
+	// it was restored from a backup since the revision.
 	Changes(ctx context.Context, prefix string, after int64, wait time.Duration) ([]Event, int64, error)
 }
--- a/kv/metered.go
+++ b/kv/metered.go
@@ -47,7 +47,7 @@
 	return pairs, revision, err
 }
 
-// ListPages implements PageLister; the list of a store without pages is one page.
+// ListPages implements PageLister. If the store is not a PageLister, the complete list is one page.
 func (m *MeteredStore) ListPages(ctx context.Context, prefix string, handlePage func(page Page) (proceed bool)) ([]Pair, int64, error) {
 	lister, ok := m.LongPollStore.(PageLister)
 	if !ok {
