--- a/node/follow.go
+++ b/node/follow.go
@@ -79,8 +79,8 @@
 	n.leader.RegistryChanged(entry.ID)
 }
 
-// putReplica applies an entry of the registry. An entry that came back with a restored backup may be untrusted
-// for a while, since its replica may have ended.
+// putReplica applies an entry of the registry. The replica of an entry that a restore from a backup brought back
+// may have ended, so the fleet may not trust such an entry until fleet.RestoredEntryHold has passed.
 func (n *Node) putReplica(entry fleet.Entry, restored bool) {
 	if !restored {
 		n.fleet.Put(entry, time.Now())
@@ -96,8 +96,8 @@
 	})
 }
 
-// shouldForward reports whether peers need an update of a record. They do not if only the loaded models of a
-// replica changed, because the leader reports these sooner by itself.
+// shouldForward reports whether peers need an update of a record. They do not if only the loaded or cached
+// models of a replica changed, because the leader sends these to all daemons itself, sooner than the record.
 func shouldForward(adapters Adapters, before, after kv.Pair) bool {
 	if !strings.HasPrefix(after.Key, adapters.ReplicaPrefix) {
 		return true
--- a/node/gauges.go
+++ b/node/gauges.go
@@ -26,8 +26,8 @@
 			return float64(suspects)
 		}},
 		{"finchspoke_quarantine_withheld", "Distinct requests that are quarantined, so that they are not sent to replicas.", func() float64 {
-			_, excluded, _ := n.quarantine.Counts()
-			return float64(excluded)
+			_, quarantined, _ := n.quarantine.Counts()
+			return float64(quarantined)
 		}},
 		{"finchspoke_replicas_limited", "Replicas known to this daemon that have stated a request limit.", func() float64 { return float64(n.fleet.RateLimitedCount()) }},
 		{"finchspoke_permits_waiting", "Reservations at replicas with a request limit that this daemon granted as the leader and that are not due yet.", func() float64 { return float64(n.limitServer.PendingReservations()) }},
--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,6 @@
-// Package node assembles the daemon that routes requests to the replicas of a registry by an imported
-// routing table. One daemon at a time is the leader, which decides what replicas load. Adapters connect the
-// daemon to the platform's interfaces.
+// Package node assembles the daemon that routes requests to the replicas of a registry according to an
+// imported routing table. One daemon at a time is the leader, which decides what replicas load. Adapters
+// connect the daemon to the platform's interfaces.
 package node
 
 import (
@@ -49,7 +49,7 @@
 	MetricsAddress string // empty: metrics are not served
 	// Seeds are the peer addresses of some daemons; they may be out of date.
 	Seeds []string
-	// FirstStart states that the system starts for the first time, so that there was no earlier leader.
+	// FirstStart states that the system starts for the first time, so no earlier leader can exist.
 	FirstStart bool
 	// StopTimeout bounds the duration of a planned stop.
 	StopTimeout time.Duration
@@ -301,7 +301,7 @@
 	n.log.WithField(logging.Outcome, "seeds taken").Info("settings reloaded")
 }
 
-// isDraining reports whether a replica was expected to end: it is draining, or no longer in the registry.
+// isDraining reports whether a replica may stop as planned: it is draining, or no longer in the registry.
 func (n *Node) isDraining(replica string) bool {
 	entry, listed := n.fleet.Entry(replica)
 	return !listed || entry.Draining
@@ -371,7 +371,7 @@
 // no request is finished. It is for simulations and must be called at most once.
 func (n *Node) Kill() { close(n.ended) }
 
-// Status is the state of a node as it knows it.
+// Status is a snapshot of a node's state.
 type Status struct {
 	Ready            bool
 	ConfigVersion    int64
--- a/node/registrylog.go
+++ b/node/registrylog.go
@@ -44,7 +44,8 @@
 	r.log.WithField(logging.Replica, id).WithFields(logging.RevisionFields(revision)).Info(logging.MessageReplicaRemoved)
 }
 
-// logInvalid logs that an entry cannot be decoded. The writer of the entry may repeat it often.
+// logInvalid logs that an entry cannot be decoded. It is rate-limited, as another program may write such entries
+// often.
 func (r *registryLog) logInvalid(id string, cause error, revision int64) {
 	if !r.isLeading() || !r.allowLine() {
 		r.addToSummary(1, 0, revision)
--- a/node/replicas.go
+++ b/node/replicas.go
@@ -16,16 +16,17 @@
 	// need not look any up. A larger fleet would cost each daemon too much memory, and the leader too many
 	// messages about changes.
 	KnownByAll = 600
-	// fallbackBaseDelay is how long after the last report of its peers a daemon without replica records polls
-	// the key-value service itself, plus up to fallbackJitter so that not all do at once. By then a lost
-	// leader is usually replaced; until then directories confirm that the records are current.
+	// fallbackBaseDelay is the time without messages from peers after which a daemon without replica records
+	// polls the key-value service itself. A lost leader is usually replaced within that time, in which
+	// directories confirm that the records are current. fallbackJitter bounds a random addition, so that
+	// not all daemons start to poll at once.
 	fallbackBaseDelay = 3 * time.Second
 	fallbackJitter    = time.Second
 	// campaignExtraDelay is how much longer a daemon without replica records waits before it campaigns for
-	// the term, so that directories go first: as the leader it would have to read these records.
+	// the term. Directories go first, because they already have the records, which a leader needs.
 	campaignExtraDelay = time.Second
 	// campaignDelayFactor multiplies TermDelay on a daemon without replica records that knows of no directory.
-	// If all were lost at once, daemons with more CPU then campaign clearly before the others.
+	// If all directories are lost at once, daemons with more CPU then campaign clearly before the others.
 	campaignDelayFactor = 4
 )
 
@@ -90,13 +91,13 @@
 // named any yet.
 func (d *replicaDiscovery) directories() []string {
 	d.mutex.Lock()
-	known := d.addresses
+	ranked := d.addresses
 	d.mutex.Unlock()
 	leader := d.node.election.LeaderAddress()
-	if len(known) == 0 && leader != "" {
+	if len(ranked) == 0 && leader != "" {
 		return []string{leader}
 	}
-	return known
+	return ranked
 }
 
 // directory returns the address of the directory that this daemon uses. It is empty if the daemon knows all
@@ -109,7 +110,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if !slices.Contains(d.addresses, current) {
-		return "" // connected to the leader, which has not named directories yet
+		return "" // the client uses the leader, which has not named directories yet
 	}
 	return current
 }
@@ -121,7 +122,7 @@
 }
 
 // fallbackDelay returns how long after the last report of a peer this daemon polls the key-value service
-// itself. It is zero if no directories are known, since then perhaps no other daemon polls.
+// itself. It is zero if no directories are known, because then no other daemon may be polling.
 func (d *replicaDiscovery) fallbackDelay() time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/node/turns.go
+++ b/node/turns.go
@@ -8,13 +8,13 @@
 	"github.com/finchspoke/finchspoke/permit"
 )
 
-// probeLimiter counts the quarantine's probes against the request limits of replicas. It implements
-// quarantine.Turns.
+// probeLimiter counts the probes of the quarantine guard against the request limits of replicas.
 type probeLimiter struct {
 	fleet       *fleet.Directory
 	limitClient *limiter.Client
 }
 
+// TryReserve reserves a probe at the lowest priority; replicas without a limit need no reservation.
 func (l *probeLimiter) TryReserve(ctx context.Context, replica fleet.Incarnation) bool {
 	perSecond := l.fleet.LimitOf(replica.ID)
 	if perSecond == 0 {
@@ -24,6 +24,7 @@
 	return granted != nil && granted.Use()
 }
 
+// Charge counts a probe against the replica's limit, if it has one.
 func (l *probeLimiter) Charge(replica fleet.Incarnation) {
 	if perSecond := l.fleet.LimitOf(replica.ID); perSecond > 0 {
 		l.limitClient.Charge(replica, perSecond)
