--- a/quarantine/cost_test.go
+++ b/quarantine/cost_test.go
@@ -19,14 +19,14 @@
 	interval    time.Duration // between attempts of the crashing request
 	random      *rand.Rand
 
-	now          time.Duration
-	readyAt      []time.Duration // by replica: when it runs again after a crash
-	incarnations []int           // by replica
-	running      []*simulatedRequest
-	retries      []*simulatedRequest // failed calls that their callers retry
-	notices      []crashNotice
-	ledger       *ledger
-	result       cost
+	now           time.Duration
+	readyAt       []time.Duration // by replica: when it runs again after a crash
+	incarnations  []int           // by replica
+	running       []*simulatedRequest
+	retries       []*simulatedRequest // failed calls that their callers retry
+	notifications []crashNotification
+	ledger        *ledger
+	result        cost
 }
 
 type simulatedRequest struct {
@@ -37,8 +37,8 @@
 	calls      int // by its caller
 }
 
-// crashNotice is a crash that daemons learn of at a given time.
-type crashNotice struct {
+// crashNotification is a crash that daemons learn of at a given time.
+type crashNotification struct {
 	at      time.Duration
 	replica string
 	request int
@@ -62,7 +62,7 @@
 	m.readyAt, m.incarnations, m.ledger = make([]time.Duration, m.replicas), make([]int, m.replicas), newLedger()
 	nextCrashing := m.interval
 	for ; m.now < simulatedDuration; m.now += step {
-		m.deliverNotices()
+		m.deliverNotifications()
 		m.finishDue()
 		due := m.retries
 		m.retries = nil
@@ -81,12 +81,12 @@
 	return m.result
 }
 
-// deliverNotices records the crashes that daemons know of by now.
-func (m *simulation) deliverNotices() {
-	for len(m.notices) > 0 && m.notices[0].at <= m.now {
-		notice := m.notices[0]
-		m.notices = m.notices[1:]
-		m.ledger.put(fmt.Sprint(notice), reportOf(map[string][]int{notice.replica: {notice.request}}), int64(m.now), testStart.Add(m.now))
+// deliverNotifications records the crashes that daemons know of by now.
+func (m *simulation) deliverNotifications() {
+	for len(m.notifications) > 0 && m.notifications[0].at <= m.now {
+		notification := m.notifications[0]
+		m.notifications = m.notifications[1:]
+		m.ledger.put(fmt.Sprint(notification), reportOf(map[string][]int{notification.replica: {notification.request}}), int64(m.now), testStart.Add(m.now))
 	}
 }
 
@@ -149,7 +149,7 @@
 	}
 	m.running = remaining
 	for _, request := range interrupted {
-		m.notices = append(m.notices, crashNotice{m.now + m.propagation, fmt.Sprintf("r%d.%d", cause.replica, m.incarnations[cause.replica]), request.id})
+		m.notifications = append(m.notifications, crashNotification{m.now + m.propagation, fmt.Sprintf("r%d.%d", cause.replica, m.incarnations[cause.replica]), request.id})
 	}
 	for _, request := range interrupted {
 		if request.dispatches < maxDispatches {
--- a/quarantine/departures.go
+++ b/quarantine/departures.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// abandonWindow is how long after a request was abandoned at a replica a crash of that
-	// replica still counts against the request.
+	// abandonWindow is the time after a request was abandoned at a replica within which a crash of
+	// that replica counts against the request.
 	abandonWindow = time.Second
 	// abandonCheckDelay is the time from abandoning a request to probing its replica. It leaves
 	// a probe enough time to finish within abandonWindow.
@@ -25,8 +25,8 @@
 	at      time.Time
 }
 
-// add records an abandoned request. first reports whether it is the only one recorded for its
-// replica. Requests beyond maxAbandoned are dropped.
+// add records an abandoned request, unless maxAbandoned are recorded already. first reports whether
+// it is the only one recorded for its replica.
 func (a abandonedRequests) add(replica string, request Fingerprint, now time.Time) (first bool) {
 	count := 0
 	for _, entries := range a {
@@ -39,8 +39,8 @@
 	return len(a[replica]) == 1
 }
 
-// take removes all requests of a replica and returns those abandoned within abandonWindow before now.
-func (a abandonedRequests) take(replica string, now time.Time) []Fingerprint {
+// takeRecent removes all requests of a replica and returns those abandoned within abandonWindow before now.
+func (a abandonedRequests) takeRecent(replica string, now time.Time) []Fingerprint {
 	var requests []Fingerprint
 	for _, entry := range a[replica] {
 		if now.Sub(entry.at) <= abandonWindow {
@@ -53,8 +53,8 @@
 
 // prune removes the requests that a probe started at checkedAt covers, and reports whether the
 // replica has any left.
-func (a abandonedRequests) prune(replica string, checkedAt time.Time) bool {
-	recent := slices.DeleteFunc(a[replica], func(entry abandonedRequest) bool { return checkedAt.Sub(entry.at) >= abandonCheckDelay })
+func (a abandonedRequests) prune(replica string, probedAt time.Time) bool {
+	recent := slices.DeleteFunc(a[replica], func(entry abandonedRequest) bool { return probedAt.Sub(entry.at) >= abandonCheckDelay })
 	if len(recent) == 0 {
 		delete(a, replica)
 		return false
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -22,8 +22,8 @@
 
 // Results of a probe.
 const (
-	// Unknown means that the probe timed out, as it does on a network partition. It is not
-	// counted as a crash.
+	// Unknown means that the probe timed out, as it does on a network partition. The guard does not
+	// treat this as a crash.
 	Unknown Liveness = iota
 	// Running means that the probed incarnation answered.
 	Running
@@ -121,7 +121,7 @@
 		return nil
 	}
 	g.Metrics.refused.Inc()
-	return failure.New(failure.Quarantined, "retry this request only after the time given; other requests are not affected",
+	return failure.New(failure.Quarantined, "retry this request only after the given time; other requests are not affected",
 		"%d replicas crashed while they had this request: %s", len(history.Replicas), strings.Join(history.Replicas, ", ")).
 		WithRetryAfter(max(time.Second, history.Until.Sub(g.Now())))
 }
@@ -155,8 +155,8 @@
 func (g *Guard) isBackingOff(replica string) bool { return g.Now().Before(g.RestsUntil(replica)) }
 
 // Abandoned records that a dispatch was canceled while the replica had the request, because the
-// caller disconnected or the deadline passed. The replica may still execute the request and crash,
-// which no connection of this daemon would show; it is therefore probed later.
+// caller disconnected or the deadline passed. The replica may still execute the request and crash
+// without a broken connection at this daemon, so the guard probes it later.
 func (g *Guard) Abandoned(replica fleet.Incarnation, address string, request Fingerprint) {
 	if g.IsDraining(replica.ID) {
 		return
@@ -178,7 +178,7 @@
 	startedAt := g.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	// An abandoned request alone is too weak a hint of a crash to probe a replica during back-off.
+	// An abandoned request alone is too little evidence of a crash to probe a replica during back-off.
 	if !g.IsDraining(replica.ID) && !g.isBackingOff(replica.ID) {
 		if !g.reserveProbe(ctx, replica) {
 			g.scheduleAbandonCheck(replica, address)
@@ -201,7 +201,7 @@
 func (g *Guard) recordCrash(replica fleet.Incarnation, requests ...Fingerprint) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	for _, request := range append(requests, g.abandoned.take(replica.String(), g.Now())...) {
+	for _, request := range append(requests, g.abandoned.takeRecent(replica.String(), g.Now())...) {
 		g.recordSuspect(replica.String(), request)
 	}
 }
@@ -211,21 +211,21 @@
 func (g *Guard) probe(ctx context.Context, replica fleet.Incarnation, address string, charge func(fleet.Incarnation)) Liveness {
 	backoffUntil := g.RestsUntil(replica.ID)
 	g.mutex.Lock()
-	call := g.probes[replica]
-	if call == nil && !g.mayProbe(replica.ID, backoffUntil) {
+	inFlight := g.probes[replica]
+	if inFlight == nil && !g.mayProbe(replica.ID, backoffUntil) {
 		g.mutex.Unlock()
 		return Unknown
 	}
-	if call == nil {
-		call = &probe{done: make(chan struct{})}
-		g.probes[replica] = call
+	if inFlight == nil {
+		inFlight = &probe{done: make(chan struct{})}
+		g.probes[replica] = inFlight
 		charge(replica)
-		go g.runProbe(call, replica, address)
+		go g.runProbe(inFlight, replica, address)
 	}
 	g.mutex.Unlock()
 	select {
-	case <-call.done:
-		return call.result
+	case <-inFlight.done:
+		return inFlight.result
 	case <-ctx.Done():
 		return Unknown
 	}
@@ -246,17 +246,17 @@
 	return true
 }
 
-func (g *Guard) runProbe(call *probe, replica fleet.Incarnation, address string) {
+func (g *Guard) runProbe(inFlight *probe, replica fleet.Incarnation, address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	call.result = g.Prober.Probe(ctx, replica, address)
-	g.Metrics.probes.WithLabelValues(call.result.String()).Inc()
-	g.Log.WithFields(logrus.Fields{logging.Replica: replica.ID, logging.Address: address, logging.Outcome: call.result.String()}).
+	inFlight.result = g.Prober.Probe(ctx, replica, address)
+	g.Metrics.probes.WithLabelValues(inFlight.result.String()).Inc()
+	g.Log.WithFields(logrus.Fields{logging.Replica: replica.ID, logging.Address: address, logging.Outcome: inFlight.result.String()}).
 		Info(logging.MessageReplicaProbed)
 	g.mutex.Lock()
 	delete(g.probes, replica)
 	g.mutex.Unlock()
-	close(call.done)
+	close(inFlight.done)
 }
 
 // recordSuspect adds a request to the pending report as a suspect of a replica's crash. replica is
@@ -291,8 +291,8 @@
 	g.Log.WithField(logging.Fingerprint, request.String()).Info(logging.MessageSuspectCleared)
 }
 
-// hasRoom reports whether the pending report can take another fingerprint, and counts a dropped one
-// if not. The report fills up while the key-value service is unavailable. The caller holds the mutex.
+// hasRoom reports whether the pending report has room for another fingerprint, and counts a dropped
+// one if not. The report fills up while the key-value service is unavailable. The caller holds the mutex.
 func (g *Guard) hasRoom() bool {
 	if g.pending.fingerprintCount() < maxReportFingerprints {
 		return true
@@ -331,7 +331,7 @@
 	}
 	g.ledger.put(event.Pair.Key, report, event.Pair.ModRevision, g.Now())
 	for _, crash := range report.Crashes {
-		for _, request := range g.abandoned.take(crash.Replica, g.Now()) {
+		for _, request := range g.abandoned.takeRecent(crash.Replica, g.Now()) {
 			g.recordSuspect(crash.Replica, request)
 		}
 	}
--- a/quarantine/guard_test.go
+++ b/quarantine/guard_test.go
@@ -29,11 +29,11 @@
 	probes  int
 }
 
-func (a *fakeProber) Probe(ctx context.Context, replica fleet.Incarnation, _ string) Liveness {
-	a.mutex.Lock()
-	a.probes++
-	result, latency := a.results[replica.ID], a.latency
-	a.mutex.Unlock()
+func (p *fakeProber) Probe(ctx context.Context, replica fleet.Incarnation, _ string) Liveness {
+	p.mutex.Lock()
+	p.probes++
+	result, latency := p.results[replica.ID], p.latency
+	p.mutex.Unlock()
 	select {
 	case <-ctx.Done():
 		return Unknown
@@ -43,17 +43,17 @@
 }
 
 // calls returns the number of probes.
-func (a *fakeProber) calls() int {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	return a.probes
+func (p *fakeProber) calls() int {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.probes
 }
 
 // setResult sets the result for a replica and the latency of all probes.
-func (a *fakeProber) setResult(replica string, result Liveness, latency time.Duration) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	a.results[replica], a.latency = result, latency
+func (p *fakeProber) setResult(replica string, result Liveness, latency time.Duration) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.results[replica], p.latency = result, latency
 }
 
 // fakeStore is an in-memory key-value store that notifies guards of changes and returns preset errors.
@@ -381,11 +381,11 @@
 	})
 }
 
-func TestTakeReturnsOnlyRecentlyAbandonedRequests(t *testing.T) {
+func TestTakeRecentDropsOlderRequests(t *testing.T) {
 	abandoned := abandonedRequests{}
 	require.True(t, abandoned.add("r0", testFingerprint(1), testStart))
 	require.False(t, abandoned.add("r0", testFingerprint(2), testStart.Add(abandonWindow)))
-	require.Equal(t, []Fingerprint{testFingerprint(2)}, abandoned.take("r0", testStart.Add(abandonWindow+time.Millisecond)))
+	require.Equal(t, []Fingerprint{testFingerprint(2)}, abandoned.takeRecent("r0", testStart.Add(abandonWindow+time.Millisecond)))
 	require.Empty(t, abandoned)
 }
 
@@ -414,12 +414,12 @@
 // fakeRateLimiter grants a number of reservations and counts charges without one.
 type fakeRateLimiter struct{ available, charged, calls atomic.Int64 }
 
-func (t *fakeRateLimiter) TryReserve(context.Context, fleet.Incarnation) bool {
-	t.calls.Add(1)
-	return t.available.Add(-1) >= 0
+func (l *fakeRateLimiter) TryReserve(context.Context, fleet.Incarnation) bool {
+	l.calls.Add(1)
+	return l.available.Add(-1) >= 0
 }
 
-func (t *fakeRateLimiter) Charge(fleet.Incarnation) { t.charged.Add(1) }
+func (l *fakeRateLimiter) Charge(fleet.Incarnation) { l.charged.Add(1) }
 
 // A broken connection causes an immediate probe that is charged to the replica's limit; a probe for
 // abandoned requests waits for a reservation.
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -20,14 +20,14 @@
 	maxReports = 1024
 )
 
-// unpublished is the revision of a report that the key-value service does not have yet. It orders
-// after all published ones.
+// unpublished is the revision of a report that the key-value service does not have yet. It is higher
+// than the revision of any published report.
 const unpublished = math.MaxInt64
 
 // ledger holds the reports of all daemons. It does no I/O and takes the time as an argument.
 type ledger struct {
 	reports map[string]*ledgerEntry // by record key
-	// suspects maps each reported request to the keys of the records that name it.
+	// suspects maps each request of a report, suspect or served, to the keys of the records that name it.
 	suspects map[Fingerprint]map[string]bool
 }
 
@@ -45,8 +45,8 @@
 // put adds a report or replaces the one under the same key, which keeps its observation time.
 func (l *ledger) put(key string, report Report, revision int64, now time.Time) {
 	observedAt := now
-	if known := l.reports[key]; known != nil {
-		observedAt = known.observedAt
+	if previous := l.reports[key]; previous != nil {
+		observedAt = previous.observedAt
 		l.remove(key)
 	}
 	l.reports[key] = &ledgerEntry{Report: report, revision: revision, observedAt: observedAt}
@@ -59,12 +59,12 @@
 }
 
 func (l *ledger) remove(key string) {
-	known := l.reports[key]
-	if known == nil {
+	entry := l.reports[key]
+	if entry == nil {
 		return
 	}
 	delete(l.reports, key)
-	for _, request := range known.fingerprints() {
+	for _, request := range entry.fingerprints() {
 		delete(l.suspects[request], key)
 		if len(l.suspects[request]) == 0 {
 			delete(l.suspects, request)
@@ -72,7 +72,7 @@
 	}
 }
 
-// fingerprints returns all requests in the report, served and suspect.
+// fingerprints returns all requests in the report, suspect and served ones.
 func (r Report) fingerprints() []Fingerprint {
 	requests := make([]Fingerprint, 0, r.fingerprintCount())
 	for _, fingerprint := range r.Served {
@@ -142,7 +142,7 @@
 }
 
 // expired returns the sorted keys of the records to delete: those past their TTL, and the oldest
-// beyond maxReports, where reports that quarantine a request go last.
+// beyond maxReports, of which those that quarantine a request are deleted last.
 func (l *ledger) expired(now time.Time) []string {
 	type candidate struct {
 		key         string
--- a/quarantine/publish.go
+++ b/quarantine/publish.go
@@ -11,7 +11,7 @@
 	"github.com/finchspoke/finchspoke/sleep"
 )
 
-// dependencyKeyValue is the value of the dependency log field for the key-value service.
+// dependencyKeyValue names the key-value service in the dependency log field.
 const dependencyKeyValue = "key-value service"
 
 const (
--- a/quarantine/report.go
+++ b/quarantine/report.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// Crash is the unplanned end of a replica's process with the requests that one daemon had there.
+// Crash is the unplanned end of a replica's process, with the requests of one daemon that the replica had.
 type Crash struct {
 	Replica  string   `json:"replica"`  // the incarnation
 	Requests [][]byte `json:"requests"` // their fingerprints
--- a/quarantine/restore_test.go
+++ b/quarantine/restore_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// A report lost in a restore orders after all records of the backup, also after one that clears its
-// request.
+// A report lost in a restore must remain newer than all records of the backup, including a record that
+// clears its request.
 func TestLostReportIsNewerThanBackup(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, guards := startGuards(t, 1, &fakeProber{})
