--- a/node/follow.go
+++ b/node/follow.go
@@ -79,8 +79,8 @@
 	n.leader.RegistryChanged(entry.ID)
 }
 
-// putReplica applies an entry of the registry. The replica of an entry that a restore from a backup brought back
-// may have ended, so the fleet may not trust such an entry until fleet.RestoredEntryHold has passed.
+// putReplica applies an entry of the registry. If a restore from a backup revived an entry that had been removed,
+// its replica has probably ended, so the fleet does not trust the entry until fleet.RestoredEntryHold has passed.
 func (n *Node) putReplica(entry fleet.Entry, restored bool) {
 	if !restored {
 		n.fleet.Put(entry, time.Now())
