--- a/node/follow.go
+++ b/node/follow.go
@@ -79,8 +79,8 @@
 	n.leader.RegistryChanged(entry.ID)
 }
 
-// putReplica applies an entry of the registry. An entry that came back with a restored backup may be untrusted
-// for a while, since its replica may have ended.
+// putReplica applies an entry of the registry. If a restore from a backup revived an entry that had been removed,
+// its replica has probably ended, so the fleet does not trust the entry until fleet.RestoredEntryHold has passed.
 func (n *Node) putReplica(entry fleet.Entry, restored bool) {
 	if !restored {
 		n.fleet.Put(entry, time.Now())
@@ -96,8 +96,8 @@
 	})
 }
 
-// shouldForward reports whether peers need an update of a record. They do not if only the loaded models of a
-// replica changed, because the leader reports these sooner by itself.
+// shouldForward reports whether peers need an update of a record. They do not if only the loaded or cached
+// models of a replica changed, because the leader sends these to all daemons itself, sooner than the record.
 func shouldForward(adapters Adapters, before, after kv.Pair) bool {
 	if !strings.HasPrefix(after.Key, adapters.ReplicaPrefix) {
 		return true
