--- a/loader/attach.go
+++ b/loader/attach.go
@@ -53,8 +53,8 @@
 		return err
 	}
 	daemonID := first.GetDaemonId()
-	leave := l.addStream(daemonID)
-	defer leave()
+	removeStream := l.addStream(daemonID)
+	defer removeStream()
 	l.clearReported(daemonID)
 	l.applyDemand(first)
 	l.recordDaemon(first)
@@ -83,13 +83,13 @@
 func (l *Leader) addStream(daemonID string) func() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.attached++
-	l.maxAttached = max(l.maxAttached, l.attached)
+	l.attachedStreams++
+	l.maxAttachedStreams = max(l.maxAttachedStreams, l.attachedStreams)
 	l.attachment.addStream(daemonID)
 	return func() {
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
-		l.attached--
+		l.attachedStreams--
 		l.attachment.removeStream(daemonID)
 		if reported := l.daemons[daemonID]; reported != nil {
 			reported.detachedAt = time.Now()
@@ -160,9 +160,9 @@
 	}
 }
 
-// sentState is what the leader has sent on a stream.
+// sentState is the state that the leader has sent to a daemon on a stream.
 type sentState struct {
-	version     uint64 // of the replicas' loads; zero: none sent yet
+	version     uint64 // of the replicas' loads; zero: not sent yet
 	term        int64
 	directories uint64 // version of the directory list
 }
@@ -203,7 +203,8 @@
 	return len(view.GetReplicas())+len(view.GetRunning())+len(view.GetLeaving())+len(view.GetLimits())+len(view.GetPacked()) > 0 || view.GetDirectories() != nil
 }
 
-// pendingViews are the messages to send to a daemon now, and when to look for more.
+// pendingViews are the messages to send to a daemon now. After delay, which batches changes, more messages may
+// follow once changed is closed.
 type pendingViews struct {
 	messages []*rpc.LoadsView
 	changed  <-chan struct{}
@@ -223,13 +224,13 @@
 		next.messages = append(next.messages, l.view(sentState.version, now))
 		sentState.version = l.version
 	} else {
-		next.messages = append(next.messages, &rpc.LoadsView{Fence: l.fence, Daemons: uint32(l.attached)})
+		next.messages = append(next.messages, &rpc.LoadsView{Fence: l.fence, Daemons: uint32(l.attachedStreams)})
 		next.changed, sentState.version = l.directories.changed, 0
 	}
 	if version := l.directories.version; sentState.directories != version && l.directories.decided() {
 		sentState.directories = version
 		list := &rpc.Directories{Serve: l.directories.chosen[daemonID], Addresses: l.directories.addresses}
-		next.messages = append(next.messages, &rpc.LoadsView{Fence: l.fence, Daemons: uint32(l.attached), Directories: list})
+		next.messages = append(next.messages, &rpc.LoadsView{Fence: l.fence, Daemons: uint32(l.attachedStreams), Directories: list})
 	}
 	return next, nil
 }
@@ -240,13 +241,13 @@
 	return state == nil || state.knowsReplicas
 }
 
-// view returns the message with all changes after a version. Daemons at the same version share it. The caller
-// holds the mutex.
+// view returns the message with all changes after a version; it is shared by the daemons that have that
+// version. The caller holds the mutex.
 func (l *Leader) view(after uint64, now time.Time) *rpc.LoadsView {
 	if shared := l.views[after]; shared != nil {
 		return shared
 	}
-	view := &rpc.LoadsView{Fence: l.fence, Daemons: uint32(l.attached), Running: l.runningView(after), Leaving: l.drainingView(after), Limits: l.limitsView(after, now)}
+	view := &rpc.LoadsView{Fence: l.fence, Daemons: uint32(l.attachedStreams), Running: l.runningView(after), Leaving: l.drainingView(after), Limits: l.limitsView(after, now)}
 	for _, id := range l.loadChanges.after(after) {
 		if state := l.states[id]; state != nil && state.Verified {
 			view.Replicas = append(view.Replicas, replicaView(state, now))
--- a/loader/demand.go
+++ b/loader/demand.go
@@ -8,7 +8,7 @@
 	"github.com/finchspoke/finchspoke/loading"
 )
 
-// daemonState is what a daemon last reported.
+// daemonState is the state that a daemon last reported.
 type daemonState struct {
 	counts        map[demand.Key]demand.Count
 	running       map[string]uint32 // requests by replica
--- a/loader/directories.go
+++ b/loader/directories.go
@@ -20,7 +20,7 @@
 	// directoriesInterval is the time between two checks of the directory list.
 	directoriesInterval = 250 * time.Millisecond
 	// minTermAgeForDirectories and maxAttachWait bound how long a new leader waits for daemons to attach
-	// before it chooses directories. Meanwhile, the directories of the earlier leader continue.
+	// before it chooses directories. Meanwhile, the directories of the earlier leader continue to serve.
 	minTermAgeForDirectories = time.Second
 	maxAttachWait            = 4 * time.Second
 	// directoryReadyTimeout is how long newly chosen directories may take to load all replica records. Until
@@ -28,8 +28,8 @@
 	directoryReadyTimeout = 3 * time.Second
 )
 
-// directories are the daemons that know all replicas and answer for the other daemons. The list is empty if
-// every daemon knows all replicas.
+// directories are the daemons that know all replicas and send the other daemons the replicas that they need.
+// The list is empty if every daemon knows all replicas.
 type directories struct {
 	chosen    map[string]bool // by daemon ID
 	addresses []string        // of the directories that are ready; the leader's own if none is
@@ -98,8 +98,8 @@
 	return true
 }
 
-// termSettled reports whether directories may be chosen: the term has a minimum age, and most daemons of the
-// earlier leader have attached. The caller holds the mutex.
+// termSettled reports whether the leader may choose directories: the term has a minimum age, and most daemons
+// of the earlier leader have attached. The caller holds the mutex.
 func (l *Leader) termSettled(now time.Time) bool {
 	age := now.Sub(l.handovers.termStart)
 	if l.FirstStart && !l.otherLeaderObserved.Load() {
@@ -108,16 +108,16 @@
 	if age < minTermAgeForDirectories || age >= maxAttachWait || l.ExpectedDaemons == nil {
 		return age >= minTermAgeForDirectories
 	}
-	return 2*l.attached >= l.ExpectedDaemons()
+	return 2*l.attachedStreams >= l.ExpectedDaemons()
 }
 
-// decided reports whether the list was made in this term.
+// decided reports whether the leader has determined the list in this term.
 func (d *directories) decided() bool { return !d.checkedAt.IsZero() }
 
 // loadReceivers returns how many daemons receive the loads of each replica. The caller holds the mutex.
 func (l *Leader) loadReceivers() int {
 	if l.TooManyReplicas == nil || !l.TooManyReplicas() {
-		return l.attached
+		return l.attachedStreams
 	}
 	return len(l.directories.chosen) + 1
 }
@@ -138,7 +138,7 @@
 			cmp.Compare(rendezvous.Score(l.Daemon, b), rendezvous.Score(l.Daemon, a)))
 	})
 	chosen, countByZone := map[string]bool{}, map[string]int{}
-	desired := min(maxDirectories, max(1, l.attached/daemonsPerDirectory))
+	desired := min(maxDirectories, max(1, l.attachedStreams/daemonsPerDirectory))
 	for maxPerZone := 1; maxPerZone <= desired; maxPerZone++ {
 		for _, id := range eligible {
 			zone := l.daemons[id].zone
--- a/loader/directories_test.go
+++ b/loader/directories_test.go
@@ -15,15 +15,15 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// largeFleet is a leader of so many replicas that not every daemon knows all of them.
-type largeFleet struct {
+// largeFleetLeader is a leader of so many replicas that not every daemon knows all of them.
+type largeFleetLeader struct {
 	*Leader
 	isLarge bool
 	now     time.Time
 }
 
-func newLargeFleet(daemons int) *largeFleet {
-	f := &largeFleet{Leader: &Leader{Daemon: "holder", Address: "holder:1", Fleet: emptyFleet(), Log: discardLog()}, isLarge: true, now: time.Now()}
+func newLargeFleetLeader(daemons int) *largeFleetLeader {
+	f := &largeFleetLeader{Leader: &Leader{Daemon: "holder", Address: "holder:1", Fleet: emptyFleet(), Log: discardLog()}, isLarge: true, now: time.Now()}
 	f.TooManyReplicas = func() bool { return f.isLarge }
 	f.Prepare()
 	f.handovers.termBegan(f.now)
@@ -38,8 +38,8 @@
 	return f
 }
 
-// attach attaches a daemon.
-func (f *largeFleet) attach(daemon, zone string, delay time.Duration, knows bool) {
+// attach opens a daemon's stream and applies its first message.
+func (f *largeFleetLeader) attach(daemon, zone string, delay time.Duration, knows bool) {
 	message := &rpc.LoadsDemand{DaemonId: daemon, Address: daemon + ":1", Zone: zone, TermDelayMs: delay.Milliseconds(), KnowsReplicas: knows}
 	f.addStream(daemon)
 	f.applyDemand(message)
@@ -47,116 +47,116 @@
 }
 
 // reportKnowsReplicas reports that a daemon has all replica records.
-func (f *largeFleet) reportKnowsReplicas(daemon string) {
+func (f *largeFleetLeader) reportKnowsReplicas(daemon string) {
 	f.applyDemand(&rpc.LoadsDemand{DaemonId: daemon, KnowsReplicas: true})
 }
 
 // refresh advances the clock and refreshes the directories.
-func (f *largeFleet) refresh(after time.Duration) {
+func (f *largeFleetLeader) refresh(after time.Duration) {
 	f.now = f.now.Add(after)
 	f.refreshDirectories(f.now)
 }
 
 func TestDirectoriesAreStrongAndSpreadOverZones(t *testing.T) {
-	fleet := newLargeFleet(400)
-	fleet.refresh(minTermAgeForDirectories)
-	require.Len(t, fleet.directories.chosen, maxDirectories)
+	leader := newLargeFleetLeader(400)
+	leader.refresh(minTermAgeForDirectories)
+	require.Len(t, leader.directories.chosen, maxDirectories)
 	countByZone := map[string]int{}
-	for id := range fleet.directories.chosen {
-		state := fleet.daemons[id]
+	for id := range leader.directories.chosen {
+		state := leader.daemons[id]
 		require.Equal(t, 75*time.Millisecond, state.termDelay)
 		countByZone[state.zone]++
 	}
 	require.Equal(t, map[string]int{"a": 2, "b": 2, "c": 2, "d": 2, "e": 2}, countByZone)
-	require.Empty(t, fleet.directories.addresses, "the list stays empty until the directories are ready")
+	require.Empty(t, leader.directories.addresses, "the list stays empty until the directories are ready")
 
 	first := true
-	for id := range fleet.directories.chosen {
-		fleet.reportKnowsReplicas(id)
+	for id := range leader.directories.chosen {
+		leader.reportKnowsReplicas(id)
 		if first {
-			fleet.refresh(directoriesInterval)
-			require.Empty(t, fleet.directories.addresses, "a single ready directory is not listed alone")
+			leader.refresh(directoriesInterval)
+			require.Empty(t, leader.directories.addresses, "a single ready directory is not listed alone")
 			first = false
 		}
 	}
-	before := fleet.directories.chosen
-	fleet.refresh(directoriesInterval)
-	require.Len(t, fleet.directories.addresses, maxDirectories)
-	require.Equal(t, before, fleet.directories.chosen)
+	before := leader.directories.chosen
+	leader.refresh(directoriesInterval)
+	require.Len(t, leader.directories.addresses, maxDirectories)
+	require.Equal(t, before, leader.directories.chosen)
 
 	// A lost directory is replaced; the others stay.
 	lostID := ""
 	for id := range before {
 		lostID = id
 	}
-	fleet.daemons[lostID].detachedAt = fleet.now
-	fleet.refresh(directoriesInterval)
-	require.Len(t, fleet.directories.chosen, maxDirectories)
-	require.NotContains(t, fleet.directories.chosen, lostID)
-	require.Len(t, fleet.directories.addresses, maxDirectories-1)
-
-	fleet.isLarge = false
-	fleet.refresh(directoriesInterval)
-	require.Empty(t, fleet.directories.chosen)
-	require.Empty(t, fleet.directories.addresses)
+	leader.daemons[lostID].detachedAt = leader.now
+	leader.refresh(directoriesInterval)
+	require.Len(t, leader.directories.chosen, maxDirectories)
+	require.NotContains(t, leader.directories.chosen, lostID)
+	require.Len(t, leader.directories.addresses, maxDirectories-1)
+
+	leader.isLarge = false
+	leader.refresh(directoriesInterval)
+	require.Empty(t, leader.directories.chosen)
+	require.Empty(t, leader.directories.addresses)
 }
 
 func TestNewLeaderKeepsEarlierDirectories(t *testing.T) {
-	fleet := newLargeFleet(200)
-	fleet.reportKnowsReplicas("d0")
-	fleet.reportKnowsReplicas("d40")
-	fleet.refresh(0)
-	require.False(t, fleet.directories.decided(), "too few daemons are attached")
-	fleet.refresh(minTermAgeForDirectories)
-	require.True(t, fleet.directories.chosen["d0"])
-	require.True(t, fleet.directories.chosen["d40"])
+	leader := newLargeFleetLeader(200)
+	leader.reportKnowsReplicas("d0")
+	leader.reportKnowsReplicas("d40")
+	leader.refresh(0)
+	require.False(t, leader.directories.decided(), "too few daemons are attached")
+	leader.refresh(minTermAgeForDirectories)
+	require.True(t, leader.directories.chosen["d0"])
+	require.True(t, leader.directories.chosen["d40"])
 }
 
 // Sending every replica to every daemon would not scale.
 func TestDaemonWithoutReplicaRecordsReceivesOnlyDirectories(t *testing.T) {
-	fleet := newLargeFleet(20)
-	fleet.refresh(minTermAgeForDirectories)
-	fleet.states["r1"] = &loading.Replica{ID: "r1", Verified: true}
+	leader := newLargeFleetLeader(20)
+	leader.refresh(minTermAgeForDirectories)
+	leader.states["r1"] = &loading.Replica{ID: "r1", Verified: true}
 	directory := ""
-	for id := range fleet.directories.chosen {
+	for id := range leader.directories.chosen {
 		directory = id
 	}
-	fleet.reportKnowsReplicas(directory)
-	fleet.refresh(directoriesInterval)
+	leader.reportKnowsReplicas(directory)
+	leader.refresh(directoriesInterval)
 
 	var sentToDirectory, sentToOther sentState
-	first, err := fleet.nextViews(&sentToOther, "d1", fleet.now)
+	first, err := leader.nextViews(&sentToOther, "d1", leader.now)
 	require.NoError(t, err)
 	require.Len(t, first.messages, 2)
 	require.False(t, first.messages[1].GetDirectories().GetServe())
-	require.Equal(t, fleet.directories.addresses, first.messages[1].GetDirectories().GetAddresses())
-	mine, err := fleet.nextViews(&sentToDirectory, directory, fleet.now)
+	require.Equal(t, leader.directories.addresses, first.messages[1].GetDirectories().GetAddresses())
+	mine, err := leader.nextViews(&sentToDirectory, directory, leader.now)
 	require.NoError(t, err)
 	require.True(t, mine.messages[1].GetDirectories().GetServe())
 
-	fleet.markChanged("r1")
+	leader.markChanged("r1")
 	select {
 	case <-first.changed:
 		t.Fatal("a replica's change woke the stream of a daemon without replica records")
 	case <-mine.changed:
 	}
-	next, err := fleet.nextViews(&sentToOther, "d1", fleet.now)
+	next, err := leader.nextViews(&sentToOther, "d1", leader.now)
 	require.NoError(t, err)
 	require.Len(t, next.messages, 1)
 	require.False(t, viewHasChanges(next.messages[0]))
-	mine, err = fleet.nextViews(&sentToDirectory, directory, fleet.now)
+	mine, err = leader.nextViews(&sentToDirectory, directory, leader.now)
 	require.NoError(t, err)
 	require.Len(t, mine.messages[0].GetReplicas(), 1)
 
 	// Once it has all replica records, it receives the loads of every replica.
-	fleet.reportKnowsReplicas("d1")
+	leader.reportKnowsReplicas("d1")
 	<-next.changed
-	next, err = fleet.nextViews(&sentToOther, "d1", fleet.now)
+	next, err = leader.nextViews(&sentToOther, "d1", leader.now)
 	require.NoError(t, err)
 	require.Len(t, next.messages[0].GetReplicas(), 1)
 }
 
-// reportingReplicas report their registry records, and record which of them were asked.
+// reportingReplicas report their registry records, and record from which of them a report was fetched.
 type reportingReplicas struct {
 	recordingReplicas
 	reports chan string
@@ -167,7 +167,7 @@
 	return loading.Report{Sequence: 4, Holdings: replica.Holdings}, nil
 }
 
-// receive returns a value from a channel, and fails if none comes within a second.
+// receive returns the next value of a channel, and fails the test if none arrives within a second.
 func receive[T any](t *testing.T, from <-chan T) (value T) {
 	t.Helper()
 	select {
@@ -214,6 +214,6 @@
 	leader.runRound(t.Context(), time.Now())
 	order := receive(t, replicas.orders)
 	require.Equal(t, replicaID, order.ReplicaID)
-	require.EqualValues(t, 4, order.Sequence, "the order states the number of orders taken")
+	require.EqualValues(t, 4, order.Sequence, "the order states how many orders the replica has taken")
 	require.Empty(t, replicas.reports)
 }
--- a/loader/follower.go
+++ b/loader/follower.go
@@ -32,7 +32,7 @@
 	Daemon string
 	Demand *demand.Tracker
 	Fleet  *fleet.Directory
-	Leader *Leader // of this daemon; it is notified of orders by other leaders
+	Leader *Leader // of this daemon; the follower notifies it of other leaders' orders
 	// Daemons receives the number of daemons that are attached to the leader.
 	Daemons func(int)
 	// KnowsReplicas reports whether this daemon knows all replicas and so receives their loads; nil: always.
@@ -46,9 +46,9 @@
 	TermDelay time.Duration
 	Log       logrus.FieldLogger
 	mutex     sync.Mutex
-	current   election.Leader
-	changed   chan struct{}
-	urgent    chan struct{} // holds an element while a report should be sent at once
+	current   election.Leader // the leader to attach to; its nonce is empty if none is known
+	changed   chan struct{}   // closed when current changes
+	urgent    chan struct{}   // holds an element while a report should be sent at once
 	attached  atomic.Bool
 }
 
@@ -163,7 +163,7 @@
 	return len(message.GetKeys())+len(message.GetRunning())+len(message.GetLeaving())+len(message.GetLimits()) > 0
 }
 
-// sentReport is what the follower has sent to the leader on one stream.
+// sentReport is the state that the follower has sent to the leader on one stream.
 type sentReport struct {
 	counts        map[demand.Key]demand.Count
 	mutex         sync.Mutex                 // guards running and limits, which the receiving goroutine uses too
@@ -226,7 +226,8 @@
 			return err
 		}
 		now := time.Now()
-		// A daemon that does not receive loads cannot tell when the last order was given; any message counts.
+		// A daemon that does not receive the replicas' loads cannot tell when the leader gave its last order, so it
+		// assumes one before each message.
 		if view.GetFence() > 0 && (len(view.GetReplicas()) > 0 || !f.knowsReplicas()) {
 			f.Leader.ObserveOrder(now)
 		}
@@ -239,7 +240,7 @@
 		}
 		f.applyLimits(view.GetLimits(), sent, now)
 		for _, entry := range view.GetReplicas() {
-			f.confirmReplica(view.GetFence(), entry, now)
+			f.applyReplicaLoads(view.GetFence(), entry, now)
 		}
 		for _, entry := range view.GetRunning() {
 			own := sent.runningOn(entry.GetReplicaId())
@@ -250,7 +251,8 @@
 
 func (f *Follower) knowsReplicas() bool { return f.KnowsReplicas == nil || f.KnowsReplicas() }
 
-func (f *Follower) confirmReplica(fence int64, loads *rpc.ReplicaLoads, now time.Time) {
+// applyReplicaLoads applies the leader's record of a replica to the daemon's directory.
+func (f *Follower) applyReplicaLoads(fence int64, loads *rpc.ReplicaLoads, now time.Time) {
 	holdings := fleet.Holdings{}
 	for _, held := range loads.GetModels() {
 		holdings[held.GetModel()] = held.GetAdapters()
--- a/loader/handover.go
+++ b/loader/handover.go
@@ -27,8 +27,8 @@
 	delete(r.inherited, replica)
 }
 
-// termGapUntil returns the time until which this daemon must not give a replica orders, because an earlier
-// leader did; zero if there is no such time.
+// termGapUntil returns the time until which this daemon must not give a replica orders because an earlier
+// leader gave it one; zero if no earlier leader did.
 func (r *recentOrders) termGapUntil(replica string, termGap time.Duration) time.Time {
 	if last, known := r.inherited[replica]; known {
 		return last.Add(termGap)
@@ -58,8 +58,8 @@
 	return ages
 }
 
-// Handover returns what the next leader must know of this daemon's orders. It is called once this daemon has
-// given up the term, so that no order follows.
+// Handover returns the times of this daemon's orders for the next leader. The election calls it once this
+// daemon has given up the term, so that no order follows.
 func (l *Leader) Handover() election.Handover {
 	now := time.Now()
 	l.mutex.Lock()
--- a/loader/handover_test.go
+++ b/loader/handover_test.go
@@ -31,12 +31,12 @@
 	require.Zero(t, orders.termGapUntil("own", termGap), "no term gap after this daemon's own orders")
 }
 
-// A leader that still waits for its own term gap hands over the rest of the wait.
+// A leader whose own term gap has not passed must hand over the remaining wait.
 func TestHandoverIncludesRemainingWait(t *testing.T) {
 	leader := &Leader{Fleet: emptyFleet(), Limits: Limits{TermGap: 3 * time.Second}}
 	leader.Prepare()
 	leader.reset(5, time.Now().Add(2*time.Second))
-	leader.beginTerm(0, time.Now()) // the term is given up
+	leader.beginTerm(0, time.Now()) // ends the term
 	handover := leader.Handover()
 	require.InDelta(t, 2000, handover.WaitMs, 200)
 	require.Empty(t, handover.LastOrderMs)
--- a/loader/holder.go
+++ b/loader/holder.go
@@ -57,7 +57,7 @@
 	Window time.Duration
 	Slack  float64
 	Extra  int
-	// TermGap is the least time between the orders of two leaders.
+	// TermGap is the least time between the last order of one leader and the first order of the next.
 	TermGap time.Duration
 	// FencesChecked is whether replicas refuse orders with an outdated fencing token.
 	FencesChecked bool
@@ -71,8 +71,8 @@
 	// roundCooldownFactor is the pause after a round, as a multiple of the round's duration. It leaves
 	// processor time for responses and reports.
 	roundCooldownFactor = 4
-	// registrySettleTime is how long no new replica must have appeared before the registry counts as
-	// complete.
+	// registrySettleTime is how long no new replica must have appeared before the leader assumes that the
+	// registry is complete.
 	registrySettleTime = 2 * time.Second
 	// orderTimeout bounds the call for an order; replicas respond before they carry it out.
 	orderTimeout = 300 * time.Millisecond
@@ -85,10 +85,9 @@
 	// storeShare is the share of the allowed loads that one leader uses, so that two consecutive leaders
 	// together stay within the limit.
 	storeShare = 0.7
-	// detachedDemandTTL is how long the demand of a detached daemon counts.
+	// detachedDemandTTL is how long the leader includes the demand of a detached daemon.
 	detachedDemandTTL = 5 * time.Second
-	// freshShareOfTermGap is the age up to which a process counts as just started, as a share of the term
-	// gap.
+	// freshShareOfTermGap is the age up to which justStarted holds for a process, as a share of the term gap.
 	freshShareOfTermGap = 0.5
 )
 
@@ -129,29 +128,29 @@
 	// changedReplicas are the registry changes since the last round.
 	changedReplicas registryChanges
 	// inFlight holds the replicas with a call in flight: the order, or nil for a report or a probe.
-	inFlight        map[string]*loading.Order
-	polledAt        map[string]time.Time // when each report was last requested
-	storeWindow     loading.StoreWindow
-	fetches         loading.Fetches
-	daemons         map[string]*daemonState
-	rates           map[demand.Key]*arrivalRate
-	newReplicaAt    time.Time // when a new replica last appeared
-	attached        int
-	maxAttached     int
-	attachment      attachment
-	directories     directories
-	version         uint64
-	loadChanges     *changeLog // changes of replicas' loads
-	requestTotals   *requestCounts
-	drainingChanges *changeLog // replicas that any daemon reported as draining
-	limitChanges    *sentLimits
-	views           map[uint64]*rpc.LoadsView // of the current version, by the version that the receiver has
-	changed         chan struct{}
-	wake            chan struct{}
-	nextRoundAt     time.Time // time of the next scheduled round; zero: none
-	lastOrderAt     time.Time // by any leader, as far as this daemon knows
-	orderTimes      recentOrders
-	handovers       handoverPlan
+	inFlight           map[string]*loading.Order
+	polledAt           map[string]time.Time // when each report was last requested
+	storeWindow        loading.StoreWindow
+	fetches            loading.Fetches
+	daemons            map[string]*daemonState
+	rates              map[demand.Key]*arrivalRate
+	newReplicaAt       time.Time // when a new replica last appeared
+	attachedStreams    int
+	maxAttachedStreams int // in this term
+	attachment         attachment
+	directories        directories
+	version            uint64     // of the published views
+	loadChanges        *changeLog // changes of replicas' loads
+	requestTotals      *requestCounts
+	drainingChanges    *changeLog // replicas that any daemon reported as draining
+	limitChanges       *sentLimits
+	views              map[uint64]*rpc.LoadsView // of the current version, by the version that the receiver has
+	changed            chan struct{}             // closed when version increases
+	wake               chan struct{}             // holds an element while a round should start soon
+	nextRoundAt        time.Time                 // time of the next scheduled round; zero: none
+	lastOrderAt        time.Time                 // by any leader, as far as this daemon knows
+	orderTimes         recentOrders
+	handovers          handoverPlan
 }
 
 // Prepare initializes the leader; it must be called before any other method.
@@ -175,7 +174,7 @@
 	l.loadChanges, l.requestTotals = newChangeLog(), newRequestCounts()
 	l.storeWindow = loading.StoreWindow{Length: l.Limits.Window}
 	l.fetches = loading.Fetches{}
-	l.maxAttached = l.attached
+	l.maxAttachedStreams = l.attachedStreams
 	l.directories.wake()
 	l.directories = newDirectories(l.directories.version)
 	l.publishChange()
@@ -292,7 +291,7 @@
 	}
 	l.reset(fence, ordersFrom)
 	if l.ExpectedDaemons != nil {
-		l.attachment.expect(l.ExpectedDaemons(), now)
+		l.attachment.expectAtLeast(l.ExpectedDaemons(), now)
 	}
 	if l.Turns != nil {
 		l.Turns.BeginTerm()
@@ -313,14 +312,14 @@
 	l.lastOrderAt = now
 }
 
-// FirstTerm reports whether no other daemon can have led before: the system starts for the first time, and no
-// other leader was observed.
+// FirstTerm reports whether no other daemon can have led before: the system starts for the first time, and
+// this daemon has not observed another leader.
 func (l *Leader) FirstTerm() bool { return l.FirstStart && !l.otherLeaderObserved.Load() }
 
 // ObserveOtherLeader records that another daemon held the term.
 func (l *Leader) ObserveOtherLeader() { l.otherLeaderObserved.Store(true) }
 
-// HasLeaderHistory reports whether this daemon knows when the last order was given, or that there was none.
+// HasLeaderHistory reports whether this daemon knows when a leader last gave an order, or that none did.
 func (l *Leader) HasLeaderHistory() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -335,7 +334,7 @@
 	case election.TermValid:
 		return true
 	case election.TermStoreUnreachable:
-		return 2*l.attached >= l.maxAttached
+		return 2*l.attachedStreams >= l.maxAttachedStreams
 	}
 	return false
 }
@@ -343,7 +342,7 @@
 // refreshStates applies registry changes to the states. The caller holds the mutex.
 func (l *Leader) refreshStates(now time.Time) {
 	table := l.Table.Current()
-	changed, all := l.changedReplicas.take(table)
+	changed, all := l.changedReplicas.takeChanged(table)
 	if all {
 		changed = map[string]struct{}{}
 		for _, entry := range l.Fleet.Entries() {
@@ -373,7 +372,7 @@
 	}
 	state := l.states[id]
 	if state == nil {
-		// The registry record counts until the replica's first report.
+		// The leader relies on the registry record until the replica's first report.
 		state = &loading.Replica{ID: entry.ID, Born: entry.Born, Service: entry.Service, Zone: entry.Zone, Slots: entry.Slots, Holdings: entry.Holdings, InMemory: entry.InMemory, OnDisk: entry.OnDisk,
 			TermGapUntil: l.orderTimes.termGapUntil(entry.ID, l.Limits.TermGap)}
 		l.states[id] = state
--- a/loader/holder_test.go
+++ b/loader/holder_test.go
@@ -32,7 +32,7 @@
 
 func (grantingStore) RenewLease(context.Context, kv.LeaseID) error { return nil }
 
-// silentReplicas never respond.
+// silentReplicas fail every call.
 type silentReplicas struct{}
 
 func (silentReplicas) Order(context.Context, fleet.Entry, loading.Order, string, int64) (OrderResponse, error) {
@@ -81,7 +81,7 @@
 	require.NotPanics(t, func() { leader.runRound(t.Context(), time.Now()) })
 }
 
-// recordingReplicas record their orders and respond that each is done.
+// recordingReplicas record the orders that they receive, and respond that each is done.
 type recordingReplicas struct {
 	silentReplicas
 	orders chan loading.Order
@@ -111,22 +111,22 @@
 	}
 	leader.Prepare()
 	fence, _ := campaign.Term()
-	underWay := func() *loading.Replica {
+	replicaWithOverdueLoad := func() *loading.Replica {
 		state := &loading.Replica{ID: "r1", Service: "press", Verified: true, LoadedAt: map[string]time.Time{}}
 		state.MarkAccepted(loading.Order{ReplicaID: "r1", Verb: loading.Load, Target: fleet.Target{Model: "m1"}, Origin: loading.FromDisk, ExpectedDuration: time.Second}, time.Now().Add(-time.Second))
 		return state
 	}
 	leader.fence = fence
-	leader.states["r1"] = underWay()
+	leader.states["r1"] = replicaWithOverdueLoad()
 	leader.runRound(t.Context(), time.Now())
 	require.Equal(t, "m1", (<-replicas.orders).Target.Model, "the probe is sent during the term")
 	require.Eventually(t, func() bool {
 		leader.mutex.Lock()
 		defer leader.mutex.Unlock()
 		return leader.states["r1"].Holdings.Has(fleet.Target{Model: "m1"})
-	}, time.Second, time.Millisecond, "a probe that is answered with done completes the load")
+	}, time.Second, time.Millisecond, "the response Done to a probe completes the load")
 
-	leader.states["r1"] = underWay()
+	leader.states["r1"] = replicaWithOverdueLoad()
 	campaign.StepDown("a test")
 	leader.runRound(t.Context(), time.Now())
 	require.Empty(t, replicas.orders)
--- a/loader/leaving.go
+++ b/loader/leaving.go
@@ -16,8 +16,8 @@
 func (l *Leader) applyDraining(message *rpc.LoadsDemand, now time.Time) {
 	var changed []string
 	for _, incarnation := range incarnationsOf(message.GetLeaving()) {
-		// The leader's own daemon shares its directory, so the record may not be new there although it was
-		// not relayed yet.
+		// The leader shares its daemon's directory, which may already have the record although the leader has
+		// not relayed it yet.
 		if isNew := l.Fleet.ApplyRelayedDraining(incarnation, now); isNew || !l.drainingChanges.has(incarnation.ID) {
 			changed = append(changed, incarnation.ID)
 		}
--- a/loader/leaving_test.go
+++ b/loader/leaving_test.go
@@ -49,7 +49,7 @@
 	require.Equal(t, []string{"r1"}, drainingIDs(leader.view(0, now)), "also in the next term")
 }
 
-// The leader's daemon records it in the shared directory before any stream reports it.
+// The leader's daemon records the draining replica in the shared directory before any stream reports it.
 func TestDrainingReplicaObservedByTheLeaderIsRelayed(t *testing.T) {
 	now := time.Now()
 	leader := leaderOfTwoReplicas(now)
--- a/loader/limits.go
+++ b/loader/limits.go
@@ -10,9 +10,9 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// applyLimits records and relays replicas' request limits that a daemon reported. A limit is new if it
-// differs from the one last sent; the directory may already have it from this daemon's own requests. The
-// caller holds the mutex.
+// applyLimits records replicas' request limits that a daemon reported, and relays those that differ from the
+// ones last sent; the directory may already have them from this daemon's own requests. The caller holds the
+// mutex.
 func (l *Leader) applyLimits(message *rpc.LoadsDemand, now time.Time) {
 	var changed []fleet.ReplicaLimit
 	for _, message := range message.GetLimits() {
--- a/loader/limits_test.go
+++ b/loader/limits_test.go
@@ -25,7 +25,7 @@
 	return follower, &sentReport{limits: map[fleet.Incarnation]float64{}}
 }
 
-func limitNotice(id string, perSecond float64) fleet.Hint {
+func limitHint(id string, perSecond float64) fleet.Hint {
 	return fleet.Hint{Replica: id, Limit: fleet.LimitGiven, PerSecond: perSecond}
 }
 
@@ -52,11 +52,11 @@
 	require.Empty(t, receiver.newLimits(sent, now), "received limits are not sent back")
 }
 
-// The leader's daemon records it in the shared directory before any stream reports it.
+// The leader's daemon records the limit in the shared directory before any stream reports it.
 func TestLimitObservedByTheLeaderIsRelayed(t *testing.T) {
 	now := time.Now()
 	leader := leaderOfTwoReplicas(now)
-	leader.Fleet.ApplyLimitHint(limitNotice("r1", 2), now)
+	leader.Fleet.ApplyLimitHint(limitHint("r1", 2), now)
 	follower, sent := limitFollower(leader.Fleet)
 	leader.applyDemand(&rpc.LoadsDemand{DaemonId: "self", Limits: follower.newLimits(sent, now)})
 	require.Equal(t, map[string]float64{"r1": 2}, limitsByReplica(leader.view(0, now).GetLimits()))
@@ -64,7 +64,7 @@
 
 	for _, perSecond := range []float64{5, 1} {
 		sentVersion := leader.version
-		leader.Fleet.ApplyLimitHint(limitNotice("r1", perSecond), now)
+		leader.Fleet.ApplyLimitHint(limitHint("r1", perSecond), now)
 		leader.applyDemand(&rpc.LoadsDemand{DaemonId: "self", Limits: follower.newLimits(sent, now)})
 		require.Equal(t, map[string]float64{"r1": perSecond}, limitsByReplica(leader.view(sentVersion, now).GetLimits()), "every change is relayed")
 	}
@@ -75,7 +75,7 @@
 func TestNewerLimitIsSentAgainAfterAnOlderOneIsReceived(t *testing.T) {
 	now := time.Now()
 	follower, sent := limitFollower(leaderOfTwoReplicas(now).Fleet)
-	follower.Fleet.ApplyLimitHint(limitNotice("r1", 2), now)
+	follower.Fleet.ApplyLimitHint(limitHint("r1", 2), now)
 	require.Len(t, follower.newLimits(sent, now), 1)
 	lifted := rpc.LimitMessage(fleet.ReplicaLimit{Incarnation: fleet.Incarnation{ID: "r1"}, ObservedAt: now.Add(-time.Second)}, now)
 	follower.applyLimits([]*rpc.ReplicaLimit{lifted}, sent, now)
--- a/loader/reach.go
+++ b/loader/reach.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// detachedCountTTL is how long detached daemons count as disconnected, during which they use their local
-// share of replicas' limits. After that they count as removed.
+// detachedCountTTL is how long the leader counts a detached daemon as disconnected, which uses its local share
+// of replicas' limits. After that, the leader counts it as removed.
 const detachedCountTTL = 30 * time.Second
 
 // attachment tracks the share of the daemons that is attached to the leader. The share may be read without
 // the leader's mutex.
 type attachment struct {
-	streams    map[string]int // by daemon; a restarted one may briefly have two
-	maxDaemons int            // recent maximum of attached daemons
-	maxSeenAt  time.Time      // when that many were last attached
-	share      atomic.Uint64
+	streams       map[string]int // by daemon; a restarted one may briefly have two
+	maxDaemons    int            // recent maximum of attached daemons
+	maxObservedAt time.Time      // when maxDaemons were last attached
+	share         atomic.Uint64
 }
 
 // addStream counts a stream of a daemon.
@@ -36,16 +36,16 @@
 // updateShare recomputes the share.
 func (a *attachment) updateShare(now time.Time) {
 	attached := len(a.streams)
-	if attached >= a.maxDaemons || now.Sub(a.maxSeenAt) > detachedCountTTL {
-		a.maxDaemons, a.maxSeenAt = attached, now
+	if attached >= a.maxDaemons || now.Sub(a.maxObservedAt) > detachedCountTTL {
+		a.maxDaemons, a.maxObservedAt = attached, now
 	}
 	a.share.Store(math.Float64bits(float64(attached) / float64(max(1, a.maxDaemons))))
 }
 
-// expect sets the number of daemons that the earlier leader had, if it is the larger one.
-func (a *attachment) expect(daemons int, now time.Time) {
+// expectAtLeast raises maxDaemons to the number of daemons that were attached to the earlier leader.
+func (a *attachment) expectAtLeast(daemons int, now time.Time) {
 	if daemons > a.maxDaemons {
-		a.maxDaemons, a.maxSeenAt = daemons, now
+		a.maxDaemons, a.maxObservedAt = daemons, now
 	}
 }
 
--- a/loader/registry.go
+++ b/loader/registry.go
@@ -32,9 +32,9 @@
 	r.allChanged = true
 }
 
-// take returns and clears the changed replicas. All count as changed if the routing table is new, since it
-// may declare other services.
-func (r *registryChanges) take(table *routing.Table) (changed map[string]struct{}, all bool) {
+// takeChanged returns and clears the changed replicas. It reports all as changed if the routing table is new,
+// since the table may declare other services.
+func (r *registryChanges) takeChanged(table *routing.Table) (changed map[string]struct{}, all bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	changed, all = r.changed, r.allChanged || r.table != table
@@ -42,7 +42,7 @@
 	return changed, all
 }
 
-// RegistryChanged records that a replica changed in the registry; empty: all of them may have.
+// RegistryChanged records that a replica changed in the registry. An empty ID means that any of them may have.
 func (l *Leader) RegistryChanged(replica string) {
 	if replica == "" {
 		l.changedReplicas.markAll()
--- a/loader/running.go
+++ b/loader/running.go
@@ -29,7 +29,7 @@
 	return &requestCounts{total: map[string]uint32{}, sent: map[string]uint32{}, changed: newChangeLog()}
 }
 
-// due reports whether it is time to sum again for a number of receiving daemons.
+// due reports whether the interval between two sums, for a number of receiving daemons, has passed.
 func (r *requestCounts) due(now time.Time, daemons int) bool {
 	return now.Sub(r.summedAt) >= minRunningInterval+time.Duration(daemons)*runningIntervalPerDaemon
 }
@@ -80,7 +80,7 @@
 	return messages
 }
 
-// refreshRunning sums the running requests if it is time to. The caller holds the mutex.
+// refreshRunning sums the running requests at intervals. The caller holds the mutex.
 func (l *Leader) refreshRunning(now time.Time) {
 	if !l.requestTotals.due(now, l.loadReceivers()) {
 		return
--- a/loader/silence_test.go
+++ b/loader/silence_test.go
@@ -40,8 +40,8 @@
 	follower.LeaderChanged(election.Leader{Daemon: "b", Address: proxy.Address(), Nonce: "n", Fence: 1})
 	go func() { _ = follower.Serve(ctx) }()
 	require.Eventually(t, follower.Attached, time.Second, time.Millisecond)
-	// The follower is attached once it has sent its first message. The proxy silences only open connections,
-	// so wait until the message has passed through it.
+	// The follower is attached once it has sent its first message. The proxy stalls only open connections, so
+	// wait until the leader has received the message.
 	require.Eventually(t, func() bool { return attachedTo(leader) == 1 }, time.Second, time.Millisecond)
 	proxy.SilenceOpen()
 	silenced := time.Now()
@@ -58,5 +58,5 @@
 func attachedTo(leader *Leader) int {
 	leader.mutex.Lock()
 	defer leader.mutex.Unlock()
-	return leader.attached
+	return leader.attachedStreams
 }
--- a/loader/touches.go
+++ b/loader/touches.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// changeLog records the version in which each replica last changed. The changes after a version are found
-// without a scan of all replicas.
+// changeLog records the version in which each replica last changed, so that the changes after a version are
+// found without a scan of all replicas.
 type changeLog struct {
 	versions map[string]uint64
 	entries  []changeEntry // sorted by version
--- a/loader/turns.go
+++ b/loader/turns.go
@@ -9,7 +9,7 @@
 
 // Turns makes reservations for messages to replicas with a request limit.
 type Turns interface {
-	// BeginTerm begins a term with no reservations.
+	// BeginTerm discards the reservations of an earlier term.
 	BeginTerm()
 	// TryReserve makes a reservation if one is available now, and otherwise returns when to retry.
 	TryReserve(request permit.Request) (granted bool, retryIn time.Duration)
--- a/loader/turns_test.go
+++ b/loader/turns_test.go
@@ -12,17 +12,17 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// reservationBook makes reservations in a local book.
-type reservationBook struct {
-	book  *permit.Pacer
+// localReservations makes reservations at a local pacer.
+type localReservations struct {
+	pacer *permit.Pacer
 	now   time.Time
 	terms int
 }
 
-func (b *reservationBook) BeginTerm() { b.terms++ }
+func (b *localReservations) BeginTerm() { b.terms++ }
 
-func (b *reservationBook) TryReserve(request permit.Request) (bool, time.Duration) {
-	decision := b.book.Request(request, 1, b.now)
+func (b *localReservations) TryReserve(request permit.Request) (bool, time.Duration) {
+	decision := b.pacer.Request(request, 1, b.now)
 	return decision.Granted, decision.RetryIn
 }
 
@@ -31,15 +31,15 @@
 	const pause = 5 * time.Second
 	leader, replicas := leaderWithDemand(t)
 	now := time.Now()
-	reservations := &reservationBook{book: permit.NewPacer(true, now), now: now}
+	reservations := &localReservations{pacer: permit.NewPacer(true, now), now: now}
 	leader.Turns = reservations
 	leader.Fleet.Put(fleet.Entry{ID: "r1", Service: "press", Address: "r1:1"}, now)
-	leader.Fleet.ApplyLimitHint(limitNotice("r1", 1/pause.Seconds()), now)
+	leader.Fleet.ApplyLimitHint(limitHint("r1", 1/pause.Seconds()), now)
 	leader.applyDemand(&rpc.LoadsDemand{DaemonId: "d2", Keys: []*rpc.TargetLoadDemand{{Service: "press", Model: "m1", Arrivals: 1, Waiting: 1}}})
 
 	leader.runRound(t.Context(), now)
 	require.Equal(t, 1, reservations.terms)
-	require.Equal(t, "r1", receive(t, replicas.reports), "the first reservation")
+	require.Equal(t, "r1", receive(t, replicas.reports), "the first reservation is granted")
 	require.Eventually(t, func() bool {
 		leader.mutex.Lock()
 		defer leader.mutex.Unlock()
@@ -52,7 +52,7 @@
 	require.Equal(t, "m1", receive(t, replicas.orders).Target.Model)
 }
 
-func TestReachableShare(t *testing.T) {
+func TestShareOfAttachedDaemons(t *testing.T) {
 	now := time.Now()
 	leader := &Leader{}
 	require.Zero(t, leader.Reached())
@@ -61,7 +61,7 @@
 		for number := range attached {
 			leader.attachment.addStream(strconv.Itoa(number))
 		}
-		leader.attachment.addStream("0") // it restarted, and its earlier stream is still open
+		leader.attachment.addStream("0") // the daemon restarted, and its earlier stream is still open
 		leader.attachment.updateShare(now.Add(after))
 		return leader.Reached()
 	}
@@ -70,7 +70,7 @@
 	require.Equal(t, 1.0, updateShare(9, 2*time.Second))
 	require.InDelta(t, 8.0/9, updateShare(8, 3*time.Second), 1e-9)
 	require.Equal(t, 1.0, updateShare(8, 3*time.Second+detachedCountTTL), "the detached daemon no longer counts")
-	leader.attachment.expect(16, now.Add(time.Hour))
+	leader.attachment.expectAtLeast(16, now.Add(time.Hour))
 	require.Equal(t, 0.5, updateShare(8, time.Hour+time.Second), "the earlier leader had more daemons")
 	leader.attachment.removeStream("0")
 	require.Len(t, leader.attachment.streams, 8)
--- a/loader/yield.go
+++ b/loader/yield.go
@@ -15,7 +15,8 @@
 	// minTermAgeForHandover is the least age of a term at its handover, and the least time that the stronger
 	// daemon must have been attached. Daemons attach to a new leader one after the other.
 	minTermAgeForHandover = time.Second
-	// handoverBackoffFactor multiplies the least term age each time that no other daemon took the term.
+	// handoverBackoffFactor multiplies the least term age after each handover in which no other daemon took
+	// the term.
 	handoverBackoffFactor = 4
 	// handoverTimeout bounds the write of a handover.
 	handoverTimeout = 500 * time.Millisecond
@@ -42,7 +43,7 @@
 // mayHandOver reports whether the term is old enough for a handover.
 func (p *handoverPlan) mayHandOver(now time.Time) bool { return now.Sub(p.termStart) >= p.minTermAge }
 
-// recordDaemon records a daemon's properties from the first message of its stream.
+// recordDaemon records the properties that a daemon reports only in the first message of its stream.
 func (l *Leader) recordDaemon(first *rpc.LoadsDemand) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -64,7 +65,7 @@
 	return false
 }
 
-// handOver hands the term over in the background. The caller holds the mutex.
+// handOver offers the term to other daemons in the background. The caller holds the mutex.
 func (l *Leader) handOver(ctx context.Context, now time.Time) {
 	l.handovers.lastHandover = now
 	l.Log.WithField(logging.Fence, l.fence).Info("handing the term over to a daemon on a stronger machine")
