--- a/loading/adapters.go
+++ b/loading/adapters.go
@@ -76,7 +76,7 @@
 		return
 	}
 	if victim, found := p.leastUsedAdapter(best); found {
-		p.addOrder(best, Order{Verb: Unload, Target: victim, ExpectedDuration: unloadTime, Reason: "a place for " + target.Model + "/" + target.Adapter})
+		p.addOrder(best, Order{Verb: Unload, Target: victim, ExpectedDuration: unloadTime, Reason: "adapter slot for " + target.Model + "/" + target.Adapter})
 	}
 }
 
@@ -84,7 +84,7 @@
 func (p *planner) bestAdapterReplica(target fleet.Target) *Replica {
 	need := p.byName[target.Model]
 	if need == nil {
-		return nil // no longer declared
+		return nil // the model is no longer declared
 	}
 	if best := p.bestAdapterReplicaAmong(need, target, false); best != nil || !p.anyLimited {
 		return best
--- a/loading/ask.go
+++ b/loading/ask.go
@@ -18,7 +18,7 @@
 )
 
 // reasonProbe is the logged reason of probes.
-const reasonProbe = "whether it has ended"
+const reasonProbe = "probe whether the load has ended"
 
 // ProbeOrder returns an order that probes whether a model load has ended. It repeats the order of the load:
 // the replica responds that the model is loaded, or that it is busy.
@@ -67,7 +67,7 @@
 	for index := range r.Pending {
 		if order := &r.Pending[index]; order.ForModel() && !now.Before(order.ReadyAt()) {
 			if order.Probes++; order.Probes >= maxProbes {
-				r.Verified = false // only a report can clear this up
+				r.Verified = false // only a report can show the state of the order
 			}
 		}
 	}
@@ -90,8 +90,8 @@
 	}
 }
 
-// predatesResponses reports whether a report lacks a model that the replica, in a recent response, said it
-// has loaded.
+// predatesResponses reports whether a report lacks a model that the replica has loaded according to a recent
+// response.
 func (r *Replica) predatesResponses(report Report, now time.Time) bool {
 	if r.ReportDueAt.IsZero() || now.After(r.ReportDueAt.Add(reportDelay)) {
 		return false
--- a/loading/ask_test.go
+++ b/loading/ask_test.go
@@ -76,9 +76,9 @@
 	require.Equal(t, Load, orders[0].Verb)
 	require.Equal(t, "r1", orders[0].ReplicaID)
 
-	taken := *emptied
-	taken.MarkAccepted(orders[0], input.Now)
-	require.False(t, taken.Holdings.Has(fleet.Target{Model: "m1"}), "an accepted load implies that the unload has ended")
+	accepted := *emptied
+	accepted.MarkAccepted(orders[0], input.Now)
+	require.False(t, accepted.Holdings.Has(fleet.Target{Model: "m1"}), "an accepted load implies that the unload has ended")
 
 	emptied.MarkUnfinished(input.Now)
 	require.Empty(t, decideOnDemand(input), "the unload has not ended")
--- a/loading/fetch.go
+++ b/loading/fetch.go
@@ -21,7 +21,7 @@
 )
 
 // reasonNotCached is the logged reason of prefetches.
-const reasonNotCached = "kept nowhere"
+const reasonNotCached = "weights not cached on any replica"
 
 // pendingStoreLoads counts the pending loads from the weight store.
 func pendingStoreLoads(replicas []*Replica) int {
--- a/loading/fetch_test.go
+++ b/loading/fetch_test.go
@@ -40,8 +40,8 @@
 // A call to the only replica with the weights is in flight.
 func TestLoadWaitsForAPendingCall(t *testing.T) {
 	withWeights := withDisk(replica("r1"), "m5")
-	calling := withWeights.WithPendingCall(nil, startTime, startTime.Add(250*time.Millisecond))
-	require.Empty(t, decideOnDemand(snapshot(oneWaiting("m5", ""), calling, replica("r2"))))
+	withPendingCall := withWeights.WithPendingCall(nil, startTime, startTime.Add(250*time.Millisecond))
+	require.Empty(t, decideOnDemand(snapshot(oneWaiting("m5", ""), withPendingCall, replica("r2"))))
 }
 
 // Freed memory must be used by its model even if another, busy replica looks cheaper.
@@ -197,7 +197,7 @@
 	require.Empty(t, decideOnDemand(input))
 }
 
-func TestCatalogueWithoutLoadTimes(t *testing.T) {
+func TestModelWithoutLoadTimesIsLoaded(t *testing.T) {
 	saturated := replica("r1", "m0")
 	saturated.Slots, saturated.Running = 10, 9
 	input := snapshot(oneWaiting("m5", ""), saturated, replica("r2"))
--- a/loading/limits.go
+++ b/loading/limits.go
@@ -12,14 +12,14 @@
 const usableLimitShare = 0.8
 
 // excludeOverLimit finds the copies that cannot be served within their replica's request limit. The least
-// requested models use the limit first, so that few models need a further copy; the copies of the other
-// models do not count.
+// requested models use the limit first, so that few models need a further copy; copies of the other models on
+// the replica are not counted.
 func (p *planner) excludeOverLimit(byName map[string]*modelNeed) {
 	p.overLimit, p.anyLimited = nil, slices.ContainsFunc(p.Replicas, func(r *Replica) bool {
 		return r.Service == p.service && r.PerSecond > 0
 	})
 	if !p.anyLimited {
-		return // the usual case
+		return // most replicas have no request limit
 	}
 	p.overLimit = map[*Replica]map[string]bool{}
 	unlimited := p.targetsWithoutLimit()
--- a/loading/loading.go
+++ b/loading/loading.go
@@ -1,6 +1,7 @@
 // Package loading decides which models and adapters replicas should load, as a pure function of a snapshot.
-// Replicas take one order at a time. An order states how many orders its replica has taken before, so a late
-// one has no effect; until the replica reports its outcome, it is charged to the replica's memory and slots.
+// Replicas take one order at a time. Each order states how many orders its replica has taken before, so the
+// replica refuses an order that arrives late. An order is charged to the replica's memory and slots until the
+// replica reports its outcome.
 package loading
 
 import (
@@ -63,8 +64,8 @@
 // Pending is an order that the replica has taken, or may have taken, and may not have finished.
 type Pending struct {
 	Order
-	Since time.Time
-	// Probes is how often the replica responded that the order is unfinished after it was due.
+	Since time.Time // when the replica accepted the order or, before its response, when it was sent
+	// Probes is how often the replica has responded, after the order was due, that it is unfinished.
 	Probes int
 }
 
@@ -90,20 +91,20 @@
 	InMemory []string
 	OnDisk   []string
 	Pending  []Pending
-	// BlockedUntil defers orders after one was refused or got no response.
+	// BlockedUntil defers orders after the replica refused one or did not respond.
 	BlockedUntil time.Time
 	// TermGapUntil defers orders until the term gap after the orders of an earlier leader has passed.
 	TermGapUntil time.Time
-	// RestsUntil defers orders and probes while the replica has asked this daemon to back off.
+	// RestsUntil defers orders and probes until the back-off that the replica asked for has passed.
 	RestsUntil time.Time
 	// PerSecond is the replica's request limit for all daemons, in messages per second; zero: no limit.
 	PerSecond float64
 	// ReservedFor is the model for which memory was freed and stays reserved until ReservedUntil.
 	ReservedFor   string
 	ReservedUntil time.Time
-	// LoadedAt is when each model was last observed to appear.
+	// LoadedAt is when the leader first observed each loaded model.
 	LoadedAt map[string]time.Time
-	// ReportDueAt is when to fetch the report for details that responses to orders lack; zero: not needed.
+	// ReportDueAt is when to fetch a report, for details that responses to orders lack; zero: not needed.
 	ReportDueAt time.Time
 }
 
@@ -184,7 +185,7 @@
 	StoreLoadsAllowed int
 	// StoreConcurrency is how many loads from the weight store may be pending at once.
 	StoreConcurrency int
-	// Settled is whether Replicas is believed to be complete.
+	// Settled is whether Replicas is assumed to be complete.
 	Settled bool
 }
 
@@ -219,7 +220,7 @@
 	Snapshot
 	service      string
 	engine       *routing.Engine
-	capacity     copyCapacity // of one copy of a model
+	capacity     requestLoad // that one copy of a model should serve
 	models       []*modelNeed
 	byName       map[string]*modelNeed
 	candidates   []*candidate            // replicas of the service
--- a/loading/loading_test.go
+++ b/loading/loading_test.go
@@ -82,7 +82,7 @@
 	orders := Decide(snapshot(demands, full, replica("r2", "m0", "m1")))
 	require.Len(t, orders, 1)
 	require.Equal(t, Order{ReplicaID: "r1", Verb: Unload, Target: fleet.Target{Model: "m4"}, ExpectedDuration: unloadTime, Reason: "room for m5", RoomFor: "m5"}, orders[0])
-	// During the unload, the memory is reserved: nothing else is evicted.
+	// During the unload, the memory is reserved, so no other model is evicted.
 	full.MarkAccepted(orders[0], startTime)
 	require.Empty(t, Decide(snapshot(demands, full, replica("r2", "m0", "m1"))))
 	// Afterwards the memory stays reserved for the model, despite the demand for another one.
@@ -404,7 +404,7 @@
 }
 
 // After a restart the replica's order count starts at zero, so its reports look older than earlier ones.
-func TestRestartedReplicaIsKnownOnlyByItsOwnReport(t *testing.T) {
+func TestRestartedReplicaIsVerifiedOnlyByANewReport(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	replica := &Replica{ID: "r1", Born: 1000, Verified: true, Sequence: 9, Holdings: fleet.Holdings{"m1": nil}, OnDisk: []string{"m1"}, ReservedFor: "m2", ReservedUntil: now.Add(time.Hour)}
 	replica.MarkAccepted(Order{ReplicaID: "r1", Target: fleet.Target{Model: "m2"}, Sequence: 9, ExpectedDuration: time.Hour}, now)
--- a/loading/models.go
+++ b/loading/models.go
@@ -26,10 +26,10 @@
 // isUnderReplicated reports whether so many copies are missing that the next one is placed at once. Copies
 // that this decision has prepared count as present.
 func (n *modelNeed) isUnderReplicated() bool {
-	return float64(n.copies+n.comingCopies) < underReplicatedShare*float64(n.desired)
+	return float64(n.copies+n.preparedCopies) < underReplicatedShare*float64(n.desired)
 }
 
-// placement is a candidate for the load of a model, with its cost.
+// placement is a possible load of a model on a candidate, with its cost.
 type placement struct {
 	candidate *candidate
 	source
@@ -38,6 +38,7 @@
 	mustWait bool     // the replica must finish other orders first
 }
 
+// Costs of placements, in seconds.
 const (
 	// costEviction is the time for unloading one model before the load.
 	costEviction = 0.3
@@ -61,7 +62,7 @@
 // no replica is suitable.
 func (p *planner) loadModel(need *modelNeed) bool {
 	urgent := need.copies == 0 && need.waiting > 0
-	best, found := p.bestPlacement(need, p.valueOfCopy(need, urgent), p.mayLoadFromStore(need))
+	best, found := p.bestPlacement(need, p.worthOfNewCopy(need, urgent), p.mayLoadFromStore(need))
 	if !found {
 		return false
 	}
@@ -69,7 +70,7 @@
 	if best.mustWait {
 		// Waiting for the busy replica is better than using any other one.
 		best.candidate.addQueuedTime(best.loadTime)
-		need.comingCopies++
+		need.preparedCopies++
 		return true
 	}
 	reason := "more copies"
@@ -84,7 +85,7 @@
 func (p *planner) placeModel(best placement, need *modelNeed, reason string) {
 	replica := best.candidate.replica
 	if len(best.victims) > 0 {
-		need.comingCopies++
+		need.preparedCopies++
 		p.addOrder(replica, Order{Verb: Unload, Target: fleet.Target{Model: best.victims[0].name}, ExpectedDuration: unloadTime,
 			Reason: "room for " + need.model.Name, RoomFor: need.model.Name})
 		return
@@ -261,13 +262,14 @@
 	return free
 }
 
+// Worths of copies, in seconds of load time.
 const (
 	// worthUnused is the base worth of a copy that is not surplus.
 	worthUnused = 0.4
 	// worthInUse is the additional worth of a copy with running or waiting requests.
 	worthInUse = 6.0
-	// worthAdapters is the additional worth of a copy of a model with adapters, which serves demand of many
-	// kinds.
+	// worthAdapters is the additional worth of a copy of a model with adapters, which also serves their
+	// requests.
 	worthAdapters = 2.0
 	// worthSpareCopy is the worth of the second copy of a busy model if it comes from the weight store. It
 	// keeps the model available if a replica is lost.
@@ -295,7 +297,7 @@
 	return worth
 }
 
-// relativeToStoreLoad returns a time relative to the model's load time from the weight store.
+// relativeToStoreLoad returns a load time relative to the model's load time from the weight store.
 func (n *modelNeed) relativeToStoreLoad(loadTime time.Duration) float64 {
 	if n.model.StoreLoadTime <= 0 {
 		return 1
@@ -311,9 +313,9 @@
 	return 1
 }
 
-// valueOfCopy returns the worth of one more copy of a model; urgent means that requests wait for the first
+// worthOfNewCopy returns the worth of one more copy of a model; urgent means that requests wait for the first
 // copy.
-func (p *planner) valueOfCopy(need *modelNeed, urgent bool) float64 {
+func (p *planner) worthOfNewCopy(need *modelNeed, urgent bool) float64 {
 	if urgent {
 		return worthFirstCopy + worthPerWaiting*float64(need.waiting) + need.perSecond*need.model.StoreLoadTime.Seconds()
 	}
--- a/loading/needs.go
+++ b/loading/needs.go
@@ -30,14 +30,14 @@
 	cachedSources  []cachedSource
 	reservedOn     []*candidate // candidates with memory reserved for the model
 	chosen         []*candidate // candidates that this decision already uses for the model
-	comingCopies   int          // copies that this decision frees memory for, or that wait for a busy candidate
+	preparedCopies int          // copies for which this decision frees memory or waits for a busy candidate
 }
 
 const (
 	// maxRatePerCopy is the most arrivals per second that one copy should serve, if the replica's slots are
-	// not the tighter bound. Reading many prompts stalls the running streams.
+	// not the tighter bound. The prefill of many prompts stalls the running streams.
 	maxRatePerCopy = 5.0
-	// maxRunningPerCopy is the most concurrent requests that one copy should serve, likewise.
+	// maxRunningPerCopy is the most concurrent requests that one copy should serve, under the same condition.
 	maxRunningPerCopy = 16.0
 	// saturatedMinRate is the arrival rate per second from which a model on saturated replicas gets another
 	// copy.
@@ -48,19 +48,19 @@
 	maxRunningPerSlot = 0.6
 	minRatePerSlot    = 0.1
 	minRunningPerSlot = 0.25
-	// keepUsedTime is how long a model that was used keeps at least one copy.
+	// keepUsedTime is how long a model keeps at least one copy after its last request.
 	keepUsedTime = 15 * time.Second
 )
 
-// copyCapacity is the load that one copy of a model should serve.
-type copyCapacity struct {
+// requestLoad is the load of requests on a replica, or the load that a copy of a model should serve.
+type requestLoad struct {
 	perSecond float64 // arrivals
 	running   float64 // concurrent requests
 }
 
 // capacityPerCopy returns the capacity of a copy on the service's replicas.
-func (p *planner) capacityPerCopy() copyCapacity {
-	capacity := copyCapacity{perSecond: maxRatePerCopy, running: maxRunningPerCopy}
+func (p *planner) capacityPerCopy() requestLoad {
+	capacity := requestLoad{perSecond: maxRatePerCopy, running: maxRunningPerCopy}
 	slots, mean := p.meanLoad()
 	if slots > 0 {
 		capacity.perSecond = min(capacity.perSecond, clamp(mean.perSecond, minRatePerSlot*slots, maxRatePerSlot*slots))
@@ -71,7 +71,7 @@
 
 // meanLoad returns the largest number of slots of a replica of the service, and the mean load of its replicas
 // that are not draining.
-func (p *planner) meanLoad() (slots float64, mean copyCapacity) {
+func (p *planner) meanLoad() (slots float64, mean requestLoad) {
 	replicas := 0.0
 	for _, replica := range p.Replicas {
 		if replica.Service == p.service {
@@ -187,10 +187,10 @@
 }
 
 // desiredCopies returns how many copies a model should have.
-func (n *modelNeed) desiredCopies(now time.Time, replicas int, capacity copyCapacity) int {
+func (n *modelNeed) desiredCopies(now time.Time, replicas int, capacity requestLoad) int {
 	copies := int(math.Ceil(max(n.perSecond/capacity.perSecond-copyHeadroom, float64(n.running)/capacity.running)))
 	if n.waiting > 0 && n.longestWait > unreachableAfter && n.loaded == 1 && n.copies == 1 {
-		copies = max(copies, n.copies+1) // the loaded copy does not respond
+		copies = max(copies, n.copies+1) // the loaded copy serves no requests
 	}
 	if n.loaded > 0 && n.unsaturated == 0 && n.perSecond >= saturatedMinRate {
 		copies = max(copies, n.copies+1) // other models saturate its replicas
@@ -204,11 +204,12 @@
 	return min(copies, replicas)
 }
 
-// unreachableAfter is how long requests wait for a loaded model before it gets another copy. Its replicas are
-// then unreachable or reject the requests.
+// unreachableAfter is how long requests wait for a loaded model before it gets another copy, because its
+// replica is unreachable or rejects the requests.
 const unreachableAfter = 1500 * time.Millisecond
 
-// copyHeadroom, in copies, is how far demand may exceed the capacity before another copy is desired.
+// copyHeadroom is by how many copies' capacity the demand may exceed that of the copies before another copy is
+// desired.
 const copyHeadroom = 0.15
 
 // urgencyHorizonSeconds is the time over which future requests count towards the urgency of a load.
@@ -222,7 +223,7 @@
 
 // urgency returns an estimate of how many requests a load would help: those waiting for a model without a
 // copy, or those beyond the capacity of its copies.
-func (n *modelNeed) urgency(capacity copyCapacity) float64 {
+func (n *modelNeed) urgency(capacity requestLoad) float64 {
 	if n.copies == 0 && n.waiting > 0 {
 		return float64(n.waiting) + n.perSecond*urgencyHorizonSeconds + urgencyPerSecondWaited*n.longestWait.Seconds()
 	}
--- a/loading/place.go
+++ b/loading/place.go
@@ -11,7 +11,7 @@
 	"github.com/finchspoke/finchspoke/fleet"
 )
 
-// candidate is a replica that can be given orders, with what a decision computes about it once.
+// candidate is a replica that can be given orders, with values that a decision computes once for it.
 type candidate struct {
 	replica     *Replica
 	freeIn      time.Duration // time until it can take an order for a model; zero: now
@@ -19,7 +19,7 @@
 	reserved    string        // model for which its memory is reserved
 	memoryLeft  float64
 	sharingCost float64  // cost of the models already in use there, in seconds
-	victims     []victim // models that may be evicted, the least valuable first
+	victims     []victim // models that may be evicted, those of the least worth first
 	// reservation is the model for which memory is reserved and that is not loaded yet, or nil.
 	reservation *modelNeed
 }
@@ -93,8 +93,8 @@
 	}
 }
 
-// indexCachedWeights records that a candidate has cached a model's weights. The faster source must come
-// first.
+// indexCachedWeights records that a candidate has cached a model's weights. It must be called for the faster
+// source first.
 func (p *planner) indexCachedWeights(c *candidate, name string, origin Origin) {
 	need := p.byName[name]
 	if need == nil {
@@ -149,8 +149,8 @@
 	return cost
 }
 
-// victimsOf lists the models that may be evicted, the least valuable first. A model stays for at least its
-// own load time, so that a replica is not always loading.
+// victimsOf lists the models that may be evicted, those of the least worth first. A model stays for at least
+// its own load time, so that a replica is not always loading.
 func (p *planner) victimsOf(c *candidate) []victim {
 	replica := c.replica
 	victims := make([]victim, 0, len(replica.Holdings))
@@ -184,8 +184,8 @@
 	return need.model.StoreLoadTime
 }
 
-// chooseVictims returns the least valuable models whose eviction frees enough memory, and whether it can be
-// freed.
+// chooseVictims returns the models of the least worth whose eviction frees enough memory, and whether there
+// are such models.
 func (c *candidate) chooseVictims(missingMB float64) (victims []victim, enough bool) {
 	for index, v := range c.victims {
 		// Prefer one model that suffices alone over several.
--- a/loading/search_test.go
+++ b/loading/search_test.go
@@ -45,14 +45,14 @@
 	switch rapid.IntRange(0, 4).Draw(t, "state") {
 	case 0:
 		target := fleet.Target{Model: drawName(t, "loading")}
-		drawn.MarkAccepted(Order{Verb: Load, Target: target, ExpectedDuration: time.Duration(rapid.IntRange(0, 4).Draw(t, "takes")) * second}, startTime)
+		drawn.MarkAccepted(Order{Verb: Load, Target: target, ExpectedDuration: time.Duration(rapid.IntRange(0, 4).Draw(t, "expected seconds")) * second}, startTime)
 	case 1:
 		held := drawNames(t, 1, "unloading")
 		if len(held) > 0 {
 			drawn.MarkAccepted(Order{Verb: Unload, Target: fleet.Target{Model: held[0]}, ExpectedDuration: unloadTime, RoomFor: drawName(t, "room for")}, startTime)
 		}
 	case 2:
-		drawn.ReservedFor, drawn.ReservedUntil = drawName(t, "promised"), startTime.Add(second)
+		drawn.ReservedFor, drawn.ReservedUntil = drawName(t, "reserved for"), startTime.Add(second)
 	}
 	return drawn
 }
@@ -120,7 +120,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		planner := drawPlanner(t)
 		for _, need := range planner.models {
-			maxEvictionWorth := float64(rapid.IntRange(0, 20).Draw(t, "value"))
+			maxEvictionWorth := float64(rapid.IntRange(0, 20).Draw(t, "max eviction worth"))
 			for _, fromStore := range []bool{false, true} {
 				expected, possible := referenceBestPlacement(planner, need, maxEvictionWorth, fromStore)
 				best, found := planner.bestPlacement(need, maxEvictionWorth, fromStore)
@@ -167,7 +167,7 @@
 		for _, need := range planner.models {
 			for _, c := range planner.candidates {
 				from := referenceSource(c, need)
-				option, possible := placementOn(c, need, float64(rapid.IntRange(0, 20).Draw(t, "value")), from)
+				option, possible := placementOn(c, need, float64(rapid.IntRange(0, 20).Draw(t, "max eviction worth")), from)
 				if possible {
 					require.LessOrEqual(t, c.minCost(need, from), option.cost)
 				}
--- a/loading/state.go
+++ b/loading/state.go
@@ -58,8 +58,8 @@
 // roomReservationTime is how long freed memory stays reserved for a model.
 const roomReservationTime = 3 * time.Second
 
-// MarkDone records the response that an order requires nothing more: the target of a load is loaded, or an
-// adapter was unloaded at once.
+// MarkDone applies the response Done to an order: the target of a load is loaded, or an adapter was unloaded at
+// once.
 func (r *Replica) MarkDone(order Order, now time.Time) {
 	if order.Verb == Unload {
 		r.Sequence = order.Sequence + 1
@@ -72,8 +72,8 @@
 	r.applyOrder(order)
 }
 
-// MarkUnverified records that an order was refused or got no response; a report is needed before the next
-// order.
+// MarkUnverified records that the replica refused an order or did not respond; a report is needed before the
+// next order.
 func (r *Replica) MarkUnverified(now time.Time) {
 	r.Verified, r.Assumed = false, false
 	r.BlockedUntil = now.Add(refusalBackoff)
@@ -125,7 +125,7 @@
 	r.Sequence = report.Sequence
 	before := len(r.Pending)
 	r.Pending = slices.DeleteFunc(r.Pending, func(order Pending) bool { return r.orderEnded(order, report, now) })
-	// If an unknown load is in progress, give no order until it has ended.
+	// While the replica carries out an order that this leader does not know, give it no order.
 	r.Verified = !report.Busy || r.busy()
 	for _, adapter := range report.LoadingAdapters {
 		if r.pending(adapter) == nil {
@@ -135,7 +135,7 @@
 	return changed || before != len(r.Pending)
 }
 
-// replaceHoldings replaces the holdings and records when models appeared.
+// replaceHoldings replaces the holdings, records when models appeared, and returns whether the holdings changed.
 func (r *Replica) replaceHoldings(holdings fleet.Holdings, now time.Time) bool {
 	if r.LoadedAt == nil {
 		r.LoadedAt = map[string]time.Time{}
