--- a/loader/attach.go
+++ b/loader/attach.go
@@ -91,8 +91,8 @@
 		defer l.mutex.Unlock()
 		l.attachedStreams--
 		l.attachment.removeStream(daemonID)
-		if reported := l.daemons[daemonID]; reported != nil {
-			reported.detachedAt = time.Now()
+		if state := l.daemons[daemonID]; state != nil {
+			state.detachedAt = time.Now()
 		}
 	}
 }
@@ -203,8 +203,8 @@
 	return len(view.GetReplicas())+len(view.GetRunning())+len(view.GetLeaving())+len(view.GetLimits())+len(view.GetPacked()) > 0 || view.GetDirectories() != nil
 }
 
-// pendingViews are the messages to send to a daemon now. After delay, which batches changes, more messages may
-// follow once changed is closed.
+// pendingViews are the messages to send to a daemon now. Once changed is closed, there may be more; the stream
+// then waits for delay, which batches changes.
 type pendingViews struct {
 	messages []*rpc.LoadsView
 	changed  <-chan struct{}
--- a/loader/demand.go
+++ b/loader/demand.go
@@ -47,12 +47,12 @@
 		arrivals.decay(now)
 		total[key] = loading.Demand{PerSecond: arrivals.perSecond, LastUsed: arrivals.lastUsed}
 	}
-	for id, reported := range l.daemons {
-		if !reported.detachedAt.IsZero() && now.Sub(reported.detachedAt) > detachedDemandTTL {
+	for id, state := range l.daemons {
+		if !state.detachedAt.IsZero() && now.Sub(state.detachedAt) > detachedDemandTTL {
 			delete(l.daemons, id)
 			continue
 		}
-		for key, count := range reported.counts {
+		for key, count := range state.counts {
 			sum := total[key]
 			sum.Waiting += count.Waiting
 			sum.Running += count.Running
--- a/loader/running.go
+++ b/loader/running.go
@@ -39,8 +39,8 @@
 func (r *requestCounts) sum(now time.Time, daemons map[string]*daemonState, slots func(replica string) int) []string {
 	r.summedAt = now
 	r.total = make(map[string]uint32, len(r.total))
-	for _, reported := range daemons {
-		for replica, requests := range reported.running {
+	for _, state := range daemons {
+		for replica, requests := range state.running {
 			r.total[replica] += requests
 		}
 	}
