--- a/demand/demand.go
+++ b/demand/demand.go
@@ -9,7 +9,7 @@
 	"github.com/finchspoke/finchspoke/fleet"
 )
 
-// Key is a service and the model or adapter that a request needs.
+// Key identifies demand by a service and the model or adapter that requests need.
 type Key struct {
 	Service string
 	Target  fleet.Target
@@ -69,6 +69,7 @@
 	return func() { t.change(key, func(count *Count) { count.Running-- }) }
 }
 
+// change applies a change to the count of a key.
 func (t *Tracker) change(key Key, apply func(*Count)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
