--- a/estimate/estimate.go
+++ b/estimate/estimate.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The weights of the newest sample are those of TCP's retransmission timer (RFC 6298).
+// Weights of the newest sample, as in TCP's retransmission timer (RFC 6298).
 const (
 	meanWeight      = 1.0 / 8
 	deviationWeight = 1.0 / 4
