--- a/records/bulk.go
+++ b/records/bulk.go
@@ -12,53 +12,52 @@
 // (package discovery) for the replicas that its callers need.
 
 // LimitReplicaRecords sets the key prefix of replica records, how many of them every daemon
-// mirrors, and the key that records whether there are more; empty: none. onChange is called, before
-// the handlers, whenever this daemon starts or stops omitting them. It must be called before Serve.
-func (m *Mirror) LimitReplicaRecords(prefix string, maxRecords int, fleetSizeKey string, onChange func(without bool)) {
+// mirrors, and the key that records whether there are more; empty: none. The mirror calls onChange
+// before the handlers when it starts or stops omitting them. It must be called before Serve.
+func (m *Mirror) LimitReplicaRecords(prefix string, maxRecords int, fleetSizeKey string, onChange func(omits bool)) {
 	m.replicaRoot, m.limit, m.fleetSizeKey, m.onOmitChanged = prefix, maxRecords, fleetSizeKey, onChange
 }
 
-// RequireReplicaRecords tells whether this daemon must mirror replica records regardless of the
-// limit.
+// RequireReplicaRecords sets whether this daemon must mirror replica records regardless of the limit.
 func (m *Mirror) RequireReplicaRecords(required bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.replicasRequired = required
 }
 
-// requiresReplicas tells whether this daemon must mirror all replica records. Callers hold the
+// requiresReplicas reports whether this daemon must mirror all replica records. Callers hold the
 // mutex.
 func (m *Mirror) requiresReplicas() bool { return m.replicasRequired || m.leading }
 
-// RequiresAll tells whether this daemon must mirror all records regardless of their number.
+// RequiresAll reports whether this daemon must mirror all records regardless of their number.
 func (m *Mirror) RequiresAll() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.requiresReplicas()
 }
 
-// missingReplicas tells whether this daemon requires the replica records and does not have them.
+// missingReplicas reports whether this daemon requires the replica records and does not have them.
 func (m *Mirror) missingReplicas() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.omitsReplicas && m.requiresReplicas()
 }
 
-// HasAll tells whether the mirror holds all records, including those of replicas.
+// HasAll reports whether the mirror holds all records, including those of replicas.
 func (m *Mirror) HasAll() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.revision > 0 && !m.omitsReplicas
 }
 
-// OmitsReplicaRecords tells whether this daemon does not mirror replica records.
+// OmitsReplicaRecords reports whether this daemon does not mirror replica records.
 func (m *Mirror) OmitsReplicaRecords() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.omitsReplicas
 }
 
-// TooManyReplicas tells whether the number of replica records exceeds the limit.
+// TooManyReplicas reports whether the number of replica records exceeds the limit.
 func (m *Mirror) TooManyReplicas() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -82,7 +81,7 @@
 	m.tooManyReplicas = count > m.limit
 }
 
-// isReplica tells whether a key belongs to a replica record.
+// isReplica reports whether a key belongs to a replica record.
 func (m *Mirror) isReplica(k string) bool { return m.limit > 0 && strings.HasPrefix(k, m.replicaRoot) }
 
 // setRecord stores or deletes a record. Callers hold the mutex.
@@ -103,7 +102,7 @@
 	}
 }
 
-// excludeReplicas returns the events of records other than those of replicas.
+// excludeReplicas returns the events that do not concern replica records.
 func (m *Mirror) excludeReplicas(events []kv.Event) []kv.Event {
 	var others []kv.Event
 	for _, event := range events {
@@ -132,8 +131,8 @@
 	m.reportOmitChange(true)
 }
 
-// reportOmitChange logs and announces that this daemon starts or stops omitting replica records.
-// Callers hold applyMutex.
+// reportOmitChange logs that this daemon starts or stops omitting replica records, and calls
+// onOmitChanged. Callers hold applyMutex.
 func (m *Mirror) reportOmitChange(omitsReplicas bool) {
 	m.log.WithField(logging.WithoutReplicas, omitsReplicas).WithFields(logging.RevisionFields(m.Revision())).Info(logging.MessageReplicaRecordScopeChanged)
 	if m.onOmitChanged != nil {
@@ -141,8 +140,8 @@
 	}
 }
 
-// accepts tells whether an update can be applied, and drops the replica records where the peer
-// omits them because of their number. Callers hold applyMutex.
+// accepts reports whether an update can be applied. If the peer omits replica records because of
+// their number, and this daemon does not require them, it drops its own. Callers hold applyMutex.
 func (m *Mirror) accepts(update Update) bool {
 	m.mutex.Lock()
 	omitsReplicas, required, known := m.omitsReplicas, m.requiresReplicas(), m.revision > 0
--- a/records/bulk_test.go
+++ b/records/bulk_test.go
@@ -26,8 +26,8 @@
 	return pairs
 }
 
-// newLimitedMirror returns a mirror that omits replica records beyond limit, and the changes of
-// that state that it reports.
+// newLimitedMirror returns a mirror that omits replica records beyond limit, and the values that it
+// passes to onChange.
 func newLimitedMirror(t *testing.T, store kv.LongPollStore, limit int) (*Mirror, *[]bool) {
 	reported := &[]bool{}
 	mirror := newTestMirror(t, store)
@@ -89,17 +89,17 @@
 	source, _ := newLimitedMirror(t, newFakeStore(), 3)
 	feed := &Feed{Mirror: source}
 	source.replaceAll(append(replicaRecords(3, 5), kv.Pair{Key: "config", Value: []byte("1"), ModRevision: 4}), 10, true)
-	require.False(t, feed.viewFor(view{}, false).omitsReplicas, "few replicas: every peer gets all records")
+	require.False(t, feed.nextState(peerState{}, false).omitsReplicas, "few replicas: every peer gets all records")
 	source.applyChanges([]kv.Event{put(testReplicaPrefix+"more", "ready", 11), put("config", "2", 12)}, 12)
 	require.True(t, source.TooManyReplicas())
 
-	peer := feed.viewFor(view{revision: 10}, false)
+	peer := feed.nextState(peerState{revision: 10}, false)
 	update, changed := source.since(peer)
 	require.True(t, update.OmitsReplicaRecords)
 	require.Equal(t, []string{"config"}, updateKeys(update))
-	update, _ = source.since(feed.viewFor(view{revision: 10}, true))
+	update, _ = source.since(feed.nextState(peerState{revision: 10}, true))
 	require.Equal(t, []string{testReplicaPrefix + "more", "config"}, updateKeys(update), "a directory requires all records")
-	update, _ = source.since(feed.viewFor(view{}, false))
+	update, _ = source.since(feed.nextState(peerState{}, false))
 	require.True(t, update.Whole)
 	require.Equal(t, []string{"config"}, updateKeys(update))
 
@@ -112,11 +112,11 @@
 	source.applyChanges([]kv.Event{put("config", "3", 14)}, 14)
 	<-changed
 
-	// Most replicas end: the peer is sent the complete list again.
+	// Once most replicas are removed, the feed sends the peer the complete list again.
 	for number := range 4 {
 		source.applyChanges([]kv.Event{{Pair: kv.Pair{Key: fmt.Sprintf("%s%04d", testReplicaPrefix, number), ModRevision: int64(20 + number)}, Deleted: true}}, int64(20+number))
 	}
-	peer = feed.viewFor(view{revision: 23, omitsReplicas: true}, false)
+	peer = feed.nextState(peerState{revision: 23, omitsReplicas: true}, false)
 	update, _ = source.since(peer)
 	require.True(t, update.Whole)
 	require.Contains(t, updateKeys(update), testReplicaPrefix+"more")
@@ -163,7 +163,7 @@
 	require.Empty(t, *reported)
 }
 
-// When all daemons restart, each of them reading all replica records would overload the store.
+// When all daemons restart and each reads all replica records, they overload the store.
 func TestInitialListStopsAtReplicaLimit(t *testing.T) {
 	for _, test := range []struct {
 		name         string
--- a/records/changes.go
+++ b/records/changes.go
@@ -6,7 +6,7 @@
 	"github.com/finchspoke/finchspoke/kv"
 )
 
-// maxRecentChanges bounds the changes that are kept for peers that reconnect.
+// maxRecentChanges bounds the changes that the log keeps for peers that reconnect.
 const maxRecentChanges = 1024
 
 // changeLog keeps the latest changes in order of their revisions, so that a peer with an earlier
@@ -31,7 +31,7 @@
 	}
 }
 
-// since returns the changes after a revision; known is false if some of them are no longer kept.
+// since returns the changes after a revision; known is false if the log lacks some of them.
 func (c *changeLog) since(revision int64) (events []kv.Event, known bool) {
 	if revision < c.floor {
 		return nil, false
--- a/records/contact.go
+++ b/records/contact.go
@@ -38,7 +38,8 @@
 		Warn(logging.MessageDependencyLost)
 }
 
-// StoreReachable tells whether the last call to the store succeeded, here or at a confirming peer.
+// StoreReachable reports whether the last call to the store succeeded, by this daemon or by a peer
+// that confirms its records.
 func (m *Mirror) StoreReachable() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -59,17 +60,18 @@
 	return m.now().Sub(latest), !latest.IsZero()
 }
 
-// hasRecentContact tells whether the store itself answered this daemon recently.
+// hasRecentContact reports whether the store recently answered this daemon itself.
 func (m *Mirror) hasRecentContact() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.isRecent(m.lastContact)
 }
 
-// isRecent tells whether contact with the store at a given time is still valid.
+// isRecent reports whether contact with the store at a given time still confirms the records.
 func (m *Mirror) isRecent(at time.Time) bool { return m.now().Sub(at) < confirmationTTL }
 
-// InContact tells whether the store answered recently, here or at the confirming peer.
+// InContact reports whether the store recently answered this daemon or the peer that confirms its
+// records.
 func (m *Mirror) InContact() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/records/era.go
+++ b/records/era.go
@@ -10,8 +10,8 @@
 )
 
 // A store that is restored from a backup continues from older records, and reuses revisions that it
-// has already assigned (package kv). A report by a peer whose records are of an earlier era is then
-// neither an update, nor a verification, nor a sign of contact with the store.
+// has already assigned (package kv). The mirror then ignores updates by peers whose records are of
+// an earlier era: they neither change, nor verify, nor confirm its records.
 
 // markOutdated records that the store was restored since the mirrored records were read.
 func (m *Mirror) markOutdated() {
@@ -38,7 +38,7 @@
 // Past verifications remain valid: the configuration in effect is never rolled back.
 func (m *Mirror) forgetConfirmations() { m.confirmedAt, m.leaderReport = time.Time{}, leaderTimes{} }
 
-// fromEarlierEra tells whether a peer's records are of an earlier era than the mirror's. Callers
+// fromEarlierEra reports whether a peer's records are of an earlier era than the mirror's. Callers
 // hold the mutex.
 func (m *Mirror) fromEarlierEra(update Update) bool {
 	reported, known := kv.EraOf(update.Revision), kv.EraOf(m.revision)
--- a/records/era_test.go
+++ b/records/era_test.go
@@ -95,7 +95,7 @@
 }
 
 // A daemon that learns of the restore from the store ignores peers of the previous era.
-func TestRestoreSeenAtStoreEndsPeerConfirmation(t *testing.T) {
+func TestRestoreObservedAtStoreEndsPeerConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
 		store.put("config", "1")
@@ -141,11 +141,11 @@
 func TestPeerOfEarlierEraGetsCompleteList(t *testing.T) {
 	source := newTestMirror(t, newFakeStore())
 	source.replaceAll([]kv.Pair{put("config", "1", 5).Pair}, 90, true)
-	before, _ := source.since(view{})
+	before, _ := source.since(peerState{})
 	follower := newTestMirror(t, newFakeStore())
 	require.True(t, follower.ApplyUpdate(before))
 	source.replaceAll([]kv.Pair{put("config", "2", kv.MakeRevision(1, 6)).Pair}, kv.MakeRevision(1, 6), true)
-	after, _ := source.since(view{revision: before.Revision})
+	after, _ := source.since(peerState{revision: before.Revision})
 	require.True(t, after.Whole)
 	require.True(t, follower.ApplyUpdate(after))
 	require.Equal(t, "2", value(follower, "config"))
@@ -165,7 +165,7 @@
 			store, mirror, stop := startMirrorWithConfig(t)
 			defer stop()
 			follower := newTestMirror(t, newFakeStore())
-			peer := view{}
+			peer := peerState{}
 			backup, count := store.snapshot()
 			for range steps {
 				switch random.IntN(8) {
--- a/records/feed.go
+++ b/records/feed.go
@@ -20,7 +20,7 @@
 	Mirror *Mirror
 
 	mutex sync.Mutex
-	// cache holds recently encoded updates, so that peers at the same state share the work.
+	// cache holds recently encoded updates, which are reused for other peers that need the same ones.
 	cache map[cacheKey]*rpc.RecordsUpdate
 }
 
@@ -40,7 +40,7 @@
 	return key
 }
 
-// maxCachedUpdates bounds the encoded updates that are kept for other peers.
+// maxCachedUpdates bounds the encoded updates in the cache.
 const maxCachedUpdates = 16
 
 // errBehind ends a stream to a peer whose revision is too old for incremental changes, and which
@@ -57,13 +57,13 @@
 	peerRequest.set(request)
 	failed := make(chan error, 1)
 	go func() { failed <- peerRequest.receive(stream) }()
-	peer := view{revision: request.GetKnownRevision()}
+	peer := peerState{revision: request.GetKnownRevision()}
 	for first := true; ; first = false {
 		// The query is read before the records, so that the reported state is later than the query.
 		query := peerRequest.query.Load()
-		peer = f.viewFor(peer, peerRequest.all.Load())
+		peer = f.nextState(peer, peerRequest.all.Load())
 		update, changed := f.Mirror.since(peer)
-		if update.Whole && first && !request.GetWhole() && !update.OmitsReplicaRecords { // without replica records the list is short
+		if update.Whole && first && !request.GetWhole() && !update.OmitsReplicaRecords { // a list without replica records is short
 			return errBehind
 		}
 		message := f.message(update, f.Mirror.now())
@@ -89,9 +89,9 @@
 // they tolerate a delay of a fraction of a second.
 const partialBatchDelay = 100 * time.Millisecond
 
-// viewFor returns the view to send to a peer from now on. A peer that gets replica records again is
-// sent all records.
-func (f *Feed) viewFor(peer view, all bool) view {
+// nextState returns the state of a peer for the next update. A peer that gets replica records again
+// is sent all records.
+func (f *Feed) nextState(peer peerState, all bool) peerState {
 	omitsReplicas := f.Mirror.TooManyReplicas() && !all
 	if peer.omitsReplicas && !omitsReplicas {
 		peer.revision = 0
@@ -151,8 +151,8 @@
 func (f *Feed) content(key cacheKey, events []kv.Event) *rpc.RecordsUpdate {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if known := f.cache[key]; known != nil {
-		return known
+	if cached := f.cache[key]; cached != nil {
+		return cached
 	}
 	content := &rpc.RecordsUpdate{}
 	for _, event := range events {
@@ -170,8 +170,8 @@
 	return f.cache[key]
 }
 
-// decodeUpdate decodes a message that was received at now. queried is when the query that it
-// answers was sent; zero if unknown.
+// decodeUpdate decodes a message that was received at the time now. queried is when this daemon sent
+// the query that the message answers; zero if unknown.
 func decodeUpdate(message *rpc.RecordsUpdate, now, queried time.Time) (Update, error) {
 	message, err := message.Unpack()
 	if err != nil {
@@ -197,8 +197,8 @@
 	return update, nil
 }
 
-// errUpdateRejected ends a stream whose peer omits records that this daemon requires, or lists them
-// at an older revision. Later messages would assume that the rejected update was applied.
+// errUpdateRejected ends a stream whose peer omits replica records that this daemon requires, or
+// lists them at an older revision. Later messages would assume that the rejected update was applied.
 var errUpdateRejected = errors.New("peer omits replica records that this daemon requires, or is behind; subscribing again")
 
 // followPeer applies the updates of a peer until the stream breaks.
--- a/records/list.go
+++ b/records/list.go
@@ -15,10 +15,10 @@
 
 const (
 	// pagesBeforeWait is how many pages of the first list a daemon reads before it waits for a peer
-	// to report that it need not read the rest.
+	// to forward the records instead.
 	pagesBeforeWait = 2
-	// peerRecordsTimeout bounds that wait. The first pages name the leader, so that a daemon that
-	// starts together with all others can reach it in the meantime.
+	// peerRecordsTimeout bounds that wait. The first pages contain the leader record, so that a
+	// daemon that starts together with all others can reach the leader in the meantime.
 	peerRecordsTimeout = time.Second
 	// peerPollInterval is how often a waiting daemon checks for a peer's report.
 	peerPollInterval = 20 * time.Millisecond
@@ -27,15 +27,15 @@
 // list lists the records. The pages of the first list are applied as they arrive, because listing a
 // large fleet can take seconds. Replica records are omitted if there are too many.
 func (m *Mirror) list(ctx context.Context) ([]kv.Pair, int64, error) {
-	var known rootList
+	var listed rootList
 	if m.Revision() == 0 && m.fleetSizeKey != "" {
 		var err error
-		if known, err = m.readFleetSize(ctx); err != nil {
+		if listed, err = m.readFleetSize(ctx); err != nil {
 			return nil, 0, err
 		}
 	}
 	if m.OmitsReplicaRecords() && !m.missingReplicas() {
-		return m.listOtherRecords(ctx, known)
+		return m.listOtherRecords(ctx, listed)
 	}
 	lister, paged := m.store.(kv.PageLister)
 	if !paged || m.Revision() > 0 {
@@ -57,7 +57,7 @@
 	case m.OmitsReplicaRecords() && m.replicasListedLast():
 		return pairs, revision, nil // the other records came before the pages that were not read
 	case m.OmitsReplicaRecords():
-		return m.listOtherRecords(ctx, known)
+		return m.listOtherRecords(ctx, listed)
 	}
 	return pairs, revision, nil
 }
@@ -65,14 +65,14 @@
 // errRecordsFromPeer ends the first list because a peer has forwarded the records meanwhile.
 var errRecordsFromPeer = errors.New("a peer has forwarded the records")
 
-// replicasListedLast tells whether replica records come last in the order of keys.
+// replicasListedLast reports whether replica records come last in the order of keys.
 func (m *Mirror) replicasListedLast() bool {
-	return !slices.ContainsFunc(m.handlers, func(one subscription) bool { return one.prefix > m.replicaRoot })
+	return !slices.ContainsFunc(m.handlers, func(registered registeredHandler) bool { return registered.prefix > m.replicaRoot })
 }
 
-// readFleetSize reads, before the first list, whether the previous leader found too many replicas,
-// together with the other records under the same root. It saves daemons that start at the same time
-// from reading replica records that they do not need.
+// readFleetSize reads, before the first list, whether the previous leader recorded too many replicas,
+// and returns the records under the same root. It spares daemons that start at the same time from
+// reading replica records that they do not need.
 func (m *Mirror) readFleetSize(ctx context.Context) (rootList, error) {
 	sent, root := m.now(), rootOf(m.fleetSizeKey)
 	pairs, revision, err := m.store.List(ctx, root)
@@ -100,8 +100,8 @@
 
 // rootOf returns the first path segment of a key, including its slash.
 func rootOf(key string) string {
-	root, _, isParted := strings.Cut(key, "/")
-	if !isParted {
+	root, _, hasSlash := strings.Cut(key, "/")
+	if !hasSlash {
 		return key
 	}
 	return root + "/"
@@ -114,11 +114,11 @@
 )
 
 // recordFleetSize writes whether there are too many replicas, if this daemon leads and the record
-// says otherwise. A missing record means that there are not.
+// differs. A missing record means that there are not too many.
 func (m *Mirror) recordFleetSize(ctx context.Context) {
 	m.mutex.Lock()
-	known, found := m.pairs[m.fleetSizeKey]
-	due := m.fleetSizeKey != "" && m.leading && !m.omitsReplicas && m.tooManyReplicas != (found && string(known.Value) == sizeLarge)
+	recorded, found := m.pairs[m.fleetSizeKey]
+	due := m.fleetSizeKey != "" && m.leading && !m.omitsReplicas && m.tooManyReplicas != (found && string(recorded.Value) == sizeLarge)
 	value := sizeSmall
 	if m.tooManyReplicas {
 		value = sizeLarge
@@ -128,14 +128,15 @@
 		return
 	}
 	_, err := m.store.Commit(ctx, kv.Txn{
-		Conditions: []kv.Condition{{Key: m.fleetSizeKey, ModRevision: known.ModRevision}}, Puts: []kv.Put{{Key: m.fleetSizeKey, Value: []byte(value)}},
+		Conditions: []kv.Condition{{Key: m.fleetSizeKey, ModRevision: recorded.ModRevision}}, Puts: []kv.Put{{Key: m.fleetSizeKey, Value: []byte(value)}},
 	})
 	if err != nil { // retried after the next response of the store
 		m.log.WithField(logging.Cause, err.Error()).Info("cannot record the size of the fleet; retrying after the next poll")
 	}
 }
 
-// continueListing tells whether to read the next page of the first list, after the given number.
+// continueListing reports whether to read another page of the first list after the given number of
+// pages.
 func (m *Mirror) continueListing(ctx context.Context, pages int) bool {
 	if pages >= pagesBeforeWait {
 		m.awaitPeerRecords(ctx)
@@ -161,11 +162,12 @@
 	}
 }
 
-// listOtherRecords lists the records other than those of replicas, except the already known ones.
-func (m *Mirror) listOtherRecords(ctx context.Context, known rootList) ([]kv.Pair, int64, error) {
-	all, earliest := known.pairs, known.revision
+// listOtherRecords returns the records other than those of replicas. It does not list those under the
+// root of listed again.
+func (m *Mirror) listOtherRecords(ctx context.Context, listed rootList) ([]kv.Pair, int64, error) {
+	all, earliest := listed.pairs, listed.revision
 	for _, root := range m.otherRoots() {
-		if root == known.root {
+		if root == listed.root {
 			continue
 		}
 		pairs, revision, err := m.store.List(ctx, root)
@@ -173,7 +175,7 @@
 			return nil, 0, err
 		}
 		if earliest == 0 || revision < earliest {
-			earliest = revision // later changes are polled
+			earliest = revision // the next poll returns all later changes
 		}
 		all = append(all, pairs...)
 	}
@@ -183,8 +185,8 @@
 // otherRoots returns the first path segments of the keys other than those of replica records.
 func (m *Mirror) otherRoots() []string {
 	var roots []string
-	for _, known := range m.handlers {
-		if root := rootOf(known.prefix); !m.isReplica(known.prefix) && !slices.Contains(roots, root) {
+	for _, registered := range m.handlers {
+		if root := rootOf(registered.prefix); !m.isReplica(registered.prefix) && !slices.Contains(roots, root) {
 			roots = append(roots, root)
 		}
 	}
--- a/records/pauses.go
+++ b/records/pauses.go
@@ -14,8 +14,8 @@
 // Serve.
 func (m *Mirror) SetUrgentKey(key string) { m.urgentKey = key }
 
-// waitWhileConfirmed waits until no peer confirms the records; it returns false at once if none
-// does.
+// waitWhileConfirmed waits until a peer's confirmation of the records has expired. It returns false
+// at once if no peer confirms them.
 func (m *Mirror) waitWhileConfirmed(ctx context.Context) bool {
 	m.mutex.Lock()
 	now := m.now()
@@ -62,9 +62,9 @@
 }
 
 // SetFallbackDelay sets how long after a peer's last report a daemon without replica records polls
-// the store itself. Daemons with all records poll sooner and then confirm the others' records, so
-// that not all poll at once. It must be called before Serve.
-func (m *Mirror) SetFallbackDelay(after func() time.Duration) { m.fallbackDelay = after }
+// the store itself. Daemons with all records poll sooner and then confirm the records of the former,
+// so that not all daemons poll at once. It must be called before Serve.
+func (m *Mirror) SetFallbackDelay(delay func() time.Duration) { m.fallbackDelay = delay }
 
 // confirmationValidity returns how long a peer's report keeps this daemon from polling the store.
 // Callers hold the mutex.
@@ -109,7 +109,7 @@
 	}
 }
 
-// isPartialPoller tells whether this daemon omits replica records and polls the store itself
+// isPartialPoller reports whether this daemon omits replica records and polls the store itself
 // although it has peers.
 func (m *Mirror) isPartialPoller() bool {
 	return m.OmitsReplicaRecords() && !m.RequiresAll() && m.hasPeers != nil && m.hasPeers()
@@ -125,15 +125,15 @@
 	return pause
 }
 
-// setSubscribed records whether a peer's records are being received.
+// setSubscribed records whether this daemon receives records from a peer.
 func (m *Mirror) setSubscribed(subscribed bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.subscribed = subscribed
 }
 
-// awaitBatch waits for more changes after some arrived, unless the daemon forwards to others and
-// one of the changes is urgent. PollNow ends the wait.
+// awaitBatch waits for more changes after some arrived, unless this daemon forwards them to others
+// and one of them is urgent. PollNow ends the wait.
 func (m *Mirror) awaitBatch(ctx context.Context, events []kv.Event) {
 	isUrgent := func(event kv.Event) bool { return event.Pair.Key == m.urgentKey }
 	if len(events) == 0 || len(events) >= batchThreshold || m.RequiresAll() && slices.ContainsFunc(events, isUrgent) {
--- a/records/proof.go
+++ b/records/proof.go
@@ -11,9 +11,8 @@
 )
 
 // VerifiedAt returns the latest time, on the mirror's clock, as of which the record under
-// verifiedKey was known to be current: all changes that the store had acknowledged by then are
-// applied. It is zero if there was none. It is the time a query was sent, since its response may be
-// delayed.
+// verifiedKey was known to be current: the mirror has applied all changes that the store had
+// acknowledged by then. It is when a query was sent, since the response may be delayed; zero: never.
 func (m *Mirror) VerifiedAt() time.Time {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -32,9 +31,9 @@
 // is as old as limit, even if a peer confirms the records. It must be called before Serve.
 func (m *Mirror) VerifyWithin(key string, limit time.Duration) { m.verifiedKey, m.maxAge = key, limit }
 
-// verify asks the store whether the record under verifiedKey has changed. It returns false if it
-// has: then all changes are polled. Otherwise the peer forwards them, so that not every daemon
-// reads all changes from the store.
+// verify asks the store whether the record under verifiedKey has changed. It returns false if so,
+// and the caller polls all changes. Otherwise the peer forwards them, so that not every daemon reads
+// all changes from the store.
 func (m *Mirror) verify(ctx context.Context) bool {
 	sent := m.now()
 	events, _, err := m.store.Changes(ctx, m.verifiedKey, m.Revision(), immediateWait)
@@ -85,8 +84,8 @@
 	return longPollWait
 }
 
-// pendingQueries remembers when numbered queries were sent to a peer until they are answered. Only
-// the latest are kept: answers to older ones verify less.
+// pendingQueries records when this daemon sent the queries that a peer has not answered yet. It keeps
+// only the latest: the answer to a later query verifies the records as of a later time.
 type pendingQueries struct {
 	lastID uint64
 	sent   map[uint64]time.Time
--- a/records/proof_test.go
+++ b/records/proof_test.go
@@ -64,7 +64,7 @@
 	verified := time.Now()
 	mirror.ApplyUpdate(Update{Revision: 3, Whole: true, LastContact: verified, Verified: verified})
 	require.Equal(t, verified, mirror.VerifiedAt())
-	update, _ := mirror.since(view{})
+	update, _ := mirror.since(peerState{})
 	require.True(t, update.Verified.IsZero())
 }
 
--- a/records/records.go
+++ b/records/records.go
@@ -1,10 +1,7 @@
-// Package records mirrors the records of the platform's key-value service (the store) for all parts
-// of a daemon that need them.
-//
-// Each call to the store costs money, so only the leader polls the store and forwards the records
-// to its peers. A daemon trusts its peer's records as long as the peer reports recent contact with
-// the store. A daemon without such a confirmation polls the store itself: one list, then its
-// changes.
+// Package records mirrors the records of the platform's key-value service (the store). Because calls
+// cost money, only the leader polls the store and forwards the records to its peers. A daemon relies
+// on a peer's records while the peer confirms recent contact with the store; otherwise, it polls the
+// store itself: one list, then its changes.
 package records
 
 import (
@@ -23,7 +20,7 @@
 	"github.com/finchspoke/finchspoke/sleep"
 )
 
-// Handler processes a record that was written or deleted.
+// Handler processes the write or deletion of a record.
 type Handler func(kv.Event)
 
 const (
@@ -71,7 +68,7 @@
 	forwards    func(before, after kv.Pair) bool
 	applyMutex  sync.Mutex // serializes changes and their handlers
 	mutex       sync.Mutex
-	handlers    []subscription
+	handlers    []registeredHandler
 	pairs       map[string]kv.Pair
 	revision    int64 // up to which changes are applied; zero before the first list
 	// outdated is set between the detection of a restore of the store and the next list.
@@ -88,9 +85,9 @@
 	// leaderReport holds the times that the leader itself reported; a directory relays them.
 	leaderReport   leaderTimes
 	storeReachable bool // the last call to the store succeeded
-	// subscribed tells that a peer forwards its records, whether or not it confirms them.
+	// subscribed is whether a peer forwards its records, which it need not confirm.
 	subscribed    bool
-	leading       bool          // this daemon polls the store on behalf of all
+	leading       bool          // this daemon polls the store on behalf of all daemons
 	becameLeader  chan struct{} // signaled when leading begins
 	pollNow       chan struct{} // signaled to end a batch early
 	urgentKey     string        // key of the record whose changes are not batched
@@ -101,7 +98,7 @@
 	// mirror only the other records, unless they require all; zero: no limit.
 	replicaRoot      string
 	limit            int
-	fleetSizeKey     string // of the record that tells whether the limit is exceeded
+	fleetSizeKey     string // key of the record of whether the limit is exceeded
 	onOmitChanged    func(omitsReplicas bool)
 	replicasRequired bool
 	omitsReplicas    bool // this daemon does not mirror replica records
@@ -115,11 +112,11 @@
 	// polls the store itself; nil: as soon as other daemons.
 	fallbackDelay func() time.Duration
 	pollFailed    bool // the last poll failed; used by Serve only
-	// hasPeers tells whether the daemon has peers to subscribe to; nil: none.
+	// hasPeers reports whether the daemon has peers to subscribe to; nil: none.
 	hasPeers func() bool
 }
 
-type subscription struct {
+type registeredHandler struct {
 	prefix string
 	handle Handler
 }
@@ -136,7 +133,7 @@
 // Handle registers a handler for changes of the records under a prefix. Handlers are called one at
 // a time. It must be called before Serve.
 func (m *Mirror) Handle(prefix string, handle Handler) {
-	m.handlers = append(m.handlers, subscription{prefix, handle})
+	m.handlers = append(m.handlers, registeredHandler{prefix, handle})
 }
 
 // OnLoaded registers a function to be called after each complete list was applied. It must be
@@ -153,7 +150,7 @@
 // Serve implements suture.Service.
 func (m *Mirror) Serve(ctx context.Context) error {
 	retryDelay := minRetryDelay
-	listed := false // the records are listed; only changes are polled
+	listed := false // whether the records were listed, so that polls for changes suffice
 	for ctx.Err() == nil {
 		if m.waitWhileConfirmed(ctx) {
 			listed, retryDelay = true, minRetryDelay
@@ -188,8 +185,8 @@
 	return ctx.Err()
 }
 
-// SetLeading tells the mirror whether this daemon is the leader, which polls the store itself even
-// if a peer confirms the records.
+// SetLeading sets whether this daemon is the leader, which polls the store itself even if a peer
+// confirms the records.
 func (m *Mirror) SetLeading(leading bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -202,14 +199,14 @@
 	m.leading = leading
 }
 
-// Leading tells whether this daemon polls the store on behalf of all.
+// Leading reports whether this daemon polls the store on behalf of all daemons.
 func (m *Mirror) Leading() bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.leading
 }
 
-// poll lists the records if that is still to be done, and otherwise polls once for changes.
+// poll lists the records if listed is not set yet, and otherwise polls once for changes.
 func (m *Mirror) poll(ctx context.Context, listed *bool) error {
 	if !*listed {
 		sent := m.now()
@@ -258,7 +255,7 @@
 	m.replaceAll(pairs, revision, !m.OmitsReplicaRecords() || missing)
 }
 
-// notify wakes the streams to peers; with others unset, only those that include replica records.
+// notify wakes the streams to peers; if others is false, only those that include replica records.
 // Callers hold the mutex.
 func (m *Mirror) notify(others bool) {
 	close(m.changed)
@@ -269,8 +266,8 @@
 	}
 }
 
-// replaceAll applies a complete list: records that are not in it are deleted. withReplicas tells
-// whether the list includes replica records. Callers hold applyMutex.
+// replaceAll applies a complete list and deletes records that are not in it. withReplicas is whether
+// the list includes replica records. Callers hold applyMutex.
 func (m *Mirror) replaceAll(pairs []kv.Pair, revision int64, withReplicas bool) {
 	m.mutex.Lock()
 	known, resumed := m.pairs, m.omitsReplicas && withReplicas
@@ -350,9 +347,9 @@
 // dispatch calls the handlers. Callers hold applyMutex.
 func (m *Mirror) dispatch(events []kv.Event) {
 	for _, event := range events {
-		for _, known := range m.handlers {
-			if strings.HasPrefix(event.Pair.Key, known.prefix) {
-				known.handle(event)
+		for _, registered := range m.handlers {
+			if strings.HasPrefix(event.Pair.Key, registered.prefix) {
+				registered.handle(event)
 			}
 		}
 	}
--- a/records/records_test.go
+++ b/records/records_test.go
@@ -66,7 +66,7 @@
 	return s.fullCalls
 }
 
-// refuseFor makes polls fail for a while, and returns how many there were.
+// refuseFor makes polls fail for a while, and returns how many it refused.
 func (s *fakeStore) refuseFor(length time.Duration) (calls int) {
 	s.mutex.Lock()
 	s.refusing = true
@@ -200,8 +200,8 @@
 	return string(pair.Value)
 }
 
-// A poll that was sent before an outage may never be answered; changes must be seen after it all
-// the same.
+// The store may never answer a poll that was sent before an outage; the mirror must still receive
+// changes after the outage.
 func TestUnansweredPollIsReplacedOnceTheStoreAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, mirror, stop := startMirrorWithConfig(t)
@@ -286,7 +286,7 @@
 		before := calls()
 		confirmFor(mirror, 10*time.Second)
 		require.Equal(t, before, calls())
-		// The peer falls silent: a change is seen once its confirmation has expired.
+		// The peer falls silent: the mirror receives a change once the peer's confirmation has expired.
 		store.put("config", "2")
 		time.Sleep(confirmationTTL)
 		synctest.Wait()
@@ -310,23 +310,23 @@
 	mirror.SetForwardFilter(func(before, after kv.Pair) bool { return before.Value[0] != after.Value[0] })
 	mirror.replaceAll([]kv.Pair{{Key: "servers/a", Value: []byte("ready"), ModRevision: 3}}, 10, true)
 
-	update, changed := mirror.since(view{revision: 4})
+	update, changed := mirror.since(peerState{revision: 4})
 	require.True(t, update.Whole, "the changes before the list are unknown")
 	require.Len(t, update.Events, 1)
-	update, _ = mirror.since(view{revision: 10})
+	update, _ = mirror.since(peerState{revision: 10})
 	require.False(t, update.Whole)
 	require.Empty(t, update.Events)
 
 	mirror.applyChanges([]kv.Event{put("servers/a", "ready, more loaded", 11), put("servers/b", "ready", 12)}, 12)
 	mirror.contacted(time.Now(), time.Now())
 	<-changed
-	update, _ = mirror.since(view{revision: 10})
+	update, _ = mirror.since(peerState{revision: 10})
 	require.Equal(t, []kv.Event{put("servers/b", "ready", 12)}, update.Events)
 	require.Equal(t, int64(12), update.Revision)
 	mirror.applyChanges([]kv.Event{put("servers/a", "draining", 13), {Pair: kv.Pair{Key: "servers/b", ModRevision: 14}, Deleted: true}}, 14)
-	update, _ = mirror.since(view{revision: 12})
+	update, _ = mirror.since(peerState{revision: 12})
 	require.Len(t, update.Events, 2)
-	update, _ = mirror.since(view{revision: 20})
+	update, _ = mirror.since(peerState{revision: 20})
 	require.Empty(t, update.Events, "the peer is ahead")
 }
 
@@ -377,7 +377,7 @@
 		defer stop()
 		mirror.ApplyUpdate(Update{Revision: 1, Whole: true, Events: []kv.Event{put("config", "1", 1)}, LastContact: time.Now()})
 		require.True(t, mirror.InContact())
-		update, changed := mirror.since(view{revision: 0})
+		update, changed := mirror.since(peerState{revision: 0})
 		require.Len(t, update.Events, 1)
 		require.True(t, update.LastContact.IsZero())
 		mirror.ApplyUpdate(Update{Revision: 1, LastContact: time.Now()})
@@ -397,7 +397,7 @@
 	mirror := newTestMirror(t, newFakeStore())
 	mirror.replaceAll([]kv.Pair{{Key: "servers/a", Value: []byte("1"), ModRevision: 3}, {Key: "config", Value: []byte("2"), ModRevision: 12}}, 10, true)
 	mirror.applyChanges([]kv.Event{put("config", "2", 12)}, 12)
-	update, _ := mirror.since(view{revision: 10})
+	update, _ := mirror.since(peerState{revision: 10})
 	require.Equal(t, []kv.Event{put("config", "2", 12)}, update.Events)
 }
 
@@ -476,12 +476,12 @@
 func TestForwardedChangesStayInRevisionOrder(t *testing.T) {
 	source := newTestMirror(t, newFakeStore())
 	source.applyChanges([]kv.Event{put("replica", "1", 62), {Pair: kv.Pair{Key: "replica", ModRevision: 63}, Deleted: true}, put("config", "2", 64)}, 64)
-	update, _ := source.since(view{})
+	update, _ := source.since(peerState{})
 	decoded, err := decodeUpdate((&Feed{Mirror: source}).message(update, time.Now()), time.Now(), time.Time{})
 	require.NoError(t, err)
 	relay := newTestMirror(t, newFakeStore())
 	relay.ApplyUpdate(decoded)
-	forwarded, _ := relay.since(view{revision: 63})
+	forwarded, _ := relay.since(peerState{revision: 63})
 	require.EqualValues(t, 64, forwarded.Revision)
 	require.Len(t, forwarded.Events, 1)
 	require.Equal(t, "config", forwarded.Events[0].Pair.Key)
--- a/records/relay.go
+++ b/records/relay.go
@@ -6,7 +6,7 @@
 // leader then serves few streams, and if it falls silent, only the directories poll the store. A
 // report is relayed at most once, so that no two daemons can confirm each other.
 
-// leaderTimes holds the times reported by the leader itself.
+// leaderTimes holds the times that the leader itself reported.
 type leaderTimes struct {
 	lastContact time.Time // when the store last answered the leader
 	verifiedAt  time.Time // as of which its records were current
@@ -26,8 +26,8 @@
 	}
 }
 
-// relay replaces the times in an update by the leader's where this daemon is a directory and they
-// are newer than its own. Callers hold the mutex.
+// relay replaces the times in an update by those that the leader reported, if this daemon is a
+// directory and they are newer than its own. Callers hold the mutex.
 func (m *Mirror) relay(update *Update) {
 	if !m.replicasRequired || m.leading || !m.leaderReport.lastContact.After(update.LastContact) {
 		return
--- a/records/relay_test.go
+++ b/records/relay_test.go
@@ -11,7 +11,7 @@
 
 // forward applies the current update of one mirror to another, as a stream does.
 func forward(to, from *Mirror, revision int64) Update {
-	update, _ := from.since(view{revision: revision})
+	update, _ := from.since(peerState{revision: revision})
 	now := time.Now()
 	message := (&Feed{Mirror: from}).message(update, now)
 	received, err := decodeUpdate(message, now, now)
@@ -48,9 +48,9 @@
 // If reports were relayed more than once, two directories would keep each other's contact recent.
 func TestDirectoriesDoNotConfirmEachOther(t *testing.T) {
 	first, second := newTestMirror(t, newFakeStore()), newTestMirror(t, newFakeStore())
-	for _, one := range []*Mirror{first, second} {
-		one.replaceAll([]kv.Pair{{Key: "config", Value: []byte("1"), ModRevision: 4}}, 5, true)
-		one.RequireReplicaRecords(true)
+	for _, mirror := range []*Mirror{first, second} {
+		mirror.replaceAll([]kv.Pair{{Key: "config", Value: []byte("1"), ModRevision: 4}}, 5, true)
+		mirror.RequireReplicaRecords(true)
 	}
 	contacted := time.Now().Add(-confirmationTTL / 2)
 	first.contacted(contacted, contacted)
--- a/records/subscriber.go
+++ b/records/subscriber.go
@@ -25,7 +25,7 @@
 type Subscriber struct {
 	Daemon string
 	Mirror *Mirror
-	// Source returns the address of the leader, empty while none is known, and whether that is
+	// Source returns the address of the leader, empty while none is known, and whether the leader is
 	// another daemon.
 	Source func() (address string, other bool)
 	// Standby returns the address of the daemon to follow while no leader is known, so that not all
@@ -43,7 +43,7 @@
 
 // Serve implements suture.Service.
 func (s *Subscriber) Serve(ctx context.Context) error {
-	// The store gets time to answer first.
+	// The first attempt comes after a delay, in which the store can answer this daemon.
 	for sleep.For(ctx, leaderCheckInterval) {
 		if address := s.nextPeer(); address != "" {
 			s.subscribe(ctx, address)
@@ -77,7 +77,7 @@
 
 var errNotConfirming = errors.New("peer has no recent contact with the key-value service")
 
-// subscribe applies a peer's records until the stream breaks or another peer is to be followed.
+// subscribe applies a peer's records until the stream breaks or supervise ends it.
 func (s *Subscriber) subscribe(ctx context.Context, address string) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -90,7 +90,7 @@
 	s.Log.WithFields(fields).WithField(logging.Cause, err.Error()).Info(logging.MessageDependencyLost)
 }
 
-func (s *Subscriber) follow(ctx context.Context, address string, connected func()) error {
+func (s *Subscriber) follow(ctx context.Context, address string, onConnected func()) error {
 	dialing, done := context.WithTimeout(ctx, peerTimeout)
 	conn, err := transport.Dial(dialing, address)
 	done()
@@ -98,15 +98,15 @@
 		return err
 	}
 	defer func() { _ = conn.Close() }()
-	connected()
+	onConnected()
 	return s.Mirror.followPeer(ctx, rpc.NewDRPCRecordsClient(conn), s.Daemon)
 }
 
 var errReplicasRequired = errors.New("this daemon now requires replica records; subscribing again")
 
-// supervise ends the stream once its peer is no longer the one to follow.
+// supervise ends the stream once this daemon must follow another peer or needs replica records.
 func (s *Subscriber) supervise(ctx context.Context, address string, end context.CancelCauseFunc) {
-	confirmedAt, all := time.Now(), s.Mirror.RequiresAll()
+	confirmedAt, requiredAll := time.Now(), s.Mirror.RequiresAll()
 	for sleep.For(ctx, leaderCheckInterval) {
 		leader, _ := s.Source()
 		inContact := s.Mirror.InContact()
@@ -114,7 +114,7 @@
 			confirmedAt = time.Now()
 		}
 		switch {
-		case !all && s.Mirror.missingReplicas():
+		case !requiredAll && s.Mirror.missingReplicas():
 			end(errReplicasRequired)
 		case inContact && leader != "" && leader != address:
 			end(errors.New("another daemon is the leader"))
--- a/records/update.go
+++ b/records/update.go
@@ -9,23 +9,21 @@
 // Update is a message by which a peer forwards records.
 type Update struct {
 	Revision int64 // of the store, up to which the peer has applied changes
-	// Whole tells that the events are the complete list, except replica records where they are
-	// omitted.
+	// Whole is whether Events is the complete list, except for omitted replica records.
 	Whole bool
-	// OmitsReplicaRecords tells that replica records are left out.
+	// OmitsReplicaRecords is whether Events lacks replica records.
 	OmitsReplicaRecords bool
 	Events              []kv.Event
 	// LastContact is when the store last answered the peer; zero: never.
 	LastContact time.Time
 	// Verified is a time as of which the peer's records were current; zero: unknown.
 	Verified time.Time
-	// SecondHand tells that LastContact and Verified are relayed from the leader, not the peer's
-	// own.
+	// SecondHand is whether the peer relays LastContact and Verified from the leader.
 	SecondHand bool
 }
 
-// ApplyUpdate applies a peer's update, except what is older than the mirror. It returns false for
-// an update that this daemon cannot use: the peer must not assume that its records were applied.
+// ApplyUpdate applies a peer's update, except for records older than the mirror's. It returns false
+// for an update that this daemon cannot use: the peer must not assume that it was applied.
 func (m *Mirror) ApplyUpdate(update Update) (applied bool) {
 	if !m.applyRecords(update) {
 		return false
@@ -83,16 +81,16 @@
 	return true
 }
 
-// view describes what a peer is to be sent.
-type view struct {
+// peerState determines which records a peer needs.
+type peerState struct {
 	revision int64 // up to which the peer has applied changes
-	// omitsReplicas tells that the peer does not mirror replica records, or is to stop doing so.
+	// omitsReplicas is whether the peer does not mirror replica records, or must stop doing so.
 	omitsReplicas bool
 }
 
-// since returns the changes that a peer is missing, and a channel that is closed when there are
-// more. A peer that is ahead of this daemon is missing nothing.
-func (m *Mirror) since(peer view) (Update, <-chan struct{}) {
+// since returns the changes that a peer lacks, and a channel that is closed when there are more. A
+// peer that is ahead of this daemon lacks none.
+func (m *Mirror) since(peer peerState) (Update, <-chan struct{}) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	update := Update{Revision: m.revision, LastContact: m.lastContact, Verified: m.verifiedLocally, OmitsReplicaRecords: peer.omitsReplicas || m.omitsReplicas}
