--- a/discovery/client.go
+++ b/discovery/client.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// interestTTL is how long an interest is kept after its last request.
+	// interestTTL is how long the client keeps an interest after its last request.
 	interestTTL = 60 * time.Second
 	// dropInterval is the time between checks for expired interests.
 	dropInterval = 5 * time.Second
@@ -39,17 +39,18 @@
 	interestBatchDelay = time.Millisecond
 )
 
-// dependency names the directory in log lines.
-const dependency = "directory of replicas"
+// dependencyDirectory names the directory in log lines.
+const dependencyDirectory = "directory of replicas"
 
 var (
-	errSilent       = errors.New("directory is silent")
+	errSilent       = errors.New("stream to the directory timed out: no message received")
 	errStale        = errors.New("records of the directory are stale; switching to another")
 	errNotDirectory = errors.New("the peer is no longer a directory")
 	errDisabled     = errors.New("this daemon mirrors all replicas itself")
 )
 
-// Client keeps a daemon's view of the fleet filled with the replicas that its callers need. It is a
+// Client subscribes to a directory and adds the replicas that the daemon's callers need to Fleet.
+// When it loses the directory, it keeps these replicas and connects to another directory. It is a
 // suture service, and implements fleet.Interest.
 type Client struct {
 	Daemon string
@@ -61,20 +62,20 @@
 
 	mutex            sync.Mutex
 	interests        map[Key]*clientInterest
-	unsent           []Key         // not sent yet
+	unsent           []Key         // interests not sent yet
 	wake             chan struct{} // signaled when unsent is not empty
 	enabled          bool
 	enabledChanged   chan struct{} // closed when enabled changes
 	connected        atomic.Bool   // a directory has answered since the client was enabled
 	attempts         int
 	directoryAddress string    // address of the connected directory; empty: none
-	leftStaleAt      time.Time // when a directory was last left because its records were stale
+	leftStaleAt      time.Time // when the client last left a directory because of stale records
 }
 
 // clientInterest is the state of a target that this daemon's callers request.
 type clientInterest struct {
 	lastUsed time.Time
-	answered bool // by the current directory or an earlier one
+	answered bool // whether the current directory or an earlier one has sent its replicas
 }
 
 // Prepare initializes the client, which stays idle until it is enabled.
@@ -82,7 +83,7 @@
 	c.interests, c.wake, c.enabledChanged = map[Key]*clientInterest{}, make(chan struct{}, 1), make(chan struct{})
 }
 
-// Enable starts or stops the client. It clears the client's interests.
+// Enable starts or stops the client, and clears its interests if that is a change.
 func (c *Client) Enable(enabled bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -95,10 +96,10 @@
 	c.enabledChanged = make(chan struct{})
 }
 
-// Connected tells whether a directory has answered since the client was enabled.
+// Connected reports whether a directory has answered since the client was enabled.
 func (c *Client) Connected() bool { return c.connected.Load() }
 
-// Asked implements fleet.Interest.
+// Register implements fleet.Interest.
 func (c *Client) Register(service string, target fleet.Target) (answered bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -124,7 +125,7 @@
 	return c.directoryAddress
 }
 
-func (c *Client) setCurrent(address string) {
+func (c *Client) setDirectoryAddress(address string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.directoryAddress = address
@@ -137,7 +138,7 @@
 func (c *Client) Serve(ctx context.Context) error {
 	delay := minConnectDelay
 	for ctx.Err() == nil {
-		enabled, enabledChanged := c.state()
+		enabled, enabledChanged := c.enabledState()
 		if !enabled {
 			select {
 			case <-ctx.Done():
@@ -158,13 +159,13 @@
 		if delay = min(2*delay, maxConnectDelay); time.Since(started) > silenceTimeout {
 			delay = minConnectDelay
 		}
-		c.Log.WithFields(logrus.Fields{logging.Dependency: dependency, logging.Address: address, logging.Cause: err.Error()}).Info(logging.MessageDependencyLost)
+		c.Log.WithFields(logrus.Fields{logging.Dependency: dependencyDirectory, logging.Address: address, logging.Cause: err.Error()}).Info(logging.MessageDependencyLost)
 		sleep.For(ctx, delay)
 	}
 	return ctx.Err()
 }
 
-func (c *Client) state() (enabled bool, enabledChanged <-chan struct{}) {
+func (c *Client) enabledState() (enabled bool, enabledChanged <-chan struct{}) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.enabled, c.enabledChanged
@@ -207,7 +208,7 @@
 	cancel()
 	_ = conn.Close()
 	receiving.Wait()
-	c.setCurrent("")
+	c.setDirectoryAddress("")
 	return err
 }
 
@@ -272,8 +273,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	var expired []Key
-	for key, known := range c.interests {
-		if known.answered && time.Since(known.lastUsed) > interestTTL {
+	for key, interest := range c.interests {
+		if interest.answered && time.Since(interest.lastUsed) > interestTTL {
 			delete(c.interests, key)
 			expired = append(expired, key)
 		}
@@ -281,8 +282,8 @@
 	return expired
 }
 
-// receive applies the directory's updates. expected is the number of interests that the stream
-// began with: once they are answered, replicas that the directory did not list are removed.
+// receive applies the directory's updates. expected is the number of interests in the first message
+// to the directory: once it has answered them, receive removes replicas that it did not list.
 func (c *Client) receive(stream rpc.DRPCDiscovery_SubscribeClient, address string, expected int, received chan<- struct{}) error {
 	listed, answered, complete := map[string]bool{}, 0, false
 	for first := true; ; first = false {
@@ -296,8 +297,8 @@
 		}
 		if first {
 			c.connected.Store(true)
-			c.setCurrent(address)
-			c.Log.WithFields(logrus.Fields{logging.Dependency: dependency, logging.Address: address}).Info(logging.MessageDependencyRegained)
+			c.setDirectoryAddress(address)
+			c.Log.WithFields(logrus.Fields{logging.Dependency: dependencyDirectory, logging.Address: address}).Info(logging.MessageDependencyRegained)
 		}
 		c.applyUpdate(message, listed)
 		if answered += len(message.GetAnswered()); answered >= expected && !complete {
@@ -327,22 +328,24 @@
 		c.Fleet.Forget(id)
 	}
 	c.Fleet.RefreshRemoteInflight(now)
-	for _, one := range message.GetAnswered() {
-		c.markAnswered(keyFromMessage(one))
+	for _, target := range message.GetAnswered() {
+		c.markAnswered(keyFromMessage(target))
 	}
 }
 
-// markAnswered records that an interest was answered, and wakes the requests that wait for it.
+// markAnswered records that the directory answered an interest, and wakes the requests that wait
+// for it.
 func (c *Client) markAnswered(key Key) {
 	c.mutex.Lock()
-	if known := c.interests[key]; known != nil {
-		known.answered = true
+	if interest := c.interests[key]; interest != nil {
+		interest.answered = true
 	}
 	c.mutex.Unlock()
 	c.Fleet.NotifyDiscovered(key.Service, key.Target)
 }
 
-// isStale tells whether to switch to another directory because the records of this one are too old.
+// isStale reports whether to switch to another directory because the records of this one are too
+// old.
 func (c *Client) isStale(message *rpc.ReplicaUpdate) bool {
 	age := time.Duration(message.GetContactAgeMs()) * time.Millisecond
 	now := time.Now()
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -1,12 +1,7 @@
-// Package discovery gives daemons the replicas that their callers need, in fleets with too many
-// replicas for each daemon to mirror them all.
-//
-// The leader and the directories that it names have all replicas. Every other daemon keeps one
-// stream to a directory, sends the services and models that its callers request, and receives some
-// replicas for each of them, with their later changes. Traffic and memory therefore grow with the
-// requests and changes of each daemon, not with the product of daemons and replicas.
-//
-// A daemon that loses its directory continues with the replicas it has and connects to another one.
+// Package discovery sends daemons the replicas that their callers need, in fleets with too many
+// replicas for every daemon to mirror. The leader and the directories that it chooses have all
+// replicas. Every other daemon subscribes to one directory for the services and models that its
+// callers request, so its traffic and memory grow with its requests and not with the fleet.
 package discovery
 
 import (
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -27,7 +27,7 @@
 	*Server
 	address  string
 	complete atomic.Bool
-	age      atomic.Int64 // of its records
+	age      atomic.Int64 // age of its records, in nanoseconds
 	stop     context.CancelFunc
 }
 
@@ -52,7 +52,7 @@
 	return d
 }
 
-// put lists a replica with the given models.
+// put adds a replica with the given models to the directory.
 func (d *directory) put(id, zone string, holdings fleet.Holdings) {
 	d.Fleet.Put(fleet.Entry{ID: id, Service: testService, Address: id + ":80", Zone: zone, Slots: 12, Holdings: holdings}, time.Now())
 }
@@ -69,8 +69,8 @@
 	log.SetOutput(t.Output())
 	d := &daemon{fleet: fleet.NewDirectory("a", func() float64 { return 0 })}
 	var addresses []string
-	for _, one := range directories {
-		addresses = append(addresses, one.address)
+	for _, source := range directories {
+		addresses = append(addresses, source.address)
 	}
 	d.Client = &Client{Daemon: "d", Zone: "a", Fleet: d.fleet, Directories: func() []string { return addresses }, Log: log}
 	d.Prepare()
@@ -89,7 +89,7 @@
 	return d
 }
 
-// choose selects a replica, and waits while discovery is pending.
+// choose selects a replica for a target, and waits while the daemon discovers replicas for it.
 func (d *daemon) choose(t *testing.T, target fleet.Target) (string, fleet.Miss) {
 	t.Helper()
 	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); {
@@ -196,8 +196,8 @@
 	require.Eventually(t, func() bool { return !client.knows("r2")() }, settleTimeout, settleInterval)
 }
 
-// A request in progress must not keep a removed replica known: after a failure it is checked
-// whether the replica has ended.
+// A request in progress must not keep a removed replica in the daemon's records: after a failure, the
+// daemon checks whether the replica was removed.
 func TestRemovedReplicaIsForgottenDuringRequest(t *testing.T) {
 	t.Parallel()
 	server := startDirectory(t)
@@ -230,8 +230,8 @@
 func TestFailoverToAnotherDirectory(t *testing.T) {
 	t.Parallel()
 	first, second := startDirectory(t), startDirectory(t)
-	for _, one := range []*directory{first, second} {
-		one.put("r1", "a", fleet.Holdings{"m": nil})
+	for _, source := range []*directory{first, second} {
+		source.put("r1", "a", fleet.Holdings{"m": nil})
 	}
 	first.put("r2", "a", fleet.Holdings{"m": nil})
 	client := startDaemon(t, first, second)
@@ -280,13 +280,13 @@
 	defer func() { _ = conn.Close() }()
 	stream, err := rpc.NewDRPCDiscoveryClient(conn).Subscribe(t.Context())
 	require.NoError(t, err)
-	nothing := &rpc.InterestTarget{}
-	require.NoError(t, stream.Send(&rpc.Interest{Added: []*rpc.InterestTarget{nothing, nothing, {Adapter: "a"}}, Dropped: []*rpc.InterestTarget{{Service: "never"}}}))
+	empty := &rpc.InterestTarget{}
+	require.NoError(t, stream.Send(&rpc.Interest{Added: []*rpc.InterestTarget{empty, empty, {Adapter: "a"}}, Dropped: []*rpc.InterestTarget{{Service: "never"}}}))
 	message, err := stream.Recv()
 	require.NoError(t, err)
 	require.Len(t, message.GetAnswered(), 3)
 	require.Empty(t, message.GetReplicas())
-	require.NoError(t, stream.Send(&rpc.Interest{Dropped: []*rpc.InterestTarget{nothing, {Adapter: "a"}}}))
+	require.NoError(t, stream.Send(&rpc.Interest{Dropped: []*rpc.InterestTarget{empty, {Adapter: "a"}}}))
 	require.NoError(t, stream.Close())
 	require.Eventually(t, func() bool {
 		server.hub.mutex.Lock()
@@ -301,30 +301,30 @@
 		daemons  = 1000
 		replicas = 10_000
 	)
-	known := &Server{Fleet: fleet.NewDirectory("a", func() float64 { return 0 })}
-	known.Prepare()
-	known.StartObserving()
+	server := &Server{Fleet: fleet.NewDirectory("a", func() float64 { return 0 })}
+	server.Prepare()
+	server.StartObserving()
 	now := time.Now()
 	entry := func(number int) fleet.Entry {
 		return fleet.Entry{ID: fmt.Sprintf("r%d", number), Service: testService, Zone: string("abcde"[number%5]), Slots: 12,
 			Holdings: fleet.Holdings{fmt.Sprintf("m%d", number%574): nil, "popular": nil}}
 	}
 	for number := range replicas {
-		known.Fleet.Put(entry(number), now)
+		server.Fleet.Put(entry(number), now)
 	}
 	served := make([]*subscriber, daemons)
 	for number := range served {
-		served[number] = newSubscriber(known.Fleet, known.hub, fmt.Sprintf("d%d", number), string("abcde"[number%5]))
+		served[number] = newSubscriber(server.Fleet, server.hub, fmt.Sprintf("d%d", number), string("abcde"[number%5]))
 		added := []*rpc.InterestTarget{{Service: testService, Model: "popular"}, {Service: testService, Model: fmt.Sprintf("m%d", number%574)}}
 		served[number].updateInterests(&rpc.Interest{Added: added}, now)
 	}
 	b.ReportAllocs()
 	for round := 0; b.Loop(); round++ {
-		known.Fleet.Put(entry(round%replicas), now)
-		for _, one := range served {
+		server.Fleet.Put(entry(round%replicas), now)
+		for _, sub := range served {
 			select {
-			case <-one.wake:
-				one.collectChanges(now)
+			case <-sub.wake:
+				sub.collectChanges(now)
 			default:
 			}
 		}
--- a/discovery/hub.go
+++ b/discovery/hub.go
@@ -6,8 +6,8 @@
 	"github.com/finchspoke/finchspoke/fleet"
 )
 
-// hub routes changes of the fleet to the subscribers that they concern: those that were sent the
-// replica, and those that wait for replicas of a target that the replica has gained.
+// hub routes changes of replicas to subscribers: to those that were sent the replica, and to those
+// that wait for a replica to gain a target.
 type hub struct {
 	mutex     sync.Mutex
 	byReplica map[string]subscribers
@@ -16,21 +16,21 @@
 
 type subscribers map[*subscriber]struct{}
 
-// waitingInterests are a subscriber's interests that wait for a target to be gained.
+// waitingInterests are a subscriber's interests that wait for a replica to gain a target.
 type waitingInterests map[Key]struct{}
 
 func newHub() *hub {
 	return &hub{byReplica: map[string]subscribers{}, byKey: map[Key]map[*subscriber]waitingInterests{}}
 }
 
-// pending collects the changes for a subscriber since its last update.
-type pending struct {
+// pendingChanges collects the changes for a subscriber since its last update.
+type pendingChanges struct {
 	replicas map[string]struct{}
 	keys     map[Key]struct{}
 }
 
-func newPending() pending {
-	return pending{replicas: map[string]struct{}{}, keys: map[Key]struct{}{}}
+func newPendingChanges() pendingChanges {
+	return pendingChanges{replicas: map[string]struct{}{}, keys: map[Key]struct{}{}}
 }
 
 // observe implements fleet.Observer.
@@ -38,13 +38,13 @@
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	for sub := range h.byReplica[change.ID] {
-		sub.pending.replicas[change.ID] = struct{}{}
+		sub.pendingChanges.replicas[change.ID] = struct{}{}
 		sub.signal()
 	}
 	for _, target := range change.Gained {
 		for sub, interests := range h.byKey[Key{change.Service, target}] {
 			for key := range interests {
-				sub.pending.keys[key] = struct{}{}
+				sub.pendingChanges.keys[key] = struct{}{}
 			}
 			sub.signal()
 		}
@@ -61,7 +61,7 @@
 	h.byReplica[replica][sub] = struct{}{}
 }
 
-// unwatch ends the notifications that watch began.
+// unwatch ends the notifications of a replica's changes.
 func (h *hub) unwatch(sub *subscriber, replica string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -84,7 +84,7 @@
 	h.byKey[gained][sub][interest] = struct{}{}
 }
 
-// stopAwaiting ends the effect of awaitGain.
+// stopAwaiting reverses awaitGain.
 func (h *hub) stopAwaiting(sub *subscriber, gained, interest Key) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -98,10 +98,10 @@
 }
 
 // takePending returns and clears the pending changes of a subscriber.
-func (h *hub) takePending(sub *subscriber) pending {
+func (h *hub) takePending(sub *subscriber) pendingChanges {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	taken := sub.pending
-	sub.pending = newPending()
+	taken := sub.pendingChanges
+	sub.pendingChanges = newPendingChanges()
 	return taken
 }
--- a/discovery/server.go
+++ b/discovery/server.go
@@ -16,20 +16,19 @@
 	heartbeatInterval = time.Second
 	// changeBatchDelay batches changes that occur close together into one message.
 	changeBatchDelay = 10 * time.Millisecond
-	// unknownAge is sent if the key-value service has never answered.
+	// unknownAge is the age that the server sends if the key-value service has never answered.
 	unknownAge = -1
 )
 
-// errIncomplete ends a stream at a daemon that does not have all replicas.
+// errIncomplete ends the streams of a server that does not have all replicas.
 var errIncomplete = errors.New("this daemon does not have all replicas; subscribe to a directory named by the leader")
 
 // Server sends replicas to subscribed daemons. It implements rpc.DRPCDiscoveryServer.
 type Server struct {
 	Fleet *fleet.Directory
-	// HasAllReplicas tells whether Fleet holds all replicas.
+	// HasAllReplicas reports whether Fleet holds all replicas.
 	HasAllReplicas func() bool
-	// IsLoading tells whether this daemon is a directory whose replica records are still being
-	// read.
+	// IsLoading reports whether this daemon is a directory that is still reading the replica records.
 	IsLoading func() bool
 	// ContactAge returns how long ago the key-value service last answered the daemon that polls it.
 	ContactAge func() (age time.Duration, known bool)
@@ -92,13 +91,14 @@
 }
 
 const (
-	// loadTimeout is how long subscribers are kept waiting while replica records are read.
-	// Rejecting them would make them all reconnect at short intervals.
+	// loadTimeout is how long subscribers wait while this daemon reads the replica records. If it
+	// rejected them, they would all reconnect at short intervals.
 	loadTimeout      = 2 * time.Second
 	loadPollInterval = 20 * time.Millisecond
 )
 
-// awaitLoaded waits until this daemon has all replicas, if they are being loaded.
+// awaitLoaded waits until this daemon has all replicas, if it is reading their records, and reports
+// whether it has them.
 func (s *Server) awaitLoaded(ctx context.Context) bool {
 	until := s.Now().Add(loadTimeout)
 	for !s.HasAllReplicas() && s.IsLoading() && s.Now().Before(until) {
@@ -109,7 +109,7 @@
 	return s.HasAllReplicas()
 }
 
-// receiveInterests passes on the daemon's messages until the stream breaks.
+// receiveInterests forwards the subscribed daemon's messages to a channel until the stream breaks.
 func receiveInterests(stream rpc.DRPCDiscovery_SubscribeStream, interests chan<- *rpc.Interest) error {
 	for {
 		message, err := stream.Recv()
--- a/discovery/subscriber.go
+++ b/discovery/subscriber.go
@@ -13,28 +13,28 @@
 const maxReplicasPerKey = 8
 
 // subscriber is the state of a daemon's stream at its directory. The stream's goroutine calls its
-// methods; the hub owns pending.
+// methods; the hub's mutex guards pendingChanges.
 type subscriber struct {
-	fleet         *fleet.Directory
-	hub           *hub
-	daemon        string
-	zone          string
-	wake          chan struct{}
-	pending       pending
-	interests     map[Key]*interest
-	keysByReplica map[string]map[Key]struct{} // interests by the replicas that were sent for them
+	fleet          *fleet.Directory
+	hub            *hub
+	daemon         string
+	zone           string
+	wake           chan struct{}
+	pendingChanges pendingChanges
+	interests      map[Key]*subscriberInterest
+	keysByReplica  map[string]map[Key]struct{} // interests by the replicas that were sent for them
 }
 
-// interest is the state of one key of a subscriber.
-type interest struct {
+// subscriberInterest is the state of one interest of a subscriber.
+type subscriberInterest struct {
 	replicas []string
-	awaited  []Key // targets whose gain by a replica matters
+	awaited  []Key // targets for which the hub reports a replica that gains them
 }
 
 func newSubscriber(directory *fleet.Directory, hub *hub, daemon, zone string) *subscriber {
 	return &subscriber{
-		fleet: directory, hub: hub, daemon: daemon, zone: zone, wake: make(chan struct{}, 1), pending: newPending(),
-		interests: map[Key]*interest{}, keysByReplica: map[string]map[Key]struct{}{},
+		fleet: directory, hub: hub, daemon: daemon, zone: zone, wake: make(chan struct{}, 1), pendingChanges: newPendingChanges(),
+		interests: map[Key]*subscriberInterest{}, keysByReplica: map[string]map[Key]struct{}{},
 	}
 }
 
@@ -48,16 +48,16 @@
 // updateInterests applies a message of the daemon and returns the replicas to send.
 func (s *subscriber) updateInterests(message *rpc.Interest, now time.Time) *rpc.ReplicaUpdate {
 	update := newUpdate()
-	for _, one := range message.GetDropped() {
-		s.drop(keyFromMessage(one), update)
+	for _, target := range message.GetDropped() {
+		s.drop(keyFromMessage(target), update)
 	}
-	for _, one := range message.GetAdded() {
-		key := keyFromMessage(one)
+	for _, target := range message.GetAdded() {
+		key := keyFromMessage(target)
 		if s.interests[key] == nil {
-			s.interests[key] = &interest{}
+			s.interests[key] = &subscriberInterest{}
 			s.selectReplicas(key, update, now)
 		}
-		update.message.Answered = append(update.message.Answered, one)
+		update.message.Answered = append(update.message.Answered, target)
 	}
 	return s.finish(update, now)
 }
@@ -92,14 +92,15 @@
 type update struct {
 	message  *rpc.ReplicaUpdate
 	replicas map[string]struct{} // to be sent
-	released map[string]struct{}
+	released map[string]struct{} // no longer selected for any interest
 }
 
 func newUpdate() *update {
 	return &update{message: &rpc.ReplicaUpdate{}, replicas: map[string]struct{}{}, released: map[string]struct{}{}}
 }
 
-// finish adds the states of the selected replicas and returns the message.
+// finish adds the states of the replicas to send, and the IDs of released ones, and returns the
+// message.
 func (s *subscriber) finish(update *update, now time.Time) *rpc.ReplicaUpdate {
 	for replica := range update.released {
 		if s.keysByReplica[replica] == nil {
@@ -118,11 +119,11 @@
 	return update.message
 }
 
-// selectReplicas selects the replicas of an interest anew.
+// selectReplicas updates the selection of replicas for an interest.
 func (s *subscriber) selectReplicas(key Key, update *update, now time.Time) {
 	current := s.interests[key]
 	if current == nil {
-		return // dropped meanwhile
+		return // the daemon has dropped the interest meanwhile
 	}
 	selected, serving := s.fleet.Subset(key.Service, key.Target, s.daemon, s.zone, maxReplicasPerKey, now)
 	for _, replica := range current.replicas {
@@ -142,9 +143,9 @@
 	s.awaitGains(key, current, serving)
 }
 
-// awaitGains determines whose gain makes the interest select again: its own target's while too few
-// replicas serve it, and the model's while none does.
-func (s *subscriber) awaitGains(key Key, current *interest, serving int) {
+// awaitGains makes the hub report replicas that gain the interest's target, while too few serve it,
+// and replicas that gain its model, while none serves the adapter.
+func (s *subscriber) awaitGains(key Key, current *subscriberInterest, serving int) {
 	var awaited []Key
 	if serving < maxReplicasPerKey {
 		awaited = append(awaited, key)
@@ -163,7 +164,7 @@
 	current.awaited = awaited
 }
 
-// release notes that a replica is no longer sent for an interest.
+// release records that a replica is no longer selected for an interest.
 func (s *subscriber) release(replica string, key Key, update *update) {
 	delete(s.keysByReplica[replica], key)
 	if len(s.keysByReplica[replica]) == 0 {
