--- a/election/election.go
+++ b/election/election.go
@@ -1,9 +1,7 @@
 // Package election gives one daemon at a time a term as the leader, under a lease in the key-value
-// service (the store). Each term has a higher fencing token than the one before, by which receivers
-// of load orders tell an earlier leader from a later one.
-//
-// A lease that cannot be renewed is not lost at once: while the store is down for all daemons, no
-// other daemon can take a term either. TermStatus tells the leader how far it can rely on its term.
+// service (the store). Each term has a higher fencing token than the one before. A lease that cannot
+// be renewed is not lost at once: while the store is down for all daemons, no other daemon can take
+// a term either. TermStatus says how far the leader can rely on its term.
 package election
 
 import (
@@ -33,16 +31,16 @@
 	// Handover is set once the leader has given up the term and sends no more load orders: the next
 	// leader may take it at once. Nil during the term.
 	Handover *Handover `json:"handover,omitempty"`
-	// Era is the store's era when the record was written. A record that a restore brought back has
-	// an earlier one than its revision. Nil in records of earlier versions, which are used as they
-	// are.
+	// Era is the store's era when the record was written; a record that a restore brought back has
+	// an earlier one than its revision. Nil in records that earlier versions of this program wrote,
+	// which never count as restored.
 	Era *int64 `json:"era,omitempty"`
-	// Fence is the revision of the record, and serves as the fencing token. It is not part of the
-	// value.
+	// Fence is the revision of the record, which is not part of its value. It serves as the fencing
+	// token, by which replicas recognize the load orders of earlier leaders.
 	Fence int64 `json:"-"`
 }
 
-// fromBackup tells whether a restore of the store brought the record back: other daemons may have
+// fromBackup reports whether a restore of the store brought the record back: other daemons may have
 // held the term since it was written.
 func (l Leader) fromBackup() bool { return l.Era != nil && *l.Era < kv.EraOf(l.Fence) }
 
@@ -56,7 +54,7 @@
 	return leader, nil
 }
 
-// TermStatus tells how far a daemon can rely on its term.
+// TermStatus says how far a daemon can rely on its term.
 type TermStatus uint8
 
 // Values of TermStatus.
@@ -79,13 +77,13 @@
 	Daemon  string
 	Address string
 	TTL     time.Duration
-	// HasLeaderHistory tells whether this daemon knows when a leader was last active; nil: it makes
-	// no difference.
+	// HasLeaderHistory reports whether this daemon knows when a leader was last active, which lets it
+	// campaign earlier; nil: always.
 	HasLeaderHistory func() bool
-	// CampaignDelay is how much later than others this daemon campaigns, so that daemons on
-	// stronger machines go first. Nil: none.
+	// CampaignDelay returns how long this daemon waits before it campaigns, so that daemons on
+	// stronger machines campaign first. Nil: none.
 	CampaignDelay func() time.Duration
-	// OnWritten is called after this daemon has written the record; nil: not used.
+	// OnWritten, if set, is called after this daemon has written a handover to the record.
 	OnWritten func()
 	// Now is the clock of leases; nil: time.Now.
 	Now func() time.Time
@@ -99,27 +97,27 @@
 	now   func() time.Time
 
 	mutex sync.Mutex
-	// vacancy is the term that a campaign may take; nil while another daemon's record is in effect.
-	vacancy *vacancy
+	// openTerm is the term that a campaign may take; nil while another daemon's record is in effect.
+	openTerm *openTerm
 	// reclaimable is the term that this daemon may take without waiting for a lease to expire: the
 	// record of its own earlier process, or the state that a restore left of its own record. Nil:
 	// none.
-	reclaimable *vacancy
+	reclaimable *openTerm
 	reclaimed   bool // the previous term was this daemon's
-	// offer is a record whose leader has given up the term, and offeredAt when it was received. Its
-	// fence is zero if there is none.
+	// offer is a record whose leader has given up the term, and offeredAt when this daemon received
+	// it. Its fence is zero if there is none.
 	offer           Leader
 	offeredAt       time.Time
 	inherited       *Inheritance // of this daemon's term; nil if the term was not handed over
-	current         Leader
-	term            Leader // of this daemon; its nonce is empty without a term
+	current         Leader       // by the last observed record
+	term            Leader       // of this daemon; its nonce is empty without a term
 	lease           kv.LeaseID
 	renewedAt       time.Time // when the last successful renewal was sent
 	renewalFailedAt time.Time // when the last failed renewal ended
-	resigned        bool      // this daemon stops and campaigns no more
-	handingOver     bool      // the term is being handed over
+	resigned        bool      // this daemon is stopping and campaigns no more
+	handingOver     bool      // between BeginHandover and CompleteHandover
 	wake            chan struct{}
-	failedCampaigns int // since the last one with a response; used by Serve only
+	failedCampaigns int // consecutive campaigns that the store did not answer; used by Serve only
 	listeners       []func(Leader)
 }
 
@@ -175,22 +173,22 @@
 // reasonRestored is logged for a term whose record a restore removed.
 const reasonRestored = "the key-value service was restored from a backup"
 
-// applyRecord records the current state of the record and returns the leader by it; empty: none.
+// applyRecord applies an observed record and returns the leader that it names; empty: none.
 // Callers hold the mutex.
 func (e *Election) applyRecord(leader Leader, event kv.Event) Leader {
 	before := e.current.Fence
-	e.current, e.vacancy, e.reclaimable, e.offer = leader, nil, nil, Leader{}
+	e.current, e.openTerm, e.reclaimable, e.offer = leader, nil, nil, Leader{}
 	e.checkTerm(leader, event)
 	switch {
 	case event.Deleted && !isRestored(before, event.Pair.ModRevision):
-		e.vacancy = &vacancy{}
+		e.openTerm = &openTerm{}
 	case event.Deleted, leader.fromBackup():
 		// The leader before the restore may not know of it and may still rely on its lease.
-		e.vacancy = &vacancy{replaces: leader.Fence, opensAt: e.now().Add(e.TTL)}
+		e.openTerm = &openTerm{replaces: leader.Fence, opensAt: e.now().Add(e.TTL)}
 	case leader.Handover != nil:
 		e.offer, e.offeredAt = leader, e.now()
 	case leader.Daemon == e.Daemon && e.term.Nonce == "":
-		e.reclaimable = &vacancy{replaces: leader.Fence}
+		e.reclaimable = &openTerm{replaces: leader.Fence}
 	}
 	if leader.fromBackup() {
 		e.current = Leader{Fence: leader.Fence}
@@ -198,7 +196,7 @@
 	return e.current
 }
 
-// isRestored tells whether the store was restored between two revisions.
+// isRestored reports whether the store was restored between two revisions.
 func isRestored(before, after int64) bool { return kv.EraOf(after) > kv.EraOf(before) }
 
 // checkTerm ends this daemon's term if its record is no longer in effect. Callers hold the mutex.
@@ -207,7 +205,7 @@
 	case e.term.Nonce == "":
 	case isRestored(e.term.Fence, event.Pair.ModRevision) && (event.Deleted || leader.fromBackup()):
 		e.endTerm(reasonRestored)
-		e.reclaimable = &vacancy{replaces: leader.Fence}
+		e.reclaimable = &openTerm{replaces: leader.Fence}
 	case e.term.Nonce != leader.Nonce:
 		e.endTerm("replaced by another record")
 	}
@@ -219,11 +217,11 @@
 	e.mutex.Lock()
 	switch {
 	case e.term.Nonce != "" && isRestored(e.term.Fence, revision):
-		// The record was lost before the mirror had received it.
+		// The restore removed the record before the mirror had received it.
 		e.endTerm(reasonRestored)
-		e.reclaimable = &vacancy{}
-	case e.current.Nonce == "" && e.term.Nonce == "" && e.vacancy == nil:
-		e.vacancy = &vacancy{}
+		e.reclaimable = &openTerm{}
+	case e.current.Nonce == "" && e.term.Nonce == "" && e.openTerm == nil:
+		e.openTerm = &openTerm{}
 	}
 	e.mutex.Unlock()
 	e.signal()
@@ -284,7 +282,7 @@
 		e.mutex.Lock()
 		holding, resigned := e.term.Nonce != "", e.resigned || e.handingOver
 		e.mutex.Unlock()
-		_, opensIn, open := e.opening()
+		_, retryIn, open := e.campaignTarget()
 		switch {
 		case holding && !resigned:
 			e.renew(ctx)
@@ -293,7 +291,7 @@
 			e.campaign(ctx)
 			e.waitOrWake(ctx, campaignInterval)
 		default:
-			e.waitOrWake(ctx, cmp.Or(opensIn, e.TTL))
+			e.waitOrWake(ctx, cmp.Or(retryIn, e.TTL))
 		}
 	}
 	return ctx.Err()
@@ -319,7 +317,8 @@
 	return time.Duration(rendezvous.Score(e.Key, e.Daemon)%staggerSteps) * staggerStep
 }
 
-// historyDelay lets daemons that know when the last leader was active campaign first.
+// historyDelay returns a delay that lets daemons that know when the last leader was active campaign
+// first.
 func (e *Election) historyDelay() time.Duration {
 	if e.HasLeaderHistory == nil || e.HasLeaderHistory() {
 		return 0
@@ -339,10 +338,10 @@
 
 // campaign tries to take the term.
 func (e *Election) campaign(ctx context.Context) {
-	if from, _, _ := e.opening(); !from.reclaimed && !sleep.For(ctx, e.campaignDelay()+e.stagger()+e.historyDelay()) {
+	if target, _, _ := e.campaignTarget(); !target.reclaimed && !sleep.For(ctx, e.campaignDelay()+e.stagger()+e.historyDelay()) {
 		return
 	}
-	opening, _, open := e.opening()
+	campaignTarget, _, open := e.campaignTarget()
 	if !open {
 		return
 	}
@@ -356,7 +355,7 @@
 		return
 	}
 	term := Leader{Daemon: e.Daemon, Address: e.Address, Nonce: uuid.NewString(), Era: &lease.Era}
-	result, err := kv.CommitResolved(ctx, store, e.replaceTxn(opening.replaces, term, lease))
+	result, err := kv.CommitResolved(ctx, store, e.replaceTxn(campaignTarget.replaces, term, lease))
 	if err == nil && result.Succeeded && kv.EraOf(result.Revision) != lease.Era {
 		// The condition may have matched a different record that got the same revision after the
 		// restore.
@@ -364,7 +363,7 @@
 	}
 	if err == nil && !result.Succeeded {
 		e.mutex.Lock()
-		e.vacancy, e.reclaimable, e.offer = nil, nil, Leader{} // until the next observed change
+		e.openTerm, e.reclaimable, e.offer = nil, nil, Leader{} // until the next observed change
 		e.mutex.Unlock()
 	}
 	if err != nil {
@@ -376,7 +375,7 @@
 		return
 	}
 	term.Fence, e.failedCampaigns = result.Revision, 0
-	e.beginTerm(term, lease, sent, opening)
+	e.beginTerm(term, lease, sent, campaignTarget)
 }
 
 // replaceTxn returns the transaction that replaces the record at a revision (zero: none) by
@@ -389,10 +388,10 @@
 	return kv.Txn{Conditions: []kv.Condition{{Key: e.Key, ModRevision: revision}}, Puts: []kv.Put{{Key: e.Key, Value: value, Lease: lease}}}
 }
 
-// recordCampaignFailure records and logs that the store did not answer a campaign.
+// recordCampaignFailure counts and logs a campaign whose call to the store failed.
 func (e *Election) recordCampaignFailure(cause error) {
 	e.failedCampaigns++
-	e.log.WithField(logging.Cause, cause.Error()).Info("campaign failed")
+	e.log.WithField(logging.Cause, cause.Error()).Info("campaign for the term failed")
 }
 
 // revokeLease revokes a lease that is no longer needed.
@@ -416,51 +415,51 @@
 	return min(maxCampaignCallTimeout, minCampaignCallTimeout<<min(e.failedCampaigns, 4))
 }
 
-// opening describes the term that a campaign tries to take.
-type opening struct {
+// campaignTarget describes the term that a campaign tries to take.
+type campaignTarget struct {
 	replaces  int64        // revision of the record to be replaced; zero: none
 	reclaimed bool         // the previous term was this daemon's
 	inherited *Inheritance // nil unless the previous leader handed the term over
 }
 
-// vacancy is a term that may be taken.
-type vacancy struct {
+// openTerm is a term that a daemon may take.
+type openTerm struct {
 	replaces int64     // revision of the record to be replaced; zero: none
-	opensAt  time.Time // the term may not be taken before
+	opensAt  time.Time // when the term may be taken at the earliest
 }
 
-// opening returns the term that a campaign may take if open is set, and otherwise when to check
-// again.
-func (e *Election) opening() (from opening, retryIn time.Duration, open bool) {
+// campaignTarget returns the term that a campaign may take if open is set, and otherwise when to
+// check again.
+func (e *Election) campaignTarget() (target campaignTarget, retryIn time.Duration, open bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	switch {
 	case e.reclaimable != nil:
-		return opening{replaces: e.reclaimable.replaces, reclaimed: true}, 0, true
+		return campaignTarget{replaces: e.reclaimable.replaces, reclaimed: true}, 0, true
 	case e.offer.Fence > 0:
-		return opening{replaces: e.offer.Fence, inherited: e.offer.Handover.inheritance(e.offeredAt)}, 0, true
-	case e.vacancy == nil:
-		return opening{}, e.TTL, false
+		return campaignTarget{replaces: e.offer.Fence, inherited: e.offer.Handover.inheritance(e.offeredAt)}, 0, true
+	case e.openTerm == nil:
+		return campaignTarget{}, e.TTL, false
 	}
-	retryIn = max(0, e.vacancy.opensAt.Sub(e.now()))
-	return opening{replaces: e.vacancy.replaces}, retryIn, retryIn == 0
+	retryIn = max(0, e.openTerm.opensAt.Sub(e.now()))
+	return campaignTarget{replaces: e.openTerm.replaces}, retryIn, retryIn == 0
 }
 
-// beginTerm records a term that was taken and calls the listeners.
-func (e *Election) beginTerm(term Leader, lease kv.LeaseID, sent time.Time, from opening) {
+// beginTerm records the term that this daemon has taken, and calls the listeners.
+func (e *Election) beginTerm(term Leader, lease kv.LeaseID, sent time.Time, target campaignTarget) {
 	e.mutex.Lock()
-	e.reclaimed, e.inherited = from.reclaimed, from.inherited
+	e.reclaimed, e.inherited = target.reclaimed, target.inherited
 	e.term, e.lease, e.renewedAt, e.renewalFailedAt, e.current = term, lease, sent, time.Time{}, term
-	e.vacancy, e.reclaimable, e.offer = nil, nil, Leader{}
+	e.openTerm, e.reclaimable, e.offer = nil, nil, Leader{}
 	e.mutex.Unlock()
-	e.log.WithFields(logrus.Fields{logging.Leader: e.Daemon, logging.Fence: term.Fence, logging.Reclaimed: from.reclaimed, logging.HandedOver: from.inherited != nil}).
+	e.log.WithFields(logrus.Fields{logging.Leader: e.Daemon, logging.Fence: term.Fence, logging.Reclaimed: target.reclaimed, logging.HandedOver: target.inherited != nil}).
 		Info(logging.MessageTermStarted)
 	for _, listener := range e.listeners {
 		listener(term)
 	}
 }
 
-// Reclaimed tells whether the previous term was this daemon's, under an earlier process or before a
+// Reclaimed reports whether the previous term was this daemon's, under an earlier process or before a
 // restore of the store, so that no other leader can have sent load orders recently.
 func (e *Election) Reclaimed() bool {
 	e.mutex.Lock()
@@ -484,10 +483,10 @@
 		e.renewedAt = sent
 	case errors.Is(err, kv.ErrLeaseNotFound):
 		e.endTerm("the lease has expired")
-		e.vacancy = &vacancy{}
+		e.openTerm = &openTerm{}
 	case errors.Is(err, kv.ErrRestored):
-		// Observe or ObserveAbsent reports what the restore left of the record. Until then no other
-		// daemon takes the term within the lease's TTL.
+		// The mirror of records will pass the record to Observe, or its absence to ObserveAbsent.
+		// Meanwhile, no other daemon takes the term within the lease's TTL.
 	default:
 		e.renewalFailedAt = e.now()
 	}
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -32,11 +32,11 @@
 	lastLease   kv.LeaseID // last one granted
 	expiry      *time.Timer
 	unreachable map[string]bool // daemons whose calls fail
-	// overwritten tells that a write replaced an existing record.
-	overwritten    bool
-	loseNextAnswer bool // the next write succeeds without a response
-	lostGrants     int  // number of grants that succeed without a response
-	observers      []*Election
+	// overwritten is whether a write replaced an existing record.
+	overwritten      bool
+	loseNextResponse bool // the next write succeeds without a response
+	lostGrants       int  // number of grants that succeed without a response
+	observers        []*Election
 }
 
 // storeView is the store as seen by one daemon.
@@ -128,8 +128,8 @@
 	v.pair, v.present = kv.Pair{Key: testKey, Value: txn.Puts[0].Value, ModRevision: v.revision}, true
 	v.lease = txn.Puts[0].Lease
 	v.expiry = time.AfterFunc(testTTL, v.remove)
-	pair, lost := v.pair, v.loseNextAnswer
-	v.loseNextAnswer = false
+	pair, lost := v.pair, v.loseNextResponse
+	v.loseNextResponse = false
 	v.mutex.Unlock()
 	v.notify(kv.Event{Pair: pair})
 	if lost {
@@ -138,7 +138,7 @@
 	return kv.TxnResult{Succeeded: true, Revision: pair.ModRevision}, nil
 }
 
-// hasRecord tells whether there is a record.
+// hasRecord reports whether there is a record.
 func (r *recordStore) hasRecord() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -162,9 +162,9 @@
 func (r *recordStore) notify(event kv.Event) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, one := range r.observers {
-		if !r.unreachable[one.Daemon] {
-			go one.Observe(event)
+	for _, observer := range r.observers {
+		if !r.unreachable[observer.Daemon] {
+			go observer.Observe(event)
 		}
 	}
 }
@@ -186,21 +186,21 @@
 	log := discardLog()
 	elections := map[string]*Election{}
 	for _, daemon := range daemons {
-		one := New(Config{Key: testKey, Daemon: daemon, Address: daemon + ":1", TTL: testTTL, HasLeaderHistory: func() bool { return withHistory[daemon] }}, storeView{store, daemon}, log)
-		elections[daemon] = one
-		store.observers = append(store.observers, one)
+		candidate := New(Config{Key: testKey, Daemon: daemon, Address: daemon + ":1", TTL: testTTL, HasLeaderHistory: func() bool { return withHistory[daemon] }}, storeView{store, daemon}, log)
+		elections[daemon] = candidate
+		store.observers = append(store.observers, candidate)
 	}
-	for _, one := range elections {
-		one.ObserveAbsent(0)
-		go func() { _ = one.Serve(t.Context()) }()
+	for _, candidate := range elections {
+		candidate.ObserveAbsent(0)
+		go func() { _ = candidate.Serve(t.Context()) }()
 	}
 	return elections
 }
 
 func leaders(elections map[string]*Election) []string {
 	var names []string
-	for name, one := range elections {
-		if _, status := one.Term(); status != NoTerm {
+	for name, candidate := range elections {
+		if _, status := candidate.Term(); status != NoTerm {
 			names = append(names, name)
 		}
 	}
@@ -289,7 +289,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store, elections := startElections(t, nil, "a")
 		store.mutex.Lock()
-		store.loseNextAnswer = true
+		store.loseNextResponse = true
 		store.mutex.Unlock()
 		time.Sleep(time.Second)
 		require.Equal(t, []string{"a"}, leaders(elections))
@@ -318,18 +318,18 @@
 		log := discardLog()
 		store := &recordStore{unreachable: map[string]bool{}}
 		start := func(daemon string) (*Election, context.CancelFunc) {
-			one := New(Config{Key: testKey, Daemon: daemon, Address: daemon + ":1", TTL: testTTL}, storeView{store, daemon}, log)
+			candidate := New(Config{Key: testKey, Daemon: daemon, Address: daemon + ":1", TTL: testTTL}, storeView{store, daemon}, log)
 			store.mutex.Lock()
-			store.observers = append(store.observers, one)
+			store.observers = append(store.observers, candidate)
 			if store.present {
-				go one.Observe(kv.Event{Pair: store.pair})
+				go candidate.Observe(kv.Event{Pair: store.pair})
 			} else {
-				one.ObserveAbsent(0)
+				candidate.ObserveAbsent(0)
 			}
 			store.mutex.Unlock()
 			ctx, kill := context.WithCancel(t.Context())
-			go func() { _ = one.Serve(ctx) }()
-			return one, kill
+			go func() { _ = candidate.Serve(ctx) }()
+			return candidate, kill
 		}
 		first, kill := start("a")
 		time.Sleep(testTTL)
@@ -364,12 +364,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		store, _ := startElections(t, nil)
 		store.lostGrants = 1
-		one := New(Config{Key: testKey, Daemon: "a", Address: "a:1", TTL: testTTL}, storeView{store, "a"}, discardLog())
-		store.observers = append(store.observers, one)
-		one.ObserveAbsent(0)
-		go func() { _ = one.Serve(t.Context()) }()
+		candidate := New(Config{Key: testKey, Daemon: "a", Address: "a:1", TTL: testTTL}, storeView{store, "a"}, discardLog())
+		store.observers = append(store.observers, candidate)
+		candidate.ObserveAbsent(0)
+		go func() { _ = candidate.Serve(t.Context()) }()
 		time.Sleep(minCampaignCallTimeout + 2*campaignInterval + staggerSteps*2*staggerStep)
-		_, status := one.Term()
+		_, status := candidate.Term()
 		require.Equal(t, TermValid, status)
 	})
 }
@@ -385,7 +385,7 @@
 		stopped := time.Now()
 		elections["c"].Resign(t.Context(), func() Handover {
 			_, status := elections["c"].Term()
-			require.Equal(t, NoTerm, status, "orders must have stopped before their times are read")
+			require.Equal(t, NoTerm, status, "the leader must stop its orders before it reads their times")
 			return Handover{LastOrderMs: map[string]int64{"r1": 400}, WaitMs: 100}
 		})
 		synctest.Wait()
--- a/election/handover.go
+++ b/election/handover.go
@@ -11,23 +11,23 @@
 	"github.com/finchspoke/finchspoke/logging"
 )
 
-// Handover tells the next leader how to space its load orders from earlier ones. Times are in ms
-// before or after the record was written.
+// Handover contains the times of earlier load orders, after which the next leader keeps a gap. They
+// are in ms before or after the record was written.
 type Handover struct {
 	// LastOrderMs is how long ago each replica with a recent load order received its last one.
 	LastOrderMs map[string]int64 `json:"last_order_ms,omitempty"`
-	// WaitMs is for how long no replica may receive a load order.
+	// WaitMs is how long the next leader must wait before it sends any load order.
 	WaitMs int64 `json:"wait_ms,omitempty"`
 }
 
 // Inheritance is a handover converted to the next leader's clock.
 type Inheritance struct {
 	LastOrders map[string]time.Time // by replica
-	NotBefore  time.Time            // no load order may be sent before
+	NotBefore  time.Time            // when the next leader may send load orders at the earliest
 }
 
-// inheritance converts the handover to times relative to when its record was received, which is
-// later than when it was written.
+// inheritance converts the handover to times relative to when this daemon received its record, which
+// is later than when it was written.
 func (h *Handover) inheritance(receivedAt time.Time) *Inheritance {
 	inherited := &Inheritance{LastOrders: make(map[string]time.Time, len(h.LastOrderMs)), NotBefore: receivedAt.Add(time.Duration(h.WaitMs) * time.Millisecond)}
 	for replica, age := range h.LastOrderMs {
@@ -44,8 +44,8 @@
 	return e.inherited
 }
 
-// Resign ends this daemon's term, if it has one, and its campaigns. handover is called once no load
-// order is sent any more, and returns what the next leader must know.
+// Resign ends this daemon's term, if it has one, and its campaigns. It calls handover once this
+// daemon sends no more load orders.
 func (e *Election) Resign(ctx context.Context, handover func() Handover) {
 	e.mutex.Lock()
 	e.resigned = true
@@ -65,7 +65,8 @@
 	return true
 }
 
-// CompleteHandover hands over the term. This daemon keeps campaigning, after its own delay.
+// CompleteHandover offers the term to other daemons. This daemon continues to campaign, after its
+// own delay.
 func (e *Election) CompleteHandover(ctx context.Context, handover func() Handover) {
 	e.releaseTerm(ctx, handover)
 	e.mutex.Lock()
@@ -91,7 +92,7 @@
 		e.notifyWritten()
 		return
 	}
-	// A write that is delayed finds no record to replace once the lease is revoked.
+	// If the write is only delayed, it fails: without the lease there is no record to replace.
 	e.log.WithFields(logrus.Fields{logging.Fence: term.Fence, logging.Cause: err.Error()}).Warn("cannot hand over the term; revoking its lease")
 	e.revokeLease(ctx, lease)
 }
--- a/election/restore_test.go
+++ b/election/restore_test.go
@@ -49,13 +49,13 @@
 func TestLeaderReclaimsTermLostInRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &recordStore{unreachable: map[string]bool{}}
-		nothing := store.backup()
+		emptyBackup := store.backup()
 		elections := startElectionsAt(t, store, nil, "a", "b", "c")
 		time.Sleep(time.Second)
 		leading := leaders(elections)
 		require.Len(t, leading, 1)
 		before, _ := elections[leading[0]].Term()
-		store.restore(nothing)
+		store.restore(emptyBackup)
 		time.Sleep(10 * time.Millisecond)
 		require.Equal(t, leading, leaders(elections))
 		after, status := elections[leading[0]].Term()
@@ -72,11 +72,11 @@
 func TestCampaignInterruptedByRestoreFails(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &recordStore{unreachable: map[string]bool{}}
-		one := New(Config{Key: testKey, Daemon: "a", Address: "a:1", TTL: testTTL}, restoringStore{storeView{store, "a"}}, discardLog())
-		one.ObserveAbsent(0)
-		go func() { _ = one.Serve(t.Context()) }()
+		candidate := New(Config{Key: testKey, Daemon: "a", Address: "a:1", TTL: testTTL}, restoringStore{storeView{store, "a"}}, discardLog())
+		candidate.ObserveAbsent(0)
+		go func() { _ = candidate.Serve(t.Context()) }()
 		time.Sleep(testTTL)
-		_, status := one.Term()
+		_, status := candidate.Term()
 		require.Equal(t, NoTerm, status)
 	})
 }
@@ -93,39 +93,39 @@
 func TestUnobservedTermIsReclaimedAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &recordStore{unreachable: map[string]bool{}}
-		nothing := store.backup()
-		one := New(Config{Key: testKey, Daemon: "a", Address: "a:1", TTL: testTTL}, storeView{store, "a"}, discardLog())
-		one.ObserveAbsent(0)
-		go func() { _ = one.Serve(t.Context()) }()
+		emptyBackup := store.backup()
+		candidate := New(Config{Key: testKey, Daemon: "a", Address: "a:1", TTL: testTTL}, storeView{store, "a"}, discardLog())
+		candidate.ObserveAbsent(0)
+		go func() { _ = candidate.Serve(t.Context()) }()
 		time.Sleep(testTTL)
-		before, status := one.Term()
+		before, status := candidate.Term()
 		require.Equal(t, TermValid, status)
-		store.restore(nothing) // without an event
-		one.ObserveAbsent(kv.MakeRevision(1, 0))
+		store.restore(emptyBackup) // without an event
+		candidate.ObserveAbsent(kv.MakeRevision(1, 0))
 		time.Sleep(10 * time.Millisecond)
-		after, status := one.Term()
+		after, status := candidate.Term()
 		require.Equal(t, TermValid, status)
 		require.Greater(t, after, before)
 	})
 }
 
 // A leader that does not know of the restore relies on its lease, although the store has lost it.
-func TestTermLostInRestoreStaysClosedWhileItsLeaseIsValid(t *testing.T) {
+func TestTermLostInRestoreIsNotTakenWhileItsLeaseIsValid(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &recordStore{unreachable: map[string]bool{}}
-		nothing := store.backup()
+		emptyBackup := store.backup()
 		elections := startElectionsAt(t, store, nil, "a", "b", "c")
 		time.Sleep(time.Second)
 		partitioned := leaders(elections)[0]
 		store.mutex.Lock()
 		store.unreachable[partitioned] = true
 		store.mutex.Unlock()
-		store.restore(nothing)
+		store.restore(emptyBackup)
 		for range 200 {
 			time.Sleep(testTTL / 100)
 			_, status := elections[partitioned].Term()
-			for name, one := range elections {
-				if _, other := one.Term(); name != partitioned && other != NoTerm {
+			for name, candidate := range elections {
+				if _, other := candidate.Term(); name != partitioned && other != NoTerm {
 					require.NotEqual(t, TermValid, status, "%s took the term of %s", name, partitioned)
 				}
 			}
