--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -1,8 +1,7 @@
-// Package boottime provides a clock for leases, verification ages and prepaid allowances, which
-// must not outlast a point in time on other machines.
-//
-// Go's monotonic clock stops while the machine is suspended, so a lease would be extended by the
-// length of a suspension. The wall clock counts suspensions, but can be set to another time.
+// Package boottime provides a clock that counts the time during which the machine is suspended.
+// Leases, verification ages and prepaid allowances need it: Go's monotonic clock stops during a
+// suspension, which would extend them beyond the time that other machines assume, and the wall clock
+// can be set.
 package boottime
 
 import (
@@ -11,8 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock counts the time during which the machine is suspended. Its times equal those of time.Now
-// until the first suspension.
+// Clock is a clock that counts suspensions. Its times equal those of time.Now until the first one.
 type Clock struct {
 	start time.Time
 	base  time.Duration // reading at start
--- a/boottime/boottime_test.go
+++ b/boottime/boottime_test.go
@@ -11,7 +11,7 @@
 	start, reading := time.Now(), 3*time.Hour // the machine ran before the process started
 	clock := New(start, func() time.Duration { return reading })
 	require.Equal(t, start, clock.Now())
-	reading += 7 * time.Second // suspended, or not
+	reading += 7 * time.Second // whether the machine ran or was suspended
 	require.Equal(t, 7*time.Second, clock.Now().Sub(start))
 }
 
