--- a/discovery/hub.go
+++ b/discovery/hub.go
@@ -101,7 +101,7 @@
 func (h *hub) takePending(sub *subscriber) pendingChanges {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	taken := sub.pendingChanges
+	changes := sub.pendingChanges
 	sub.pendingChanges = newPendingChanges()
-	return taken
+	return changes
 }
--- a/election/election.go
+++ b/election/election.go
@@ -117,7 +117,7 @@
 	resigned        bool      // this daemon is stopping and campaigns no more
 	handingOver     bool      // between BeginHandover and CompleteHandover
 	wake            chan struct{}
-	failedCampaigns int // consecutive campaigns that the store did not answer; used by Serve only
+	failedCampaigns int // since the last one that took the term; used by Serve only
 	listeners       []func(Leader)
 }
 
--- a/records/pauses.go
+++ b/records/pauses.go
@@ -14,8 +14,8 @@
 // Serve.
 func (m *Mirror) SetUrgentKey(key string) { m.urgentKey = key }
 
-// waitWhileConfirmed waits until a peer's confirmation of the records has expired. It returns false
-// at once if no peer confirms them.
+// waitWhileConfirmed waits until a peer's confirmation of the records has expired, they must be
+// verified, or this daemon leads. It returns false at once if it need not wait.
 func (m *Mirror) waitWhileConfirmed(ctx context.Context) bool {
 	m.mutex.Lock()
 	now := m.now()
@@ -62,8 +62,8 @@
 }
 
 // SetFallbackDelay sets how long after a peer's last report a daemon without replica records polls
-// the store itself. Daemons with all records poll sooner and then confirm the records of the former,
-// so that not all daemons poll at once. It must be called before Serve.
+// the store itself. Daemons with all records poll sooner and then confirm the records of those
+// without, so that not all daemons poll at once. It must be called before Serve.
 func (m *Mirror) SetFallbackDelay(delay func() time.Duration) { m.fallbackDelay = delay }
 
 // confirmationValidity returns how long a peer's report keeps this daemon from polling the store.
