--- a/loader/demand.go
+++ b/loader/demand.go
@@ -8,7 +8,7 @@
 	"github.com/finchspoke/finchspoke/loading"
 )
 
-// daemonState is what a daemon last reported.
+// daemonState is the state that a daemon last reported.
 type daemonState struct {
 	counts        map[demand.Key]demand.Count
 	running       map[string]uint32 // requests by replica
@@ -47,12 +47,12 @@
 		arrivals.decay(now)
 		total[key] = loading.Demand{PerSecond: arrivals.perSecond, LastUsed: arrivals.lastUsed}
 	}
-	for id, reported := range l.daemons {
-		if !reported.detachedAt.IsZero() && now.Sub(reported.detachedAt) > detachedDemandTTL {
+	for id, state := range l.daemons {
+		if !state.detachedAt.IsZero() && now.Sub(state.detachedAt) > detachedDemandTTL {
 			delete(l.daemons, id)
 			continue
 		}
-		for key, count := range reported.counts {
+		for key, count := range state.counts {
 			sum := total[key]
 			sum.Waiting += count.Waiting
 			sum.Running += count.Running
