--- a/rpc/packing.go
+++ b/rpc/packing.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	// packFrom is the size in bytes from which messages that go to many daemons are
-	// compressed. Records and names are alike, so they shrink to a fifth or less.
-	packFrom = 2 << 10
-	// unpackedMost bounds what a packed message may grow to.
-	unpackedMost = 64 << 20
+	// minPackBytes is the encoded size from which Pack compresses a message.
+	minPackBytes = 2 << 10
+	// maxUnpackedBytes is the largest decompressed size that Unpack accepts.
+	maxUnpackedBytes = 64 << 20
 )
 
-// Pack returns the message compressed, if it is long.
+// Pack returns a message with the complete view gzipped in its Packed field, or the view itself if that
+// is small.
 func (v *LoadsView) Pack() *LoadsView {
-	if proto.Size(v) < packFrom {
+	if proto.Size(v) < minPackBytes {
 		return v
 	}
 	data, err := proto.Marshal(v)
 	if err != nil {
-		return v // it fails again where it is sent
+		return v // sending it reports the error
 	}
 	return &LoadsView{Packed: gzipped.Compress(data)}
 }
 
-// Unpack returns the message as it was before Pack.
+// Unpack returns the view that Pack compressed, or the message itself if it is not packed.
 func (v *LoadsView) Unpack() (*LoadsView, error) {
 	if len(v.GetPacked()) == 0 {
 		return v, nil
@@ -35,19 +35,20 @@
 	return plain, unpack(v.GetPacked(), plain)
 }
 
-// Pack returns the message with its records compressed, if they are long.
+// Pack returns a message with the written and deleted records gzipped in its Packed field, or the update
+// itself if that is small. Of the other fields it copies Revision, Whole and ContactAgeMs only.
 func (u *RecordsUpdate) Pack() *RecordsUpdate {
-	if proto.Size(u) < packFrom {
+	if proto.Size(u) < minPackBytes {
 		return u
 	}
 	data, err := proto.Marshal(&RecordsUpdate{Records: u.GetRecords(), Gone: u.GetGone()})
 	if err != nil {
-		return u // it fails again where it is sent
+		return u // sending it reports the error
 	}
 	return &RecordsUpdate{Revision: u.GetRevision(), Whole: u.GetWhole(), ContactAgeMs: u.GetContactAgeMs(), Packed: gzipped.Compress(data)}
 }
 
-// Unpack returns the message as it was before Pack.
+// Unpack returns the update with its records decompressed, or the message itself if it is not packed.
 func (u *RecordsUpdate) Unpack() (*RecordsUpdate, error) {
 	if len(u.GetPacked()) == 0 {
 		return u, nil
@@ -63,7 +64,7 @@
 }
 
 func unpack(packed []byte, into proto.Message) error {
-	data, err := gzipped.Decompress(packed, unpackedMost)
+	data, err := gzipped.Decompress(packed, maxUnpackedBytes)
 	if err != nil {
 		return err
 	}
--- a/rpc/replicas.go
+++ b/rpc/replicas.go
@@ -6,28 +6,30 @@
 	"github.com/finchspoke/finchspoke/fleet"
 )
 
-// LimitMessage makes the message of what a replica said of its limit.
-func LimitMessage(word fleet.ReplicaLimit, now time.Time) *ReplicaLimit {
+// LimitMessage encodes the rate limit of a replica. The time of the observation is sent as its age at
+// now, because the clocks of daemons may differ.
+func LimitMessage(limit fleet.ReplicaLimit, now time.Time) *ReplicaLimit {
 	return &ReplicaLimit{
-		Replica:   IncarnationMessage(word.Incarnation),
-		PerSecond: word.PerSecond, AgeMs: max(0, now.Sub(word.ObservedAt).Milliseconds()),
+		Replica:   IncarnationMessage(limit.Incarnation),
+		PerSecond: limit.PerSecond, AgeMs: max(0, now.Sub(limit.ObservedAt).Milliseconds()),
 	}
 }
 
-// Word reads the message.
-func (m *ReplicaLimit) Word(now time.Time) fleet.ReplicaLimit {
+// Decode returns the limit that the message carries. now is the receiver's time, from which the age of
+// the observation is subtracted. A negative rate is read as zero, which means no limit.
+func (m *ReplicaLimit) Decode(now time.Time) fleet.ReplicaLimit {
 	return fleet.ReplicaLimit{
 		Incarnation: m.GetReplica().Incarnation(),
 		PerSecond:   max(0, m.GetPerSecond()), ObservedAt: now.Add(-time.Duration(m.GetAgeMs()) * time.Millisecond),
 	}
 }
 
-// IncarnationMessage makes the message that names an incarnation.
-func IncarnationMessage(one fleet.Incarnation) *ReplicaIncarnation {
-	return &ReplicaIncarnation{ReplicaId: one.ID, BornUnixMs: one.Born}
+// IncarnationMessage encodes the id and start time of a replica process.
+func IncarnationMessage(incarnation fleet.Incarnation) *ReplicaIncarnation {
+	return &ReplicaIncarnation{ReplicaId: incarnation.ID, BornUnixMs: incarnation.Born}
 }
 
-// Incarnation reads the message.
+// Incarnation decodes the message. A nil message yields the zero value.
 func (m *ReplicaIncarnation) Incarnation() fleet.Incarnation {
 	return fleet.Incarnation{ID: m.GetReplicaId(), Born: m.GetBornUnixMs()}
 }
