--- a/core/call.go
+++ b/core/call.go
@@ -120,8 +120,8 @@
 
 // SendError is the error of a dispatch without a response.
 type SendError struct {
-	Written bool // the replica may have received the request
-	Cause   error
+	RequestWritten bool // the replica may have received the request
+	Cause          error
 }
 
 // Error returns the text of the cause.
--- a/core/core_test.go
+++ b/core/core_test.go
@@ -66,13 +66,13 @@
 
 func sendError(written bool) func(context.Context, Dispatch) (*Reply, error) {
 	return func(context.Context, Dispatch) (*Reply, error) {
-		return nil, &SendError{Written: written, Cause: errors.New("reset")}
+		return nil, &SendError{RequestWritten: written, Cause: errors.New("reset")}
 	}
 }
 
 func neverReplies(ctx context.Context, _ Dispatch) (*Reply, error) {
 	<-ctx.Done()
-	return nil, &SendError{Written: true, Cause: ctx.Err()}
+	return nil, &SendError{RequestWritten: true, Cause: ctx.Err()}
 }
 
 // responseRecorder records the response written to it.
--- a/core/dispatch.go
+++ b/core/dispatch.go
@@ -76,7 +76,7 @@
 		if errors.As(err, &notAdmitted) {
 			return dispatchOutcome{result: NotWritten, cause: err, health: fleet.Unsent}
 		}
-		if errors.As(err, &failed) && !failed.Written {
+		if errors.As(err, &failed) && !failed.RequestWritten {
 			return dispatchOutcome{result: NotWritten, cause: err, health: fleet.Unreachable}
 		}
 		return dispatchOutcome{result: Lost, cause: err, health: fleet.Unreachable}
--- a/daemon/admin.go
+++ b/daemon/admin.go
@@ -113,8 +113,8 @@
 
 func (a *adminServer) authorize(httpRequest *http.Request) error {
 	expected := a.daemon.config.OperatorToken
-	given := strings.TrimPrefix(httpRequest.Header.Get("Authorization"), "Bearer ")
-	if expected != "" && subtle.ConstantTimeCompare([]byte(expected), []byte(given)) != 1 {
+	token := strings.TrimPrefix(httpRequest.Header.Get("Authorization"), "Bearer ")
+	if expected != "" && subtle.ConstantTimeCompare([]byte(expected), []byte(token)) != 1 {
 		return failure.New(failure.Unauthenticated, "pass the operator token with --token", "the operator token is missing or wrong")
 	}
 	return nil
@@ -205,20 +205,20 @@
 }
 
 func (a *adminServer) apply(httpRequest *http.Request) (any, error) {
-	var application adminapi.ApplyRequest
+	var request adminapi.ApplyRequest
 	body := http.MaxBytesReader(nil, httpRequest.Body, maxApplyBytes)
-	if err := json.NewDecoder(body).Decode(&application); err != nil {
+	if err := json.NewDecoder(body).Decode(&request); err != nil {
 		return nil, failure.Wrap(err, failure.InvalidRequest, "use `finchspoke settings apply`", "the request body is not valid JSON for applying settings")
 	}
-	if application.OperationID == "" || len(application.OperationID) > maxOperationID {
+	if request.OperationID == "" || len(request.OperationID) > maxOperationID {
 		return nil, failure.New(failure.InvalidRequest, "specify an operation id of 1 to 128 bytes", "the operation id has an invalid length")
 	}
-	tree, err := settings.Parse(settings.Source{Name: "settings", Data: []byte(application.YAML)})
+	tree, err := settings.Parse(settings.Source{Name: "settings", Data: []byte(request.YAML)})
 	if err != nil {
 		return nil, err
 	}
 	revision, err := a.daemon.registry.Apply(httpRequest.Context(), settings.ApplyRequest{
-		BaseRevision: application.BaseRevision, OperationID: application.OperationID, Author: application.Author, Tree: tree})
+		BaseRevision: request.BaseRevision, OperationID: request.OperationID, Author: request.Author, Tree: tree})
 	if err != nil {
 		return nil, err
 	}
@@ -232,7 +232,7 @@
 	name := httpRequest.PathValue("name")
 	current := d.settings.Current()
 	if current == nil {
-		return nil, failure.New(failure.Unavailable, "try again shortly", "this daemon has not received any settings yet")
+		return nil, failure.New(failure.Unavailable, "retry in a few seconds", "this daemon has not received any settings yet")
 	}
 	target, found := current.Tree.Targets[name]
 	if !found {
@@ -249,7 +249,7 @@
 	response, err := rpc.NewDRPCExplainClient(d.pool.Conn(httpRequest.Context(), placer.RPCAddress)).
 		Model(httpRequest.Context(), &rpc.ExplainModel{Target: name})
 	if err != nil {
-		return nil, failure.Wrap(err, failure.Unavailable, "try again shortly", "the placer of %s, %s, did not answer", home.Region, placer.ID)
+		return nil, failure.Wrap(err, failure.Unavailable, "retry in a few seconds", "the placer of %s, %s, did not answer", home.Region, placer.ID)
 	}
 	summary := "requests through this daemon queue at home " + home.ID + "; " + placer.ID + " is the placer of " + home.Region
 	return adminapi.Explanation{Lines: append([]string{summary}, response.GetLines()...)}, nil
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -327,8 +327,8 @@
 }
 
 // handOverClaims waits, up to handoverTimeout, until other daemons of the region have
-// replaced this one in the run-once groups, which hold idempotency claims, so that a
-// rolling restart does not take two members from one group.
+// replaced this one in the claim groups (package group). Otherwise a rolling restart
+// could remove two members of one group.
 func (d *Daemon) handOverClaims(ctx context.Context) {
 	deadline := time.Now().Add(handoverTimeout)
 	for d.claims.Serving() && time.Now().Before(deadline) && ctx.Err() == nil && len(d.members.View().RunningIn(d.config.Region)) > 0 {
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -38,7 +38,7 @@
 	d := &directory{address: listener.Addr().String()}
 	d.complete.Store(true)
 	d.Server = &Server{
-		Fleet: fleet.NewDirectory("a", func() float64 { return 0 }), HasAllReplicas: d.complete.Load, IsLoading: func() bool { return false }, Now: time.Now,
+		Fleet: fleet.NewDirectory("a", func() float64 { return 0 }), KnowsAllReplicas: d.complete.Load, IsLoading: func() bool { return false }, Now: time.Now,
 		ContactAge: func() (time.Duration, bool) { return time.Duration(d.age.Load()), true },
 	}
 	d.Prepare()
--- a/discovery/server.go
+++ b/discovery/server.go
@@ -26,8 +26,8 @@
 // Server sends replicas to subscribed daemons. It implements rpc.DRPCDiscoveryServer.
 type Server struct {
 	Fleet *fleet.Directory
-	// HasAllReplicas tells whether Fleet holds all replicas.
-	HasAllReplicas func() bool
+	// KnowsAllReplicas tells whether Fleet holds all replicas.
+	KnowsAllReplicas func() bool
 	// IsLoading tells whether this daemon is a directory whose replica records are still being
 	// read.
 	IsLoading func() bool
@@ -85,7 +85,7 @@
 			sleep.For(stream.Context(), changeBatchDelay)
 			message = sub.collectChanges(s.Now())
 		}
-		if !s.HasAllReplicas() {
+		if !s.KnowsAllReplicas() {
 			return errIncomplete
 		}
 	}
@@ -101,12 +101,12 @@
 // awaitLoaded waits until this daemon has all replicas, if they are being loaded.
 func (s *Server) awaitLoaded(ctx context.Context) bool {
 	until := s.Now().Add(loadTimeout)
-	for !s.HasAllReplicas() && s.IsLoading() && s.Now().Before(until) {
+	for !s.KnowsAllReplicas() && s.IsLoading() && s.Now().Before(until) {
 		if !sleep.For(ctx, loadPollInterval) {
 			return false
 		}
 	}
-	return s.HasAllReplicas()
+	return s.KnowsAllReplicas()
 }
 
 // receiveInterests passes on the daemon's messages until the stream breaks.
--- a/election/election.go
+++ b/election/election.go
@@ -142,9 +142,9 @@
 	return &Election{Config: config, store: store, log: log, now: now, wake: make(chan struct{}, 1)}
 }
 
-// AddListener registers a function that is called whenever the leader record changes, one call at a
+// Subscribe registers a function that is called whenever the leader record changes, one call at a
 // time; an empty Leader means that no daemon holds the term.
-func (e *Election) AddListener(listener func(Leader)) { e.listeners = append(e.listeners, listener) }
+func (e *Election) Subscribe(listener func(Leader)) { e.listeners = append(e.listeners, listener) }
 
 // Observe applies a change of the record that the mirror of the store's records has received.
 func (e *Election) Observe(event kv.Event) {
--- a/engine/wire.go
+++ b/engine/wire.go
@@ -44,7 +44,8 @@
 	ExecutionNotStarted = "not_started"
 )
 
-// Fence is a fencing token: an engine refuses orders with a lower fence than it has seen.
+// Fence is a fencing token: an engine refuses orders with a lower fence than the
+// highest it has received.
 type Fence struct {
 	Epoch    uint64 `json:"epoch"`    // epoch of the cell's placer
 	Revision uint64 `json:"revision"` // revision of the plan
@@ -90,7 +91,7 @@
 type OrderResponse struct {
 	Accepted bool   `json:"accepted"`
 	Reason   string `json:"reason,omitempty"`
-	Fence    Fence  `json:"fence"` // highest fence seen
+	Fence    Fence  `json:"fence"` // highest fence received
 }
 
 // ReplicaState is the state of a replica on an engine.
--- a/gateway/ended.go
+++ b/gateway/ended.go
@@ -7,8 +7,8 @@
 	"github.com/finchspoke/finchspoke/failure"
 )
 
-// endedRingSize is how many ended requests a gateway keeps for explanations.
-const endedRingSize = 2000
+// summaryRingSize is how many request summaries a gateway retains for explanations.
+const summaryRingSize = 2000
 
 // RequestSummary describes how a request ended.
 type RequestSummary struct {
@@ -28,21 +28,22 @@
 	EndedAt     time.Time         `json:"ended_at"`
 }
 
-// endedRing holds the requests that ended last.
-type endedRing struct {
+// summaryRing holds the summaries of the requests that ended last.
+type summaryRing struct {
 	mutex sync.Mutex
-	ring  [endedRingSize]RequestSummary
+	ring  [summaryRingSize]RequestSummary
 	next  int
 }
 
-func (e *endedRing) add(request RequestSummary) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	e.ring[e.next] = request
-	e.next = (e.next + 1) % endedRingSize
+func (r *summaryRing) add(request RequestSummary) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.ring[r.next] = request
+	r.next = (r.next + 1) % summaryRingSize
 }
 
-// EndedRequest returns the summary of a request that ended on this gateway, if it is still kept.
+// EndedRequest returns the summary of a request that ended on this gateway, if it is
+// still retained.
 func (s *Server) EndedRequest(requestID string) (RequestSummary, bool) {
 	s.recentlyEnded.mutex.Lock()
 	defer s.recentlyEnded.mutex.Unlock()
--- a/gateway/keyed.go
+++ b/gateway/keyed.go
@@ -139,7 +139,7 @@
 		existing = current
 	}
 	if existing.State == group.Indeterminate {
-		return true, failure.New(failure.OutcomeUnknown, "find out by other means whether it took effect before using a new key",
+		return true, failure.New(failure.OutcomeUnknown, "verify whether the request took effect before using a new key",
 			"the first request with this key may have run; its outcome was lost").WithExecution(failure.Unknown)
 	}
 	outcome, err := existing.DecodeOutcome()
--- a/gateway/relay_test.go
+++ b/gateway/relay_test.go
@@ -49,9 +49,9 @@
 }
 
 func TestRelayStopsWhenCallerDisconnects(t *testing.T) {
-	gone := errors.New("gone")
-	result := relay(strings.NewReader(eventOne+eventEnd), func() {}, func([]byte) error { return gone }, func() {})
-	require.ErrorIs(t, result.writeErr, gone)
+	disconnected := errors.New("caller disconnected")
+	result := relay(strings.NewReader(eventOne+eventEnd), func() {}, func([]byte) error { return disconnected }, func() {})
+	require.ErrorIs(t, result.writeErr, disconnected)
 	require.False(t, result.complete)
 }
 
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -83,7 +83,7 @@
 		return failure.Wrap(cause, kind, "the response is incomplete; retry if the request may be repeated",
 			"the engine's response was interrupted").WithExecution(execution)
 	case failure.OutcomeUnknown:
-		return failure.Wrap(cause, kind, "find out by other means whether it took effect before retrying",
+		return failure.Wrap(cause, kind, "verify whether the request took effect before retrying",
 			"the request was sent to an engine and its outcome is unknown").WithExecution(execution)
 	case failure.DeadlineExceeded:
 		return failure.Wrap(cause, kind, "allow a longer deadline, or retry after the delay in the Retry-After header",
@@ -188,7 +188,7 @@
 	body := response.Body
 	for resumes := 0; ; resumes++ {
 		relayed := relay(body, first, out.write, out.flush)
-		_ = body.Close() // dispatch closes the first body a second time
+		_ = body.Close() // dispatch closes the first body again, which has no effect
 		events += relayed.events
 		s.metrics.relayEvents.Add(float64(relayed.events))
 		switch {
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -56,7 +56,7 @@
 	frontend      *frontend.Server
 	metrics       *metrics
 	retryBudget   *core.RetryBudget
-	recentlyEnded endedRing
+	recentlyEnded summaryRing
 	background    sync.WaitGroup // keyed requests, which outlive their callers
 }
 
--- a/group/directory.go
+++ b/group/directory.go
@@ -62,7 +62,7 @@
 		}
 	}
 	if best.Epoch == 0 {
-		return View{}, errors.Errorf("no daemon knows the group of slot %s", slot)
+		return View{}, errors.Errorf("no daemon returned a view of slot %s", slot)
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/group/ledger.go
+++ b/group/ledger.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		if unknown := checkClaimHistory(view, key.Key); unknown != nil {
-			// Members that kept their memory may still hold the earlier record.
+			// Members that did not restart may still store the earlier record.
 			if existing, err := l.Look(ctx, key); err == nil && existing != nil && existing.Fingerprint == claim.Fingerprint {
 				return nil, existing, nil
 			}
--- a/group/manager.go
+++ b/group/manager.go
@@ -143,7 +143,7 @@
 }
 
 // errViewUnknown makes a gateway query another daemon for the view.
-var errViewUnknown = errors.New("this daemon does not know the slot's view")
+var errViewUnknown = errors.New("this daemon has no view of the slot")
 
 // View returns a slot's view. The leader of the slot creates a missing view; any
 // other daemon returns the view that it is a member of.
--- a/group/register.go
+++ b/group/register.go
@@ -91,7 +91,7 @@
 			verdict, err = r.requestAccept(ctx, member, revision, true, full)
 		}
 		if err != nil {
-			return noAnswer
+			return noResponse
 		}
 		return verdict
 	})
@@ -100,7 +100,7 @@
 		switch verdict {
 		case PlanAccepted:
 			accepted++
-		case noAnswer:
+		case noResponse:
 			unanswered++
 		}
 	}
@@ -113,8 +113,8 @@
 	return ErrPreempted
 }
 
-// noAnswer represents a call that failed.
-const noAnswer = PlanVerdict(^uint32(0))
+// noResponse stands for the verdict of a member whose call failed.
+const noResponse = PlanVerdict(^uint32(0))
 
 func (r *Register) requestAccept(ctx context.Context, member ViewMember, revision uint64, full bool, entries map[string][]byte) (PlanVerdict, error) {
 	response, err := r.memberClient(ctx, member).Accept(withCallTimeout(ctx), &rpc.AcceptRequest{
--- a/home/client.go
+++ b/home/client.go
@@ -84,7 +84,7 @@
 
 // noHomeError is returned when no daemon runs in a region that serves the model.
 func noHomeError(slotRequest SlotRequest) *failure.Error {
-	return failure.New(failure.NoCapacity, "try again shortly; if it persists, see `finchspoke status` for live daemons",
+	return failure.New(failure.NoCapacity, "retry after the delay in the Retry-After header; if the error persists, list the running daemons with `finchspoke status`",
 		"no daemon runs in a region that serves %s", slotRequest.Model).WithRetryAfter(time.Second)
 }
 
@@ -112,7 +112,7 @@
 		delete(c.acquisitions, slotRequest.RequestID)
 	}
 	c.mutex.Unlock()
-	// A grant that arrived meanwhile is released.
+	// A grant may have arrived before the cancellation; it must be released.
 	select {
 	case result := <-pending.outcome:
 		if slot, err := c.slot(pending, result); err == nil {
@@ -138,9 +138,9 @@
 	}, nil
 }
 
-// Release frees the slot. service is how long the request ran, zero if it did not run;
-// engineFailed makes the home suspend the replica.
-func (s *Slot) Release(engineFailed bool, service time.Duration) {
+// Release frees the slot. serviceTime is how long the request ran, zero if it did not
+// run; engineFailed makes the home suspend the replica.
+func (s *Slot) Release(engineFailed bool, serviceTime time.Duration) {
 	c := s.client
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -149,12 +149,12 @@
 	}
 	s.released = true
 	delete(c.acquisitions, s.acquisition.RequestID)
-	c.send(s.acquisition.homeID, releaseMessage(s.acquisition, engineFailed, service))
+	c.send(s.acquisition.homeID, releaseMessage(s.acquisition, engineFailed, serviceTime))
 }
 
-func releaseMessage(pending *acquisition, engineFailed bool, service time.Duration) *rpc.GatewayMessage {
+func releaseMessage(pending *acquisition, engineFailed bool, serviceTime time.Duration) *rpc.GatewayMessage {
 	return &rpc.GatewayMessage{Kind: &rpc.GatewayMessage_Release{Release: &rpc.Release{
-		RequestId: pending.RequestID, BaseModel: pending.Model, EngineFailed: engineFailed, ServiceMs: service.Milliseconds()}}}
+		RequestId: pending.RequestID, BaseModel: pending.Model, EngineFailed: engineFailed, ServiceMs: serviceTime.Milliseconds()}}}
 }
 
 // submit sends a slot request to a home; the caller holds the mutex.
--- a/loader/follower.go
+++ b/loader/follower.go
@@ -36,7 +36,7 @@
 	// Daemons receives the number of daemons that are attached to the leader.
 	DaemonCount func(int)
 	// KnowsReplicas reports whether this daemon knows all replicas and so receives their loads; nil: always.
-	KnowsReplicas func() bool
+	KnowsAllReplicas func() bool
 	// SetDirectories receives whether this daemon is a directory, and the addresses of all directories;
 	// optional.
 	SetDirectories func(serve bool, addresses []string)
@@ -248,7 +248,7 @@
 	}
 }
 
-func (f *Follower) knowsReplicas() bool { return f.KnowsReplicas == nil || f.KnowsReplicas() }
+func (f *Follower) knowsReplicas() bool { return f.KnowsAllReplicas == nil || f.KnowsAllReplicas() }
 
 func (f *Follower) confirmReplica(fence int64, loads *rpc.ReplicaLoads, now time.Time) {
 	holdings := fleet.Holdings{}
--- a/loader/holder.go
+++ b/loader/holder.go
@@ -109,8 +109,8 @@
 	Address string
 	// TooManyReplicas reports whether there are too many replicas for every daemon to know all of them (nil:
 	// never), and KnowsReplicas whether this daemon knows all of them (nil: always).
-	TooManyReplicas func() bool
-	KnowsReplicas   func() bool
+	TooManyReplicas  func() bool
+	KnowsAllReplicas func() bool
 	// ExpectedDaemons returns how many daemons were attached to the earlier leader; nil: unknown.
 	ExpectedDaemons func() int
 	// BaseCampaignDelay is how long this daemon waits before it campaigns for the term; stronger machines wait less.
@@ -245,7 +245,7 @@
 	if status == election.TermValid {
 		l.refreshDirectories(now)
 	}
-	if l.KnowsReplicas != nil && !l.KnowsReplicas() {
+	if l.KnowsAllReplicas != nil && !l.KnowsAllReplicas() {
 		return // the replica records are still loading
 	}
 	l.refreshStates(now)
--- a/loader/holder_test.go
+++ b/loader/holder_test.go
@@ -58,7 +58,7 @@
 	t.Helper()
 	campaign := election.New(election.Config{Key: "term", Daemon: "d1", Address: "a:1", TTL: 3 * time.Second}, grantingStore{}, log)
 	began := make(chan struct{})
-	campaign.AddListener(func(leader election.Leader) {
+	campaign.Subscribe(func(leader election.Leader) {
 		if leader.Nonce != "" {
 			close(began)
 		}
--- a/logstory/daypage/daypage.go
+++ b/logstory/daypage/daypage.go
@@ -99,7 +99,7 @@
 		{Title: "Not served, by reason", Meaning: "requests per second that ended without a complete response",
 			lines: linesByKind(seconds, func(second logstory.Second) map[string]int { return second.NotServed })},
 		{Title: "Loads in progress", Meaning: "models and adapters, by the source of the weights, for their expected duration", lines: pendingLoads(seconds)},
-		{Title: "Lost dependencies", Meaning: "daemons per second that lost the connection to another daemon or to the key-value service, by a fault or by moving to another",
+		{Title: "Lost dependencies", Meaning: "connections to other daemons or to the key-value service that daemons lost per second, through a fault or by connecting to another daemon",
 			lines: linesByKind(seconds, func(second logstory.Second) map[string]int { return second.LostDependencies })},
 	}
 }
--- a/logstory/logstory.go
+++ b/logstory/logstory.go
@@ -109,13 +109,13 @@
 		if line.Time.After(last.Time) || !slices.Contains(stateMessages, line.Message) {
 			continue
 		}
-		subject := line.text(logging.Replica)
-		isRelevant := subject == "" || involved[subject] || involved[line.text(logging.Model)]
+		replica := line.text(logging.Replica)
+		isRelevant := replica == "" || involved[replica] || involved[line.text(logging.Model)]
 		fromOtherDaemon := line.Daemon != last.Daemon && !slices.Contains(leaderMessages, line.Message)
 		if !isRelevant || fromOtherDaemon {
 			continue
 		}
-		newest[line.Message+"\x00"+subject+"\x00"+line.text(logging.Model)+line.text(logging.Dependency)] = line
+		newest[line.Message+"\x00"+replica+"\x00"+line.text(logging.Model)+line.text(logging.Dependency)] = line
 	}
 	states := make([]Line, 0, len(newest))
 	for _, line := range newest {
--- a/logstory/losses.go
+++ b/logstory/losses.go
@@ -64,8 +64,8 @@
 type PauseLosses struct {
 	Requests           int     `json:"requests"`
 	ConcurrentRequests float64 `json:"beside"`        // other requests on the replica
-	Models             float64 `json:"models"`        // models of these requests, its own included
-	PromptTokens       float64 `json:"prompt_tokens"` // prompt tokens of those that began during it or up to 1 s before
+	Models             float64 `json:"models"`        // models of these requests and the late one
+	PromptTokens       float64 `json:"prompt_tokens"` // prompt tokens of those that began while the late one ran or up to 1 s before
 }
 
 // WindowLosses counts the requests that arrived within a window of time.
--- a/machinelist/machinelist.go
+++ b/machinelist/machinelist.go
@@ -1,5 +1,5 @@
-// Package machinelist reads the platform's list of machines. The list is delayed: a machine may be
-// gone before it is listed as leaving, and live before it is listed.
+// Package machinelist reads the platform's list of machines. The list is delayed: a machine may
+// stop before the list shows it as leaving, and run before the list contains it.
 package machinelist
 
 import (
@@ -18,7 +18,7 @@
 // State tells whether the platform keeps a machine or is about to remove it.
 type State string
 
-// States of a listed machine; one that is gone is no longer listed.
+// States of a machine; the list omits machines that the platform has removed.
 const (
 	Live     State = "live"
 	Draining State = "leaving"
--- a/membership/core.go
+++ b/membership/core.go
@@ -340,8 +340,8 @@
 	}
 	switch PacketKind(packet.GetKind()) {
 	case Ping:
-		// The ack tells a sender that is considered suspect or dead its status, so that
-		// it can refute it.
+		// The ack carries the status of a sender that is considered suspect, dead or left,
+		// so that the sender can refute it.
 		if sender := c.members[packet.GetFromId()]; sender != nil && sender.Status != Alive {
 			c.enqueueUpdate(*sender)
 		}
--- a/membership/learn.go
+++ b/membership/learn.go
@@ -56,7 +56,7 @@
 	member.Process = reported.GetProcess()
 }
 
-// refute counters a report that this daemon is not alive with a higher incarnation.
+// refute overrides a report that this daemon is not alive: it raises its incarnation.
 func (c *Core) refute(status Status, incarnation uint64) {
 	if c.self.Status == Left || status == Alive || incarnation < c.self.Incarnation {
 		return
--- a/membership/service.go
+++ b/membership/service.go
@@ -25,8 +25,8 @@
 	signatureBytes = 16
 	// ticksPerInterval is the number of ticks in a probe interval.
 	ticksPerInterval = 5
-	// joinInterval is the delay between attempts to reach a seed at start, and the polling
-	// interval for later synchronizations.
+	// joinInterval is the delay between attempts to reach a seed at start. Afterwards it is
+	// the interval at which the daemon checks whether a synchronization is due.
 	joinInterval = 300 * time.Millisecond
 	// maxSyncInterval is the interval for exchanging full member lists. It is reached by
 	// doubling initialSyncInterval, because many daemons that start together would find
--- a/node/node.go
+++ b/node/node.go
@@ -225,16 +225,16 @@
 	n.leader = &loader.Leader{
 		Daemon: n.config.ID, Fleet: n.fleet, Table: n.routes, ReplicaClient: replicas.Orders, Election: n.election,
 		Limits: n.config.LoadLimits, Metrics: loader.NewMetrics(n.metrics), Log: n.log, FirstStart: n.config.FirstStart,
-		BaseCampaignDelay: n.config.BaseCampaignDelay, Address: n.config.PeerAddress, TooManyReplicas: n.mirror.TooManyReplicas, KnowsReplicas: func() bool { return n.replicas.knowsAll() },
+		BaseCampaignDelay: n.config.BaseCampaignDelay, Address: n.config.PeerAddress, TooManyReplicas: n.mirror.TooManyReplicas, KnowsAllReplicas: func() bool { return n.replicas.knowsAll() },
 		ExpectedDaemons: requestCore.DaemonCount,
 	}
 	n.leader.Prepare()
 	n.replicas = newReplicaDiscovery(n)
 	n.follower = &loader.Follower{Daemon: n.config.ID, Demand: tracker, Fleet: n.fleet, Leader: n.leader, Log: n.log, DaemonCount: requestCore.SetDaemonCount,
-		BaseCampaignDelay: n.config.BaseCampaignDelay, KnowsReplicas: n.replicas.knowsAll, SetDirectories: n.replicas.setDirectories, Address: n.config.PeerAddress, Zone: n.config.Zone}
+		BaseCampaignDelay: n.config.BaseCampaignDelay, KnowsAllReplicas: n.replicas.knowsAll, SetDirectories: n.replicas.setDirectories, Address: n.config.PeerAddress, Zone: n.config.Zone}
 	n.follower.Prepare()
 	requestCore.LeaderAttached = n.follower.Attached
-	n.election.AddListener(func(leader election.Leader) {
+	n.election.Subscribe(func(leader election.Leader) {
 		n.follower.LeaderChanged(leader)
 		if leader.Daemon != n.config.ID {
 			n.leader.ObserveOtherLeader()
--- a/node/replicas.go
+++ b/node/replicas.go
@@ -46,7 +46,7 @@
 	d := &replicaDiscovery{node: n, jitteredDelay: fallbackBaseDelay + time.Duration(rand.Float64()*float64(fallbackJitter))}
 	d.client = &discovery.Client{Daemon: n.config.ID, Zone: n.config.Zone, Fleet: n.fleet, Directories: d.directories, Log: n.log}
 	d.client.Prepare()
-	d.server = &discovery.Server{Fleet: n.fleet, HasAllReplicas: d.complete.Load, IsLoading: n.mirror.RequiresAll, ContactAge: n.mirror.ContactAge, Now: time.Now}
+	d.server = &discovery.Server{Fleet: n.fleet, KnowsAllReplicas: d.complete.Load, IsLoading: n.mirror.RequiresAll, ContactAge: n.mirror.ContactAge, Now: time.Now}
 	d.server.Prepare()
 	return d
 }
--- a/placement/decide.go
+++ b/placement/decide.go
@@ -121,7 +121,7 @@
 }
 
 // confirmedUnloaded reports whether a removed replica is absent from its engine and
-// cannot reappear: an engine that has seen the fence of the removal refuses
+// cannot reappear: an engine that has received the fence of the removal refuses
 // load orders with an earlier one.
 func confirmedUnloaded(eng Engine, assignment Assignment) bool {
 	if !eng.Reachable || eng.Inventory == nil || eng.Inventory.Fence.Less(assignment.Fence) {
@@ -181,8 +181,8 @@
 	ready      bool
 }
 
-// active lists a model's assignments that are to be kept on reachable engines.
-// Those on unreachable engines serve no requests, although their memory stays charged.
+// active lists a model's assignments with desired state Keep on reachable engines.
+// Replicas on unreachable engines do not count, although their memory stays reserved.
 func (p *planner) active(model *settings.Model) []placedReplica {
 	if p.byModel == nil {
 		p.indexByModel()
@@ -283,8 +283,8 @@
 			p.state.SurplusSince[need.model.Name] = p.Now
 			since = p.Now
 		}
-		// A zero lastUsed may only mean that a new placer lacks the history, so the
-		// replicas stay for IdleAfter.
+		// A zero lastUsed may only mean that a new placer has no history of the model, so
+		// its replicas are not removed before IdleAfter.
 		knownIdle := need.replicas == 0 && !need.lastUsed.IsZero()
 		if !knownIdle && p.Now.Sub(since) < need.model.IdleAfter {
 			continue
--- a/placement/decide_test.go
+++ b/placement/decide_test.go
@@ -52,7 +52,7 @@
 }
 
 type simulatedEngine struct {
-	observed placement.Engine // as the placer sees it
+	observed placement.Engine // the placer's view of the engine
 	held     map[string]engine.Replica
 	unloaded map[string]bool
 	fence    engine.Fence
@@ -74,7 +74,7 @@
 	return sim
 }
 
-// refreshInventory updates the inventory that the placer sees of a reachable engine.
+// refreshInventory updates the placer's copy of a reachable engine's inventory.
 func (sim *simulation) refreshInventory(id string) {
 	simulated := sim.engines[id]
 	if !simulated.observed.Reachable {
--- a/placement/plan.go
+++ b/placement/plan.go
@@ -92,7 +92,7 @@
 }
 
 // usable reports whether new replicas may be placed on the engine. The engine must have
-// seen the epoch, so that orders of earlier epochs can no longer change its inventory.
+// received the epoch, so that orders of earlier epochs can no longer change its inventory.
 func (e Engine) usable(epoch uint64) bool {
 	return e.Listed && !e.Draining && e.Reachable && e.Inventory != nil && e.Inventory.Fence.Epoch >= epoch
 }
--- a/placer/apply.go
+++ b/placer/apply.go
@@ -68,7 +68,7 @@
 	return state.machine.Address, orders
 }
 
-// finishApply ends a round of orders and reports whether another was requested meanwhile.
+// finishApply ends a round of orders and reports whether another was requested during it.
 func (c *cell) finishApply(id string) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -105,8 +105,8 @@
 		planned[assignment.ReplicaID] = true
 		replica, present := reported[assignment.ReplicaID]
 		if assignment.DesiredState == placement.Remove {
-			unseen := state.inventory.Fence.Less(assignment.Fence)
-			if unseen || (present && replica.State != engine.Unloading) {
+			fenceNotReceived := state.inventory.Fence.Less(assignment.Fence)
+			if fenceNotReceived || (present && replica.State != engine.Unloading) {
 				unloads = append(unloads, engine.Order{Operation: engine.Unload, ReplicaID: assignment.ReplicaID, Model: assignment.Model})
 			}
 			continue
--- a/placer/cell.go
+++ b/placer/cell.go
@@ -228,7 +228,7 @@
 	return engines
 }
 
-// applyDecision takes over a decision's plan and state, except for the load speed, which
+// applyDecision adopts a decision's plan and state, except for the load speed, which
 // may have been updated since the snapshot.
 func (c *cell) applyDecision(decision placement.Decision) {
 	c.mutex.Lock()
--- a/queue/estimate.go
+++ b/queue/estimate.go
@@ -34,7 +34,7 @@
 }
 
 // itemsAhead counts the items served before a new one: all of higher classes and, of its
-// own class, those of its branch plus what the shares of other branches grant meanwhile.
+// own class, those of its branch plus those that other branches are granted by their shares.
 func (q *Queue) itemsAhead(item Item) int {
 	higher, own := 0, q.waitingByClass[item.Class]
 	for class := range item.Class {
@@ -55,10 +55,10 @@
 }
 
 // recordService updates the mean service times with one completed request.
-func (q *Queue) recordService(service time.Duration, tokens int) {
-	updateMean(&q.meanService, service)
+func (q *Queue) recordService(serviceTime time.Duration, tokens int) {
+	updateMean(&q.meanService, serviceTime)
 	if tokens > 0 {
-		updateMean(&q.meanPerToken, service/time.Duration(tokens))
+		updateMean(&q.meanPerToken, serviceTime/time.Duration(tokens))
 	}
 }
 
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -74,9 +74,9 @@
 	}
 }
 
-// Release frees the slot of a request. service is how long the request ran, zero if it
-// did not run; engineFailed suspends the replica.
-func (q *Queue) Release(now time.Time, id string, engineFailed bool, service time.Duration) []Action {
+// Release frees the slot of a request. serviceTime is how long the request ran, zero if
+// it did not run; engineFailed suspends the replica.
+func (q *Queue) Release(now time.Time, id string, engineFailed bool, serviceTime time.Duration) []Action {
 	item, found := q.running[id]
 	if !found {
 		return nil
@@ -92,8 +92,8 @@
 		}
 		q.dropIfUnused(replica)
 	}
-	if service > 0 && !engineFailed {
-		q.recordService(service, item.tokens)
+	if serviceTime > 0 && !engineFailed {
+		q.recordService(serviceTime, item.tokens)
 	}
 	return q.grantWaiting(now)
 }
--- a/queue/types.go
+++ b/queue/types.go
@@ -19,7 +19,7 @@
 	Class    request.Class
 	Zone     string // the gateway's zone
 	Tokens   int    // requested, for prompt and response
-	Prefix   uint64 // hash of the prompt's leading part; zero: none
+	Prefix   uint64 // hash of the prompt's leading part; zero if none
 	Arrived  time.Time
 	Deadline time.Time // for the complete response
 }
@@ -91,7 +91,7 @@
 	lastUsed       map[string]time.Time // by target
 	meanService    time.Duration        // zero until the first sample
 	meanPerToken   time.Duration        // mean service time per requested token
-	firstReadyAt   time.Time            // when a first replica is expected; zero unknown
+	firstReadyAt   time.Time            // when a first replica is expected; zero if unknown
 	waitingByClass [request.ClassCount]int
 	sequence       uint64
 	affinity       *affinity
--- a/settings/check.go
+++ b/settings/check.go
@@ -135,14 +135,14 @@
 	c.name(at, "region", document.Name)
 	label := "regions." + document.Name
 	if len(document.Zones) == 0 {
-		c.report(at.child("zones"), label+".zones", "name at least one zone", "the region has no zones")
+		c.report(at.child("zones"), label+".zones", "list at least one zone", "the region has no zones")
 	}
 	for index, zone := range document.Zones {
 		c.requireUnique(at.item("zones", index), "zone", zone)
 	}
 	region := Region{Name: document.Name, Zones: document.Zones}
 	if document.WeightStore == nil {
-		c.report(at, label+".weight_store", "give loads_per_second and concurrent_loads", "the region has no limits for loads")
+		c.report(at, label+".weight_store", "set loads_per_second and concurrent_loads", "the region has no limits for loads")
 	} else {
 		region.LoadsPerSecond = document.WeightStore.LoadsPerSecond
 		region.ConcurrentLoads = document.WeightStore.ConcurrentLoads
@@ -167,7 +167,7 @@
 		}
 	}
 	if len(document.Regions) == 0 {
-		c.report(at.child("regions"), label+".regions", "name at least one region", "the service has no region")
+		c.report(at.child("regions"), label+".regions", "list at least one region", "the service has no region")
 	}
 	c.requireAtLeast(at.child("replicas"), label+".replicas", document.Replicas, 1)
 	c.requireAtLeast(at.child("accelerators"), label+".accelerators", document.Accelerators, 1)
@@ -185,7 +185,7 @@
 
 func (c *checker) requireAtLeast(at location, label string, value, minimum int) {
 	if value < minimum {
-		c.report(at, label, fmt.Sprintf("use %d or more", minimum), "%d is below the least value %d", value, minimum)
+		c.report(at, label, fmt.Sprintf("use %d or more", minimum), "%d is below the minimum of %d", value, minimum)
 	}
 }
 
--- a/settings/check_branch.go
+++ b/settings/check_branch.go
@@ -42,7 +42,7 @@
 		digits, prefixed := strings.CutPrefix(key, keyPrefix)
 		hash, valid := callers.ParseHash(digits)
 		if !prefixed || !valid {
-			c.report(keyAt, "branches."+branch.Path+".keys", "write sha256: and the 64 hexadecimal digits that `finchspoke settings hash-key` prints",
+			c.report(keyAt, "branches."+branch.Path+".keys", "use the output of `finchspoke settings hash-key`: sha256: and 64 hexadecimal digits",
 				"a key must be given as its SHA-256 hash")
 			continue
 		}
@@ -172,7 +172,7 @@
 		model.AdapterSlots = *document.AdapterSlots
 	}
 	if document.Version == "" {
-		c.report(at, label+".version", `give a version such as "1"`, "the model has no version")
+		c.report(at, label+".version", `set a version such as "1"`, "the model has no version")
 	}
 	c.requireAtLeast(at.child("accelerators"), label+".accelerators", document.Accelerators, 1)
 	c.checkCapacity(at, label, model)
--- a/settings/source.go
+++ b/settings/source.go
@@ -47,7 +47,7 @@
 	if file == nil {
 		return position
 	}
-	// A missing value has no node; its nearest parent's position is returned.
+	// A missing value has no node; the position of its nearest parent is used instead.
 	for text := at.yaml; text != "$" && text != ""; text = parentPath(text) {
 		path, err := yaml.PathString(text)
 		if err != nil {
@@ -108,7 +108,7 @@
 		return document, nil
 	}
 	problem := &Problem{File: source.Name, Line: 1, Column: 1, Path: "(file)", Message: err.Error(),
-		Remedy: "see docs/OPERATIONS.md for the keys a settings file may hold"}
+		Remedy: "see docs/OPERATIONS.md for the valid keys of a settings file"}
 	var yamlErr yaml.Error
 	if stderrors.As(err, &yamlErr) && yamlErr.GetToken() != nil {
 		problem.Line = yamlErr.GetToken().Position.Line
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -42,13 +42,13 @@
 // Error means that a request got no response.
 type Error struct {
 	// Written reports whether any byte of the request may have reached the replica.
-	Written bool
-	cause   error
+	RequestWritten bool
+	cause          error
 }
 
 // Error returns the cause and whether the request was sent.
 func (e *Error) Error() string {
-	if e.Written {
+	if e.RequestWritten {
 		return "no response: " + e.cause.Error()
 	}
 	return "not sent: " + e.cause.Error()
@@ -121,7 +121,7 @@
 	response, err := exchange.readHead(request)
 	if err != nil {
 		exchange.release(false)
-		return nil, preferContextError(ctx, &Error{Written: true, cause: err})
+		return nil, preferContextError(ctx, &Error{RequestWritten: true, cause: err})
 	}
 	return response, nil
 }
@@ -130,7 +130,7 @@
 func preferContextError(ctx context.Context, err error) error {
 	var upstreamErr *Error
 	if ctx.Err() != nil && errors.As(err, &upstreamErr) {
-		return &Error{Written: upstreamErr.Written, cause: ctx.Err()}
+		return &Error{RequestWritten: upstreamErr.RequestWritten, cause: ctx.Err()}
 	}
 	return err
 }
@@ -238,7 +238,7 @@
 	writeHead(writer, request)
 	if len(request.Body) > maxInlineBodyBytes {
 		if err := writer.Flush(); err != nil {
-			return &Error{Written: counting.written > 0, cause: errors.Wrap(err, "write")}
+			return &Error{RequestWritten: counting.written > 0, cause: errors.Wrap(err, "write")}
 		}
 		e.bodyErr = make(chan error, 1)
 		go func() {
@@ -249,7 +249,7 @@
 	}
 	_, _ = writer.Write(request.Body) // Flush returns the error
 	if err := writer.Flush(); err != nil {
-		return &Error{Written: counting.written > 0, cause: errors.Wrap(err, "write")}
+		return &Error{RequestWritten: counting.written > 0, cause: errors.Wrap(err, "write")}
 	}
 	return nil
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -102,7 +102,7 @@
 	_, err = fetch(t, pool, request(t, address, http.MethodGet, "2", ""))
 	var failed *Error
 	require.True(t, errors.As(err, &failed))
-	require.True(t, failed.Written)
+	require.True(t, failed.RequestWritten)
 	require.Equal(t, 2, arrivals)
 }
 
@@ -129,7 +129,7 @@
 	_, err = fetch(t, NewPool(nil), request(t, listener.Addr().String(), http.MethodGet, "1", ""))
 	var failed *Error
 	require.True(t, errors.As(err, &failed))
-	require.False(t, failed.Written)
+	require.False(t, failed.RequestWritten)
 }
 
 func TestStaleResponseIsSkipped(t *testing.T) {
@@ -207,7 +207,7 @@
 	require.ErrorIs(t, err, context.Canceled)
 	var failed *Error
 	require.True(t, errors.As(err, &failed))
-	require.True(t, failed.Written)
+	require.True(t, failed.RequestWritten)
 }
 
 func TestIdleConnectionHonorsKeepAliveTimeout(t *testing.T) {
@@ -242,7 +242,7 @@
 	_, err := pool.Do(t.Context(), rejected)
 	var failed *Error
 	require.ErrorAs(t, err, &failed)
-	require.False(t, failed.Written)
+	require.False(t, failed.RequestWritten)
 	require.ErrorIs(t, err, refusal)
 
 	response, err := pool.Do(t.Context(), request(t, address, http.MethodPost, "sent", "x"))
