--- a/frontend/frontend.go
+++ b/frontend/frontend.go
@@ -53,7 +53,7 @@
 	conns    map[*callerConn]connState // all open connections
 }
 
-// connState is the state of a connection in net/http and the time since when it lasts.
+// connState is the state of a connection in net/http and the time of its last change.
 type connState struct {
 	state http.ConnState
 	since time.Time
--- a/gateway/core_test.go
+++ b/gateway/core_test.go
@@ -17,7 +17,7 @@
 
 // The state machine drives the queue of a home and the lifecycle of a gateway through submissions,
 // cancellations, dispatches with every result, lost homes and elapsed time, and compares them with
-// an oracle that knows what the engines ran.
+// an oracle that records what the engines ran.
 
 const (
 	coreModel       = "base"
@@ -108,7 +108,7 @@
 	deadline := m.now.Add(time.Duration(rapid.IntRange(1, 5000).Draw(t, "deadline")) * time.Millisecond)
 	tracked := &coreRequest{
 		item: queue.Item{
-			ID: id, Owner: rapid.SampledFrom([]string{"gateway-1", "gateway-2"}).Draw(t, "owner"), Target: target,
+			ID: id, GatewayID: rapid.SampledFrom([]string{"gateway-1", "gateway-2"}).Draw(t, "owner"), Target: target,
 			Branch: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "branch"), Share: rapid.IntRange(1, 3).Draw(t, "share"),
 			Limits: settings.Limits{MaxWaiting: 6, MaxRunning: 3}, Class: request.Class(rapid.IntRange(0, request.ClassCount-1).Draw(t, "class")), Arrived: m.now, Deadline: deadline,
 		},
@@ -164,7 +164,7 @@
 	m.queue = queue.New(coreModel, coreConcurrency)
 	for _, id := range m.order {
 		if tracked := m.requests[id]; dispatched(tracked) {
-			m.queue.Restore(m.now, tracked.item.Owner, queue.Running{ID: id, Target: tracked.item.Target, ReplicaID: tracked.grantedTo})
+			m.queue.Restore(m.now, tracked.item.GatewayID, queue.Running{ID: id, Target: tracked.item.Target, ReplicaID: tracked.grantedTo})
 		}
 	}
 	m.setReplicas(t)
@@ -177,17 +177,17 @@
 
 // breakLink drops the connection of one gateway, which then submits its requests again.
 func (m *coreMachine) breakLink(t *rapid.T) {
-	owner := rapid.SampledFrom([]string{"gateway-1", "gateway-2"}).Draw(t, "owner")
-	m.queue.DropWaiting(owner)
+	gatewayID := rapid.SampledFrom([]string{"gateway-1", "gateway-2"}).Draw(t, "owner")
+	m.queue.DropWaiting(gatewayID)
 	var running []queue.Running
 	for _, id := range m.order {
-		if tracked := m.requests[id]; tracked.item.Owner == owner && dispatched(tracked) {
+		if tracked := m.requests[id]; tracked.item.GatewayID == gatewayID && dispatched(tracked) {
 			running = append(running, queue.Running{ID: id, Target: tracked.item.Target, ReplicaID: tracked.grantedTo})
 		}
 	}
-	m.applyActions(t, m.queue.Reconcile(m.now, owner, running))
+	m.applyActions(t, m.queue.Reconcile(m.now, gatewayID, running))
 	for _, id := range m.order {
-		if tracked := m.requests[id]; tracked.item.Owner == owner && tracked.waiting {
+		if tracked := m.requests[id]; tracked.item.GatewayID == gatewayID && tracked.waiting {
 			m.applyActions(t, m.queue.Submit(m.now, tracked.item))
 		}
 	}
--- a/group/plan_test.go
+++ b/group/plan_test.go
@@ -9,8 +9,8 @@
 )
 
 // planMachine interleaves proposers, message by message, with view changes and crashes. It
-// checks that a proposer that takes over sees the newest committed revision, and that
-// proposers with lower ballots commit nothing afterwards that it has not seen.
+// checks that a proposer that takes over obtains the newest committed revision, and that
+// proposers with lower ballots commit no later revision.
 type planMachine struct {
 	*groupMachine
 	proposers     []*simulatedProposer
--- a/home/server.go
+++ b/home/server.go
@@ -22,7 +22,7 @@
 const (
 	// tickInterval is how often queues are checked for expired items.
 	tickInterval = 20 * time.Millisecond
-	// idleQueueRetention is how long a queue without requests is kept.
+	// idleQueueRetention is how long a queue without requests is retained.
 	idleQueueRetention = time.Hour
 	// defaultConcurrency applies to models that the current settings do not declare.
 	defaultConcurrency = 1
@@ -115,18 +115,18 @@
 
 // Close ends the session and drops the gateway's waiting items, which the gateway submits
 // again when it reconnects or to another home.
-func (l *Session) Close() {
-	s := l.server
+func (session *Session) Close() {
+	s := session.server
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.sessions[l.gatewayID] != l {
+	if s.sessions[session.gatewayID] != session {
 		return // a newer session of the gateway has replaced it
 	}
-	delete(s.sessions, l.gatewayID)
+	delete(s.sessions, session.gatewayID)
 	for _, q := range s.queues {
-		q.DropWaiting(l.gatewayID)
+		q.DropWaiting(session.gatewayID)
 	}
-	s.detached[l.gatewayID] = true
+	s.detached[session.gatewayID] = true
 	s.reconcileDead(s.view())
 }
 
@@ -165,23 +165,23 @@
 }
 
 // Handle processes a message from the gateway.
-func (l *Session) Handle(message *rpc.GatewayMessage) {
-	s := l.server
+func (session *Session) Handle(message *rpc.GatewayMessage) {
+	s := session.server
 	now := time.Now()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch {
 	case message.GetHello() != nil:
-		s.reconcile(l.gatewayID, message.GetHello().GetRunning())
+		s.reconcile(session.gatewayID, message.GetHello().GetRunning())
 	case message.GetRestore() != nil:
 		restored := message.GetRestore()
-		s.queue(restored.GetBaseModel()).Restore(now, l.gatewayID, runningRequest(restored))
+		s.queue(restored.GetBaseModel()).Restore(now, session.gatewayID, runningRequest(restored))
 		s.dirty[restored.GetBaseModel()] = true
 	case message.GetSubmit() != nil:
 		submit := message.GetSubmit()
 		q := s.queue(submit.GetBaseModel())
 		hadWaiting := q.HasWaiting(submit.GetTarget())
-		s.deliverActions(submit.GetBaseModel(), q.Submit(now, s.item(l.gatewayID, submit, now)))
+		s.deliverActions(submit.GetBaseModel(), q.Submit(now, s.item(session.gatewayID, submit, now)))
 		if q.Waiting() > 0 {
 			signal(s.itemWaiting)
 		}
@@ -196,8 +196,8 @@
 	case message.GetRelease() != nil:
 		release := message.GetRelease()
 		s.withQueue(release.GetBaseModel(), func(q *queue.Queue) []queue.Action {
-			service := time.Duration(release.GetServiceMs()) * time.Millisecond
-			return q.Release(now, release.GetRequestId(), release.GetEngineFailed(), service)
+			serviceTime := time.Duration(release.GetServiceMs()) * time.Millisecond
+			return q.Release(now, release.GetRequestId(), release.GetEngineFailed(), serviceTime)
 		})
 	}
 }
@@ -240,7 +240,7 @@
 // branch's settings.
 func (s *Server) item(gatewayID string, submit *rpc.Submit, now time.Time) queue.Item {
 	item := queue.Item{
-		ID: submit.GetRequestId(), Owner: gatewayID, Target: submit.GetTarget(), Branch: submit.GetBranch(), Share: 1,
+		ID: submit.GetRequestId(), GatewayID: gatewayID, Target: submit.GetTarget(), Branch: submit.GetBranch(), Share: 1,
 		Class: request.Class(min(submit.GetClass(), request.ClassCount-1)), Zone: submit.GetZone(),
 		Tokens: int(submit.GetTokens()), Prefix: submit.GetPrefix(),
 		Arrived:  now.Add(-time.Duration(submit.GetAgeMs()) * time.Millisecond),
@@ -255,17 +255,18 @@
 	return item
 }
 
-// deliverActions sends a queue's grants and refusals to the gateways that own the items.
+// deliverActions sends a queue's grants and refusals to the gateways that submitted the
+// items.
 func (s *Server) deliverActions(model string, actions []queue.Action) {
 	s.dirty[model] = true
 	for _, action := range actions {
 		switch decided := action.(type) {
 		case queue.Grant:
-			s.send(decided.Item.Owner, &rpc.HomeMessage{Kind: &rpc.HomeMessage_Grant{Grant: &rpc.Grant{
+			s.send(decided.Item.GatewayID, &rpc.HomeMessage{Kind: &rpc.HomeMessage_Grant{Grant: &rpc.Grant{
 				RequestId: decided.Item.ID, ReplicaId: decided.Replica.ID, EngineId: decided.Replica.EngineID, Address: decided.Replica.Address,
 				WaitedMs: time.Since(decided.Item.Arrived).Milliseconds()}}})
 		case queue.Refusal:
-			s.send(decided.Item.Owner, &rpc.HomeMessage{Kind: &rpc.HomeMessage_Refusal{Refusal: &rpc.Refusal{
+			s.send(decided.Item.GatewayID, &rpc.HomeMessage{Kind: &rpc.HomeMessage_Refusal{Refusal: &rpc.Refusal{
 				RequestId: decided.Item.ID, Kind: string(decided.Kind), Message: decided.Message, RetryAfterMs: decided.RetryAfter.Milliseconds()}}})
 		}
 	}
--- a/queue/grant.go
+++ b/queue/grant.go
@@ -39,7 +39,7 @@
 		q.virtualTime = state.virtualStart
 		state.virtualStart += 1 / float64(next.item.Share)
 		q.remove(next)
-		q.startRunning(next.item.ID, runningItem{owner: next.item.Owner, target: next.item.Target, replicaID: replica.ID, branch: next.item.Branch, tokens: next.item.Tokens})
+		q.startRunning(next.item.ID, runningItem{gatewayID: next.item.GatewayID, target: next.item.Target, replicaID: replica.ID, branch: next.item.Branch, tokens: next.item.Tokens})
 		q.affinity.record(next.item.Prefix, replica.ID)
 		actions = append(actions, Grant{Item: next.item, Replica: replica.Replica})
 	}
--- a/queue/queue.go
+++ b/queue/queue.go
@@ -107,13 +107,13 @@
 
 // Restore records a request that a gateway runs already, after the queue was created or
 // the gateway reconnected.
-func (q *Queue) Restore(now time.Time, owner string, running Running) {
+func (q *Queue) Restore(now time.Time, gatewayID string, running Running) {
 	if _, known := q.running[running.ID]; known {
 		return
 	}
 	q.Cancel(running.ID)
 	q.lastUsed[running.Target] = now
-	q.startRunning(running.ID, runningItem{owner: owner, target: running.Target, replicaID: running.ReplicaID})
+	q.startRunning(running.ID, runningItem{gatewayID: gatewayID, target: running.Target, replicaID: running.ReplicaID})
 }
 
 func (q *Queue) startRunning(id string, item runningItem) {
@@ -131,9 +131,9 @@
 
 // DropWaiting removes the waiting items of a disconnected gateway, which submits them
 // again when it reconnects. Its running requests keep their slots until Reconcile.
-func (q *Queue) DropWaiting(owner string) {
+func (q *Queue) DropWaiting(gatewayID string) {
 	for _, waiting := range q.items {
-		if waiting.item.Owner == owner {
+		if waiting.item.GatewayID == gatewayID {
 			q.remove(waiting)
 		}
 	}
@@ -141,14 +141,14 @@
 
 // Reconcile replaces the running requests of a gateway: those not listed have ended, and
 // their slots are freed. For a dead gateway, running is empty.
-func (q *Queue) Reconcile(now time.Time, owner string, running []Running) []Action {
+func (q *Queue) Reconcile(now time.Time, gatewayID string, running []Running) []Action {
 	listed := make(map[string]bool, len(running))
 	for _, request := range running {
 		listed[request.ID] = true
-		q.Restore(now, owner, request)
+		q.Restore(now, gatewayID, request)
 	}
 	for id, item := range q.running {
-		if item.owner == owner && !listed[id] {
+		if item.gatewayID == gatewayID && !listed[id] {
 			q.releaseSlot(id, item)
 		}
 	}
--- a/queue/queue_test.go
+++ b/queue/queue_test.go
@@ -16,7 +16,7 @@
 var start = time.Unix(1_000_000, 0)
 
 func newItem(id string, class request.Class, branch string, deadline time.Duration) queue.Item {
-	return queue.Item{ID: id, Owner: "gateway", Target: "m", Branch: branch, Share: 1, Class: class,
+	return queue.Item{ID: id, GatewayID: "gateway", Target: "m", Branch: branch, Share: 1, Class: class,
 		Arrived: start, Deadline: start.Add(deadline)}
 }
 
--- a/queue/types.go
+++ b/queue/types.go
@@ -10,18 +10,18 @@
 
 // Item is a request for a slot on a replica.
 type Item struct {
-	ID       string
-	Owner    string // the gateway that holds the caller's connection
-	Target   string // the model, or one of its adapters
-	Branch   string
-	Share    int // the branch's weight; at least 1
-	Limits   settings.Limits
-	Class    request.Class
-	Zone     string // the gateway's zone
-	Tokens   int    // requested, for prompt and response
-	Prefix   uint64 // hash of the prompt's leading part; zero if none
-	Arrived  time.Time
-	Deadline time.Time // for the complete response
+	ID        string
+	GatewayID string // the gateway that holds the caller's connection
+	Target    string // the model, or one of its adapters
+	Branch    string
+	Share     int // the branch's weight; at least 1
+	Limits    settings.Limits
+	Class     request.Class
+	Zone      string // the gateway's zone
+	Tokens    int    // requested, for prompt and response
+	Prefix    uint64 // hash of the prompt's leading part; zero if none
+	Arrived   time.Time
+	Deadline  time.Time // for the complete response
 }
 
 // Replica is a model replica that can serve requests.
@@ -98,7 +98,7 @@
 }
 
 type runningItem struct {
-	owner     string
+	gatewayID string
 	target    string
 	replicaID string
 	branch    string // empty if restored
