--- a/command/explain_losses.go
+++ b/command/explain_losses.go
@@ -43,7 +43,7 @@
 			_, _ = fmt.Fprintf(writer, "  %6d  %s\n", cause.Requests, cause.Name)
 		}
 		if route.Pauses.Requests > 0 {
-			_, _ = fmt.Fprintf(writer, "          mean concurrent work on the replica of requests late because of a pause: %.1f requests of %.1f models; %.0f prompt tokens added meanwhile\n",
+			_, _ = fmt.Fprintf(writer, "          mean concurrent work on the replica of requests late because of a pause: %.1f requests of %.1f models; %.0f prompt tokens of requests that started during it\n",
 				route.Pauses.ConcurrentRequests, route.Pauses.Models, route.Pauses.PromptTokens)
 		}
 	}
--- a/command/settings_apply.go
+++ b/command/settings_apply.go
@@ -75,7 +75,7 @@
 type applyResult struct {
 	Revision    uint64            `json:"revision"`
 	OperationID string            `json:"operation_id"`
-	InForce     map[string]uint64 `json:"in_force,omitempty"` // revision by daemon
+	InEffect    map[string]uint64 `json:"in_force,omitempty"` // revision by daemon
 }
 
 const applyPollInterval = 100 * time.Millisecond
@@ -105,11 +105,11 @@
 	result := applyResult{Revision: accepted.Number, OperationID: c.OperationID}
 	waitErr := error(nil)
 	if c.Wait > 0 {
-		result.InForce, waitErr = c.waitForRevision(ctx, accepted.Number)
+		result.InEffect, waitErr = c.waitForRevision(ctx, accepted.Number)
 	}
 	err = c.Write(result, func(writer io.Writer) error {
 		_, _ = fmt.Fprintf(writer, "accepted as revision %d\n", result.Revision)
-		for daemon, revision := range result.InForce {
+		for daemon, revision := range result.InEffect {
 			_, _ = fmt.Fprintf(writer, "  %s has revision %d in effect\n", daemon, revision)
 		}
 		return nil
--- a/engine/client.go
+++ b/engine/client.go
@@ -100,7 +100,7 @@
 }
 
 // Resume requests the events of a stream from offset on. The caller closes the body of the response.
-// It fails if the engine no longer holds the stream.
+// It fails if the engine no longer retains the stream.
 func (c *Client) Resume(ctx context.Context, address, requestID string, offset int) (*http.Response, error) {
 	target := "http://" + address + PathStreams + url.PathEscape(requestID) + "?offset=" + strconv.Itoa(offset)
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
--- a/logstory/daypage/daypage.go
+++ b/logstory/daypage/daypage.go
@@ -21,7 +21,7 @@
 	plotWidth    = 1100
 	plotHeight   = 260
 	legendHeight = 30 // padding above the plot
-	// maxKinds bounds the kinds with a line of their own in a plot; one more line sums the others.
+	// maxKinds bounds the kinds that a plot shows as separate lines; one more line sums the others.
 	maxKinds   = 7
 	otherKinds = "others"
 	lineWidth  = 1.5
--- a/placer/record.go
+++ b/placer/record.go
@@ -19,13 +19,13 @@
 // of the group has stored it.
 type planRecord struct {
 	register *group.Register
-	// pending is a decision whose commit has no known result. No order is sent and
-	// nothing else is committed until it succeeds.
+	// pending is a decision whose commit has no known result. The placer sends no order and
+	// commits nothing else until that commit succeeds.
 	pending *placement.Decision
 }
 
-// takeOver begins a term and returns the plan that the group holds. noStoredPlan reports
-// that it holds none, because there never was one or the group lost its state.
+// takeOver begins a term and returns the plan that the group stores. noStoredPlan reports
+// that it stores none, because there never was one or the group lost its state.
 func (r *planRecord) takeOver(ctx context.Context, minEpoch uint64) (plan placement.Plan, noStoredPlan bool, err error) {
 	ballot, state, err := r.register.TakeOver(ctx, minEpoch)
 	if err != nil {
@@ -39,7 +39,8 @@
 		}
 		plan.Engines[id] = planned
 	}
-	// The plan may not be stored by a quorum yet; this must be so before orders are sent.
+	// The previous term may not have committed the plan; a quorum must store it before orders
+	// are sent.
 	entries, err := encode(plan)
 	if err != nil {
 		return placement.Plan{}, false, err
--- a/placer/service.go
+++ b/placer/service.go
@@ -61,7 +61,7 @@
 	cell         *cell
 	planRecord   *planRecord
 	epoch        uint64
-	noStoredPlan bool // the group held no plan when the term began
+	noStoredPlan bool // the group stored no plan when the term began
 	done         <-chan struct{}
 	changed      *broadcast
 }
--- a/placer/watch.go
+++ b/placer/watch.go
@@ -146,7 +146,7 @@
 	return slices.Equal(s.replicas, other.replicas) && s.known == other.known && drift <= readyTolerance
 }
 
-// describeModel returns a model's state, as a message and in the form kept to compare.
+// describeModel returns a model's state, as a message and in the form that equivalent compares.
 func describeModel(now time.Time, view cellView, model string) (*rpc.ModelReplicas, sentState) {
 	message := &rpc.ModelReplicas{BaseModel: model, ReadyInMs: -1}
 	state := sentState{}
