--- a/core/replica_model_test.go
+++ b/core/replica_model_test.go
@@ -239,10 +239,10 @@
 				model := &replicaModel{objective: test.objective, limit: modelLimit, perSecond: test.perSecond}
 				model.run()
 				total := float64(model.inTime + model.late + model.unserved)
-				t.Logf("in time %.3f, late %.3f, not served %.3f; %d in a window", float64(model.inTime)/total, float64(model.late)/total, float64(model.unserved)/total, testwindow.Most(model.arrivals, modelWindow))
+				t.Logf("in time %.3f, late %.3f, not served %.3f; %d in a window", float64(model.inTime)/total, float64(model.late)/total, float64(model.unserved)/total, testwindow.MaxCount(model.arrivals, modelWindow))
 				servable := min(1, modelLimit/test.perSecond)
 				require.GreaterOrEqual(t, float64(model.inTime)/total, minInTimeShare*servable, "share of the requests within the limit")
-				require.LessOrEqual(t, testwindow.Most(model.arrivals, modelWindow), int(modelLimit*modelWindow.Seconds())+2, "the rate and a burst of two")
+				require.LessOrEqual(t, testwindow.MaxCount(model.arrivals, modelWindow), int(modelLimit*modelWindow.Seconds())+2, "the rate and a burst of two")
 				if test.perSecond >= 2*modelLimit {
 					require.GreaterOrEqual(t, float64(len(model.arrivals)), 0.9*modelLimit*modelSeconds, "the limit must be used fully under overload")
 				}
--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -69,7 +69,7 @@
 		Fence: message.GetFence(), Sequence: loads.GetSequence(), Loading: map[fleet.Target]time.Time{}, Requests: int(message.GetRunning()),
 	}
 	if message.GetLimit() != nil {
-		limit := message.GetLimit().Word(now)
+		limit := message.GetLimit().Decode(now)
 		state.Limit = &limit
 	}
 	for _, held := range loads.GetModels() {
--- a/faultproxy/faultproxy.go
+++ b/faultproxy/faultproxy.go
@@ -18,11 +18,11 @@
 	// Delay is added to each chunk, in both directions. Connections are delayed
 	// one by one, so what is sent on several is reordered between them.
 	Delay time.Duration
-	// DropAnswers lets what the client sends through, and cuts the connection
+	// DropResponses lets what the client sends through, and cuts the connection
 	// when the server begins to answer.
-	DropAnswers bool
+	DropResponses bool
 	// Silent keeps connections open and passes nothing: half-open.
-	Silent bool
+	Stall bool
 }
 
 // Proxy forwards from its address to a target.
@@ -75,7 +75,7 @@
 }
 
 // Cut closes all open connections.
-func (p *Proxy) Cut() {
+func (p *Proxy) CloseConnections() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for connection := range p.open {
@@ -83,9 +83,9 @@
 	}
 }
 
-// SilenceOpen lets nothing pass any more on the connections that are open now, for good; new
+// StallOpen lets nothing pass any more on the connections that are open now, for good; new
 // ones work.
-func (p *Proxy) SilenceOpen() {
+func (p *Proxy) StallOpen() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for connection := range p.open {
@@ -108,7 +108,7 @@
 	p.changed = make(chan struct{})
 	p.mutex.Unlock()
 	_ = p.listener.Close()
-	p.Cut()
+	p.CloseConnections()
 	p.finished.Wait()
 }
 
@@ -202,9 +202,9 @@
 	for {
 		faults, _, changed, closed := p.state()
 		switch {
-		case closed || (answers && faults.DropAnswers):
+		case closed || (answers && faults.DropResponses):
 			return false
-		case faults.Silent:
+		case faults.Stall:
 			<-changed
 			continue
 		}
--- a/integration/cluster_test.go
+++ b/integration/cluster_test.go
@@ -97,7 +97,7 @@
 	for number := range daemonCount {
 		c.startDaemon(number)
 	}
-	_, err := processes.Apply(ctx, c.daemons[0].Admin, 0, fmt.Sprintf(treeText, settings.HashKey(apiKey)))
+	_, err := processes.ApplySettings(ctx, c.daemons[0].Admin, 0, fmt.Sprintf(treeText, settings.HashKey(apiKey)))
 	require.NoError(t, err)
 	for _, daemon := range c.daemons {
 		require.NoError(t, processes.WaitReady(ctx, daemon.Admin, 1, daemonCount))
@@ -140,7 +140,7 @@
 	arguments := []string{"--region", "here", "--zone", zone(zoneNumber), "--key-value", c.keyValueProxy.Address(),
 		"--machine-list", c.machines.Address, "--probe-interval", "200ms", "--log-level", "debug"}
 	for _, peer := range c.daemons {
-		if !peer.Ended() {
+		if !peer.HasExited() {
 			arguments = append(arguments, "--peer", peer.RPC)
 		}
 	}
@@ -153,11 +153,11 @@
 func (c *cluster) history() []engines.Entry {
 	var all []engines.Entry
 	for _, started := range c.engines {
-		if started.Ended() {
+		if started.HasExited() {
 			continue
 		}
 		var entries []engines.Entry
-		require.NoError(c.t, processes.History(c.ctx, started.Address, &entries))
+		require.NoError(c.t, processes.ReadHistory(c.ctx, started.Address, &entries))
 		all = append(all, entries...)
 	}
 	return all
@@ -169,7 +169,7 @@
 		return
 	}
 	for _, daemon := range c.daemons {
-		lines := strings.Split(daemon.Log(), "\n")
+		lines := strings.Split(daemon.Output(), "\n")
 		const shown = 40
 		c.t.Logf("%s:\n%s", daemon.Name, strings.Join(lines[max(0, len(lines)-shown):], "\n"))
 	}
--- a/integration/control_test.go
+++ b/integration/control_test.go
@@ -28,7 +28,7 @@
 	require.Eventually(c.t, func() bool {
 		for number, daemon := range c.daemons {
 			var status adminapi.Status
-			if daemon.Ended() || (adminapi.Client{Address: daemon.Admin}).Get(c.ctx, adminapi.PathStatus, &status) != nil {
+			if daemon.HasExited() || (adminapi.Client{Address: daemon.Admin}).Get(c.ctx, adminapi.PathStatus, &status) != nil {
 				continue
 			}
 			if status.Placement != nil {
@@ -66,7 +66,7 @@
 func (c *cluster) answered(daemon int, model, prompt string) {
 	c.t.Helper()
 	one := c.ask(daemon, asked{model: model, prompt: prompt, tokens: 3}, nil)
-	require.True(c.t, one.err == nil && one.answer.Whole, "%s: %v %s", prompt, one.err, one.answer.Text)
+	require.True(c.t, one.err == nil && one.answer.Complete, "%s: %v %s", prompt, one.err, one.answer.Text)
 }
 
 func (c *cluster) keyValueFaults(faults keyvalue.Faults) {
@@ -115,7 +115,7 @@
 	require.Eventually(t, func() bool { return loads() == 1 }, 10*time.Second, 5*time.Millisecond)
 	c.daemons[placing].Kill()
 	one := <-result
-	require.True(t, one.answer.Whole, one.answer.Text)
+	require.True(t, one.answer.Complete, one.answer.Text)
 	require.Equal(t, 1, loads(), "no second load")
 	c.judgePlacement()
 }
@@ -145,7 +145,7 @@
 	}
 	freeze(syscall.SIGCONT)
 	one := <-result
-	require.True(t, one.answer.Whole, one.answer.Text)
+	require.True(t, one.answer.Complete, one.answer.Text)
 	c.judgePlacement()
 }
 
@@ -166,7 +166,7 @@
 	starts := startsByPrompt(c.history())
 	serving := c.serving("alpha")
 	c.engines[serving].Kill()
-	require.NoError(t, processes.AddMachine(c.ctx, c.machines.Address, machinelist.Machine{ID: fmt.Sprintf("engine-%d", serving), State: machines.Gone}))
+	require.NoError(t, processes.AddMachine(c.ctx, c.machines.Address, machinelist.Machine{ID: fmt.Sprintf("engine-%d", serving), State: machines.Removed}))
 	for range streams {
 		(<-results).judge(t, starts)
 	}
@@ -178,7 +178,7 @@
 func (c *cluster) serving(model string) int {
 	for number, started := range c.engines {
 		var entries []engines.Entry
-		require.NoError(c.t, processes.History(c.ctx, started.Address, &entries))
+		require.NoError(c.t, processes.ReadHistory(c.ctx, started.Address, &entries))
 		for _, entry := range entries {
 			if entry.Kind == engines.RequestStarted && entry.Model == model {
 				return number
@@ -215,7 +215,7 @@
 func TestOperatorsRaceAndRevisionsReachAllDaemons(t *testing.T) {
 	c := startCluster(t)
 	defer c.logs()
-	c.keyValueFaults(keyvalue.Faults{LoseAnswers: 40})
+	c.keyValueFaults(keyvalue.Faults{DropResponsesPercent: 40})
 	const rounds = 5
 	revision := uint64(1)
 	for round := range rounds {
@@ -223,7 +223,7 @@
 		for number, daemon := range c.daemons {
 			text := fmt.Sprintf(treeText, settings.HashKey(apiKey)) + fmt.Sprintf("    share: %d\n", 2+round*daemonCount+number)
 			go func() {
-				made, err := processes.Apply(c.ctx, daemon.Admin, revision, text)
+				made, err := processes.ApplySettings(c.ctx, daemon.Admin, revision, text)
 				if err != nil {
 					made = 0
 				}
--- a/integration/keyed_test.go
+++ b/integration/keyed_test.go
@@ -25,7 +25,7 @@
 // groupsMade counts the groups that stand in the key-value service.
 func (c *cluster) groupsMade() int {
 	var entries []keyvalue.Entry
-	require.NoError(c.t, processes.History(c.ctx, c.keyValue.Address, &entries))
+	require.NoError(c.t, processes.ReadHistory(c.ctx, c.keyValue.Address, &entries))
 	made := map[string]bool{}
 	for _, entry := range entries {
 		for _, key := range entry.Keys {
@@ -44,7 +44,7 @@
 	c := startCluster(t)
 	defer c.logs()
 	require.Eventually(t, func() bool { return c.groupsMade() == allGroups }, 30*time.Second, 100*time.Millisecond)
-	require.NoError(t, processes.PostJSON(c.ctx, c.keyValue.Address, "/faults", keyvalue.Faults{LoseAnswers: 30}))
+	require.NoError(t, processes.PostJSON(c.ctx, c.keyValue.Address, "/faults", keyvalue.Faults{DropResponsesPercent: 30}))
 	const workers, perWorker, repeats = 6, 12, 3
 	wholeByPrompt := make([]map[string]string, workers)
 	var open sync.WaitGroup
@@ -59,7 +59,7 @@
 				key := uuid.Must(uuid.NewV7()).String()
 				for range repeats {
 					one := c.ask(random.IntN(daemonCount), wanted, map[string]string{gateway.HeaderIdempotencyKey: key, gateway.HeaderDeadline: "5s"})
-					if one.err == nil && one.answer.Status == http.StatusOK && one.answer.Whole {
+					if one.err == nil && one.answer.Status == http.StatusOK && one.answer.Complete {
 						if known := wholeByPrompt[worker][wanted.prompt]; known != "" && known != one.answer.Text {
 							t.Errorf("%q was answered in two ways", wanted.prompt)
 						}
@@ -70,14 +70,14 @@
 		}()
 	}
 	time.Sleep(500 * time.Millisecond)
-	c.engineProxies[0].Set(faultproxy.Faults{DropAnswers: true})
+	c.engineProxies[0].Set(faultproxy.Faults{DropResponses: true})
 	time.Sleep(200 * time.Millisecond)
 	c.engineProxies[0].Set(faultproxy.Faults{})
 	c.daemons[daemonCount-1].Kill()
 	time.Sleep(300 * time.Millisecond)
 	require.NoError(t, processes.PostJSON(c.ctx, c.keyValue.Address, "/faults", keyvalue.Faults{Outage: true}))
 	for _, proxy := range c.engineProxies {
-		proxy.Cut()
+		proxy.CloseConnections()
 	}
 	open.Wait()
 	whole := 0
@@ -103,14 +103,14 @@
 			map[string]string{gateway.HeaderIdempotencyKey: key, gateway.HeaderDeadline: "10s"})
 	}
 	timed, untimed := uuid.Must(uuid.NewV7()).String(), "a key without a time"
-	require.True(t, keyed("timed", timed).answer.Whole)
-	require.True(t, keyed("untimed", untimed).answer.Whole)
+	require.True(t, keyed("timed", timed).answer.Complete)
+	require.True(t, keyed("untimed", untimed).answer.Complete)
 	c.restartDaemons(1, 2)
 	for _, daemon := range c.daemons {
 		require.NoError(t, processes.WaitReady(c.ctx, daemon.Admin, 1, daemonCount))
 	}
 	require.Eventually(t, func() bool {
-		return keyed("new "+uuid.NewString(), uuid.Must(uuid.NewV7()).String()).answer.Whole
+		return keyed("new "+uuid.NewString(), uuid.Must(uuid.NewV7()).String()).answer.Complete
 	}, 40*time.Second, 100*time.Millisecond, "keys made after the loss are taken")
 	for range 3 {
 		keyed("timed", timed)
--- a/integration/requests_test.go
+++ b/integration/requests_test.go
@@ -25,7 +25,7 @@
 	noRepeat      bool
 	stream        bool
 	tokens        int
-	answer        lab.Answer
+	answer        lab.Completion
 	err           error // the connection to the gateway broke
 }
 
@@ -37,7 +37,7 @@
 	if wanted.noRepeat {
 		all[gateway.HeaderNoRepeat] = "true"
 	}
-	wanted.answer, wanted.err = lab.Ask(c.ctx, lab.AskOptions{Address: c.daemons[daemon].Gateway, Key: apiKey, Model: wanted.model,
+	wanted.answer, wanted.err = lab.SendRequest(c.ctx, lab.RequestOptions{Address: c.daemons[daemon].Gateway, Key: apiKey, Model: wanted.model,
 		Prompt: wanted.prompt, MaxTokens: wanted.tokens, Stream: wanted.stream, Headers: all})
 	return wanted
 }
@@ -53,7 +53,7 @@
 
 // judge checks a request's end against the engines' histories.
 func (a asked) judge(t *testing.T, starts map[string]int) {
-	wanted := strings.Join(engines.Answer(a.model, a.prompt, a.tokens), "")
+	wanted := strings.Join(engines.Completion(a.model, a.prompt, a.tokens), "")
 	started := starts[a.prompt]
 	if a.noRepeat {
 		require.LessOrEqual(t, started, 1, "%q may not be repeated", a.prompt)
@@ -61,7 +61,7 @@
 	if a.err != nil {
 		return // only its own daemon's death breaks a caller's connection
 	}
-	if a.answer.Whole {
+	if a.answer.Complete {
 		require.Equal(t, wanted, a.answer.Text, "the answer to its own request, whole")
 		require.Positive(t, started)
 		return
@@ -131,7 +131,7 @@
 			if one.err != nil {
 				broken++
 			}
-			if one.answer.Whole {
+			if one.answer.Complete {
 				whole++
 			}
 			slowest = max(slowest, one.answer.Total)
@@ -144,7 +144,7 @@
 	t.Logf("%d whole, %d with a broken connection, of %d; slowest %s", whole, broken, workers*perWorker, slowest)
 	c.noOvercommit()
 	last := c.ask(0, asked{model: "beta", prompt: "after all faults", tokens: 3}, nil)
-	require.True(t, last.answer.Whole, last.answer.Text)
+	require.True(t, last.answer.Complete, last.answer.Text)
 }
 
 // disturb goes through the faults until done; the last daemon is killed midway.
@@ -155,16 +155,16 @@
 		proxy := c.engineProxies[random.IntN(engineCount)]
 		switch round % 5 {
 		case 0:
-			proxy.Cut()
+			proxy.CloseConnections()
 		case 1:
-			proxy.Set(faultproxy.Faults{DropAnswers: true})
+			proxy.Set(faultproxy.Faults{DropResponses: true})
 		case 2:
 			proxy.Set(faultproxy.Faults{Delay: 10 * time.Millisecond})
 		case 3:
 			proxy.Set(faultproxy.Faults{Refuse: true})
-			c.keyValueProxy.Cut()
+			c.keyValueProxy.CloseConnections()
 		case 4:
-			proxy.Set(faultproxy.Faults{Silent: true})
+			proxy.Set(faultproxy.Faults{Stall: true})
 		}
 		const healthy, faulty = 150 * time.Millisecond, 150 * time.Millisecond
 		time.Sleep(faulty)
@@ -206,13 +206,13 @@
 	for range 2 {
 		time.Sleep(200 * time.Millisecond) // in the middle of the answers
 		for _, proxy := range c.engineProxies {
-			proxy.Cut()
+			proxy.CloseConnections()
 		}
 	}
 	starts := startsByPrompt(c.history())
 	for range streams {
 		one := <-results
-		require.True(t, one.answer.Whole, one.answer.Text)
+		require.True(t, one.answer.Complete, one.answer.Text)
 		one.judge(t, starts)
 	}
 }
@@ -238,11 +238,11 @@
 	for range streams {
 		one := <-results
 		require.NoError(t, one.err)
-		require.True(t, one.answer.Whole, one.answer.Text)
+		require.True(t, one.answer.Complete, one.answer.Text)
 	}
 	for prompt, count := range startsByPrompt(c.history()) {
 		require.Equal(t, 1, count, prompt)
 	}
 	after := c.ask(0, asked{model: "alpha", prompt: "after the stop", tokens: 2}, nil)
-	require.True(t, after.answer.Whole, after.answer.Text)
+	require.True(t, after.answer.Complete, after.answer.Text)
 }
--- a/kv/client_test.go
+++ b/kv/client_test.go
@@ -53,7 +53,7 @@
 func TestErrorsDistinguishUncertainWrites(t *testing.T) {
 	client, service, proxy := start(t)
 	ctx := context.Background()
-	service.Faults.Set(keyvalue.Faults{LoseAnswers: 100})
+	service.Faults.Set(keyvalue.Faults{DropResponsesPercent: 100})
 	_, err := client.Commit(ctx, create("lost", "v"))
 	require.ErrorIs(t, err, kv.ErrUncertain)
 	_, found, err := client.Get(ctx, "lost")
@@ -70,7 +70,7 @@
 func TestCommitResolvedHandlesLostResponses(t *testing.T) {
 	client, service, proxy := start(t)
 	ctx := context.Background()
-	service.Faults.Set(keyvalue.Faults{LoseAnswers: 100})
+	service.Faults.Set(keyvalue.Faults{DropResponsesPercent: 100})
 	result, err := kv.CommitResolved(ctx, client, create("mine", "writer-1"))
 	require.NoError(t, err)
 	require.True(t, result.Succeeded)
@@ -78,7 +78,7 @@
 	require.NoError(t, err)
 	require.False(t, result.Succeeded, "another writer holds the key")
 	service.Faults.Set(keyvalue.Faults{})
-	proxy.Set(faultproxy.Faults{DropAnswers: true})
+	proxy.Set(faultproxy.Faults{DropResponses: true})
 	_, err = kv.CommitResolved(ctx, client, create("other", "writer-1"))
 	require.ErrorIs(t, err, kv.ErrUncertain, "the key cannot be read back")
 }
@@ -99,7 +99,7 @@
 		require.Eventually(t, func() bool { return <-received == key+"=v" }, 10*time.Second, time.Millisecond)
 		switch number {
 		case 0:
-			proxy.Cut()
+			proxy.CloseConnections()
 		case 1:
 			service.Faults.Set(keyvalue.Faults{Outage: true})
 			service.Faults.Set(keyvalue.Faults{Delay: fault.Duration(time.Millisecond)})
--- a/lab/ask.go
+++ b/lab/ask.go
@@ -13,17 +13,17 @@
 )
 
 // Answer is what came back to a request.
-type Answer struct {
+type Completion struct {
 	Status    int
 	Header    http.Header
 	Text      string // of the answer, or the error's body
-	Whole     bool   // the answer came to its end
+	Complete  bool   // the answer came to its end
 	FirstByte time.Duration
 	Total     time.Duration
 }
 
-// AskOptions describe one request.
-type AskOptions struct {
+// RequestOptions describe one request.
+type RequestOptions struct {
 	Address   string // of a gateway
 	Key       string
 	Model     string
@@ -47,14 +47,14 @@
 }
 
 // Ask sends one chat completion and reads its answer to the end.
-func Ask(ctx context.Context, options AskOptions) (Answer, error) {
+func SendRequest(ctx context.Context, options RequestOptions) (Completion, error) {
 	body, err := json.Marshal(askBody{options.Model, options.Stream, options.MaxTokens, []askMessage{{"user", options.Prompt}}})
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "encode request")
+		return Completion{}, errors.Wrap(err, "encode request")
 	}
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+options.Address+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "make request")
+		return Completion{}, errors.Wrap(err, "make request")
 	}
 	httpRequest.Header.Set("Authorization", "Bearer "+options.Key)
 	for name, value := range options.Headers {
@@ -67,17 +67,17 @@
 	began := time.Now()
 	response, err := client.Do(httpRequest)
 	if err != nil {
-		return Answer{}, errors.Wrap(err, "ask")
+		return Completion{}, errors.Wrap(err, "ask")
 	}
 	defer func() { _ = response.Body.Close() }()
 	reader := bufio.NewReader(response.Body)
 	_, _ = reader.Peek(1) // an error comes again below
-	answer := Answer{Status: response.StatusCode, Header: response.Header, FirstByte: time.Since(began)}
+	answer := Completion{Status: response.StatusCode, Header: response.Header, FirstByte: time.Since(began)}
 	text, err := io.ReadAll(reader)
 	answer.Total = time.Since(began)
 	if err != nil {
 		return answer, errors.Wrap(err, "read answer")
 	}
-	answer.Text, answer.Whole = decodeAnswer(response, text)
+	answer.Text, answer.Complete = decodeAnswer(response, text)
 	return answer, nil
 }
--- a/lab/command/control.go
+++ b/lab/command/control.go
@@ -21,8 +21,8 @@
 func (c *controlCommand) Execute([]string) error {
 	ctx, stop := interruptible()
 	defer stop()
-	report, err := lab.Control(ctx, lab.ControlOptions{
-		Daemons: c.Daemons, Changes: c.Changes, Steady: c.Steady, Log: logging.New(os.Stderr, "error")})
+	report, err := lab.MeasureControl(ctx, lab.ControlOptions{
+		Daemons: c.Daemons, Changes: c.Changes, IdleDuration: c.Steady, Log: logging.New(os.Stderr, "error")})
 	if err != nil {
 		return err
 	}
--- a/lab/command/dev.go
+++ b/lab/command/dev.go
@@ -44,7 +44,7 @@
 func (c *devCommand) Execute([]string) error {
 	ctx, stop := interruptible()
 	defer stop()
-	return lab.Dev(ctx, lab.DevOptions{Output: os.Stdout, Log: logging.New(os.Stderr, c.LogLevel), Hold: !c.Once})
+	return lab.RunDev(ctx, lab.DevOptions{Output: os.Stdout, Log: logging.New(os.Stderr, c.LogLevel), KeepRunning: !c.Once})
 }
 
 func interruptible() (context.Context, context.CancelFunc) {
--- a/lab/command/fleet.go
+++ b/lab/command/fleet.go
@@ -30,7 +30,7 @@
 	for _, daemons := range c.Daemons {
 		report, err := scale.Run(ctx, scale.Options{
 			Daemons: daemons, Replicas: c.Replicas * daemons, Models: c.Models, FullMirrorLimit: c.FullMirrorLimit,
-			RequestsPerSecond: c.Requests * float64(daemons), Steady: c.Steady, Seed: c.Seed,
+			RequestsPerSecond: c.Requests * float64(daemons), SteadyDuration: c.Steady, Seed: c.Seed,
 			Log: logging.New(os.Stderr, "error"), Progress: showProgress,
 		})
 		fmt.Fprintln(os.Stderr)
--- a/lab/command/judge.go
+++ b/lab/command/judge.go
@@ -31,7 +31,7 @@
 		return err
 	}
 	verdict.Write(os.Stdout)
-	if !verdict.Good() {
+	if !verdict.OK() {
 		return failure.New(failure.Internal, "mend them, or list a real fault with its cause and issue in "+c.List,
 			"%d tests or packages failed that are not listed", len(verdict.Failed))
 	}
--- a/lab/command/load.go
+++ b/lab/command/load.go
@@ -25,7 +25,7 @@
 func (c *loadCommand) Execute([]string) error {
 	ctx, stop := interruptible()
 	defer stop()
-	report, err := lab.Load(ctx, lab.LoadOptions{
+	report, err := lab.GenerateLoad(ctx, lab.LoadOptions{
 		Addresses: c.Addresses, Key: c.Key, Models: c.Models, Rate: c.Rate, Duration: c.Duration,
 		Tokens: c.Tokens, Class: c.Class, Deadline: c.Deadline,
 	})
--- a/lab/command/overhead.go
+++ b/lab/command/overhead.go
@@ -26,8 +26,8 @@
 	if err != nil {
 		return errors.Wrap(err, "find the programs")
 	}
-	report, err := lab.Overhead(ctx, lab.OverheadOptions{
-		Programs: filepath.Dir(executable), Requests: c.Requests, Streams: c.Streams, Tokens: c.Tokens})
+	report, err := lab.MeasureOverhead(ctx, lab.OverheadOptions{
+		BinDirectory: filepath.Dir(executable), Requests: c.Requests, Streams: c.Streams, Tokens: c.Tokens})
 	if err != nil {
 		return err
 	}
--- a/lab/command/overload.go
+++ b/lab/command/overload.go
@@ -21,7 +21,7 @@
 func (c *overloadCommand) Execute([]string) error {
 	ctx, stop := interruptible()
 	defer stop()
-	report, err := lab.Overload(ctx, lab.OverloadOptions{Multiples: c.Multiples, Duration: c.Duration, Log: logging.New(os.Stderr, "error")})
+	report, err := lab.MeasureOverload(ctx, lab.OverloadOptions{Multiples: c.Multiples, Duration: c.Duration, Log: logging.New(os.Stderr, "error")})
 	if err != nil {
 		return err
 	}
--- a/lab/command/standin.go
+++ b/lab/command/standin.go
@@ -97,7 +97,7 @@
 		return err
 	}
 	timing := engines.DefaultTiming()
-	timing.Step = c.Step
+	timing.StepTime = c.Step
 	started := engines.New(engines.DefaultConfig(c.ID, c.Accelerators, memory, c.WeightStore, timing))
 	defer started.Close()
 	return c.serve(started)
--- a/lab/control.go
+++ b/lab/control.go
@@ -21,24 +21,24 @@
 // ControlOptions describe a measurement of the control plane with many daemons in
 // one process.
 type ControlOptions struct {
-	Daemons int
-	Changes int           // settings changes applied one after another
-	Steady  time.Duration // how long the idle cost is measured
-	Log     logrus.FieldLogger
+	Daemons      int
+	Changes      int           // settings changes applied one after another
+	IdleDuration time.Duration // how long the idle cost is measured
+	Log          logrus.FieldLogger
 }
 
 // ControlReport is what control costs a daemon and how fast it is.
 type ControlReport struct {
 	Daemons            int       `json:"daemons"`
 	JoinSeconds        float64   `json:"join_seconds"` // until all know all
-	Spread             Quantiles `json:"spread"`       // a change in force at every daemon
+	Propagation        Quantiles `json:"spread"`       // a change in force at every daemon
 	GossipBytesPerSec  float64   `json:"gossip_bytes_per_second_per_daemon"`
 	CPUPercent         float64   `json:"cpu_percent_of_core_per_daemon"`
 	HeapBytes          uint64    `json:"heap_bytes_per_daemon"`
 	KeyValueWritesIdle float64   `json:"key_value_writes_per_second_idle"`
-	// TakeOverSeconds is from the sudden end of a region's placer until another
+	// TakeoverSeconds is from the sudden end of a region's placer until another
 	// leads; zero where the region has one daemon.
-	TakeOverSeconds float64 `json:"take_over_seconds"`
+	TakeoverSeconds float64 `json:"take_over_seconds"`
 }
 
 const (
@@ -74,7 +74,7 @@
 }
 
 // Control runs daemons over 4 regions and 14 zones in this process and measures.
-func Control(ctx context.Context, options ControlOptions) (ControlReport, error) {
+func MeasureControl(ctx context.Context, options ControlOptions) (ControlReport, error) {
 	if options.Daemons < 1 || options.Daemons > maxControl {
 		return ControlReport{}, errors.Errorf("use 1 to %d daemons", maxControl)
 	}
@@ -89,7 +89,7 @@
 		zone := number % controlZones
 		locations[number] = Location{Region: fmt.Sprintf("region-%d", zone%controlRegions), Zone: fmt.Sprintf("zone-%d", zone)}
 	}
-	system, err := StartSystem(Options{Tree: tree, Daemons: locations, Timing: FastTiming(), WeightBytesRate: devWeightRate, Log: options.Log, FewPeers: true})
+	system, err := StartSystem(Options{Tree: tree, Daemons: locations, Timing: FastTiming(), WeightBytesPerSecond: devWeightRate, Log: options.Log, LimitPeers: true})
 	if err != nil {
 		return ControlReport{}, err
 	}
@@ -103,7 +103,7 @@
 	if err := system.spread(ctx, options.Changes, &report); err != nil {
 		return report, err
 	}
-	if err := system.idle(ctx, options.Steady, &report); err != nil {
+	if err := system.idle(ctx, options.IdleDuration, &report); err != nil {
 		return report, err
 	}
 	return report, system.takeOver(ctx, &report)
@@ -131,7 +131,7 @@
 	for ctx.Err() == nil {
 		for index, started := range s.Daemons {
 			if s.options.Daemons[index].Region == region && started.ID() != placing && started.PlacerEpoch() > 0 {
-				report.TakeOverSeconds = time.Since(began).Seconds()
+				report.TakeoverSeconds = time.Since(began).Seconds()
 				return nil
 			}
 		}
@@ -162,7 +162,7 @@
 		}
 		_ = times.RecordValue(time.Since(began).Microseconds()) // within range
 	}
-	report.Spread = quantiles(times)
+	report.Propagation = quantiles(times)
 	return nil
 }
 
@@ -213,11 +213,11 @@
 func (r ControlReport) WriteText(writer io.Writer) error {
 	lines := []string{
 		fmt.Sprintf("%d daemons; all know all after %.1f s", r.Daemons, r.JoinSeconds),
-		"a change in force everywhere  " + r.Spread.String(),
+		"a change in force everywhere  " + r.Propagation.String(),
 		fmt.Sprintf("idle, per daemon: membership %.0f B/s sent and received, %.2f%% of a core, %.2f MB of heap",
 			r.GossipBytesPerSec, r.CPUPercent, float64(r.HeapBytes)/float64(settings.MiB)),
 		fmt.Sprintf("key-value writes, idle, all daemons: %.2f a second", r.KeyValueWritesIdle),
-		fmt.Sprintf("placer ended without notice; another leads after %.1f s", r.TakeOverSeconds),
+		fmt.Sprintf("placer ended without notice; another leads after %.1f s", r.TakeoverSeconds),
 	}
 	_, err := fmt.Fprintln(writer, strings.Join(lines, "\n"))
 	return errors.Wrap(err, "write report")
--- a/lab/dev.go
+++ b/lab/dev.go
@@ -23,7 +23,7 @@
 	Output io.Writer
 	Log    logrus.FieldLogger
 	// Hold keeps the system up until the context ends.
-	Hold bool
+	KeepRunning bool
 }
 
 const (
@@ -40,15 +40,15 @@
 
 // Dev runs the whole system on loopback, sends sample requests of both
 // deployments, prints what happened and fails if any did not behave.
-func Dev(ctx context.Context, options DevOptions) error {
+func RunDev(ctx context.Context, options DevOptions) error {
 	tree, err := settings.Parse(examples.Sources()...)
 	if err != nil {
 		return err
 	}
 	timing := engines.DefaultTiming()
-	timing.Step = devStep
+	timing.StepTime = devStep
 	system, err := StartSystem(Options{
-		Tree: tree, Daemons: devDaemons, Timing: timing, WeightBytesRate: devWeightRate, Log: options.Log,
+		Tree: tree, Daemons: devDaemons, Timing: timing, WeightBytesPerSecond: devWeightRate, Log: options.Log,
 		ProbeInterval: 200 * time.Millisecond,
 	})
 	if err != nil {
@@ -66,7 +66,7 @@
 		len(system.Daemons), len(system.Engines), len(tree.Targets), time.Since(began).Seconds())
 	run.samples(ctx)
 	run.printf("\n%d of %d checks held\n", run.held, run.checks)
-	if options.Hold {
+	if options.KeepRunning {
 		run.printHints()
 		<-ctx.Done()
 	}
@@ -140,24 +140,24 @@
 		model: model, prompt: prompt, headers: headers})
 	r.checkWhole(model, prompt, first)
 	r.check("the repeat got the same answer", second.Text == first.Text && second.Header.Get(gateway.HeaderReplayed) == "true")
-	runs := r.system.Starts(first.Header.Get("X-Request-Id")) + r.system.Starts(second.Header.Get("X-Request-Id"))
+	runs := r.system.CountStarts(first.Header.Get("X-Request-Id")) + r.system.CountStarts(second.Header.Get("X-Request-Id"))
 	r.check(fmt.Sprintf("engines ran it once (%d)", runs), runs == 1)
 }
 
-func (r *devRun) checkWhole(model, prompt string, answer Answer) {
-	wanted := strings.Join(engines.Answer(model, prompt, devAnswerTokens), "")
-	r.check("the caller got the whole answer to its own request", answer.Whole && answer.Text == wanted)
+func (r *devRun) checkWhole(model, prompt string, answer Completion) {
+	wanted := strings.Join(engines.Completion(model, prompt, devAnswerTokens), "")
+	r.check("the caller got the whole answer to its own request", answer.Complete && answer.Text == wanted)
 }
 
-func (r *devRun) ask(ctx context.Context, sample devAsk) Answer {
-	answer, err := Ask(ctx, AskOptions{
+func (r *devRun) ask(ctx context.Context, sample devAsk) Completion {
+	answer, err := SendRequest(ctx, RequestOptions{
 		Address: r.system.Daemons[sample.daemon].Addresses().Gateway, Key: sample.key, Model: sample.model,
 		Prompt: sample.prompt, MaxTokens: devAnswerTokens, Stream: sample.stream, Headers: sample.headers,
 	})
 	r.printf("%s\n", sample.title)
 	if err != nil {
 		r.printf("    %v\n", err)
-		return Answer{Header: http.Header{}}
+		return Completion{Header: http.Header{}}
 	}
 	r.printf("    %s -> %d, first byte %.0f ms, all %.0f ms, home %s, engine %s\n", sample.model, answer.Status,
 		milliseconds(answer.FirstByte), milliseconds(answer.Total), orNone(answer.Header.Get(gateway.HeaderHome)),
--- a/lab/knownred/knownred.go
+++ b/lab/knownred/knownred.go
@@ -64,7 +64,7 @@
 // Verdict is the judgement of a run.
 type Verdict struct {
 	// Known are listed tests that failed, Mended listed tests that passed.
-	Known, Mended []Entry
+	KnownFailures, Fixed []Entry
 	// Failed are tests that failed, or never ended, and are not listed, and packages that
 	// failed though none of their tests did.
 	Failed []string
@@ -82,7 +82,7 @@
 }
 
 // Good tells whether only listed tests failed.
-func (v *Verdict) Good() bool { return len(v.Failed) == 0 }
+func (v *Verdict) OK() bool { return len(v.Failed) == 0 }
 
 // Judge reads the output of `go test -json ./...`.
 func Judge(run io.Reader, entries []Entry) (*Verdict, error) {
@@ -166,9 +166,9 @@
 		listed[entry.Test] = true
 		switch results[entry.Test] {
 		case "fail":
-			verdict.Known = append(verdict.Known, entry)
+			verdict.KnownFailures = append(verdict.KnownFailures, entry)
 		case "pass":
-			verdict.Mended = append(verdict.Mended, entry)
+			verdict.Fixed = append(verdict.Fixed, entry)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(results)) {
@@ -182,10 +182,10 @@
 
 // Write prints the verdict, with the output of what failed.
 func (v *Verdict) Write(writer io.Writer) {
-	for _, entry := range v.Known {
+	for _, entry := range v.KnownFailures {
 		_, _ = fmt.Fprintf(writer, "known red: %s: %s (%s)\n", entry.Test, entry.Cause, entry.Issue)
 	}
-	for _, entry := range v.Mended {
+	for _, entry := range v.Fixed {
 		_, _ = fmt.Fprintf(writer, "passes now: %s; take its line out of the list\n", entry.Test)
 	}
 	for _, name := range v.Failed {
--- a/lab/knownred/knownred_test.go
+++ b/lab/knownred/knownred_test.go
@@ -26,7 +26,7 @@
 {"Action":"fail","Package":"mod/a"}
 {"Action":"pass","Package":"mod/b"}
 `)
-	require.True(t, verdict.Good())
+	require.True(t, verdict.OK())
 	var out bytes.Buffer
 	verdict.Write(&out)
 	require.Equal(t, "known red: mod/a.TestRed: the queue forgets (issue 9)\npasses now: mod/a.TestMended; take its line out of the list\n0 passed, 0 failed, 0 skipped\n", out.String())
@@ -57,7 +57,7 @@
 {"Action":"pass","Package":"mod/a"}
 {"Action":"skip","Package":"mod/without-tests"}
 `)
-	require.True(t, verdict.Good())
+	require.True(t, verdict.OK())
 	require.Equal(t, "1 passed, 0 failed, 1 skipped", verdict.Counts.String())
 }
 
@@ -69,7 +69,7 @@
 {"Action":"output","Package":"mod/b","Output":"does not build\n"}
 {"Action":"fail","Package":"mod/b"}
 `)
-	require.False(t, verdict.Good())
+	require.False(t, verdict.OK())
 	require.Equal(t, []string{"mod/a.TestOther", "mod/b"}, verdict.Failed)
 	var out bytes.Buffer
 	verdict.Write(&out)
--- a/lab/load.go
+++ b/lab/load.go
@@ -43,7 +43,7 @@
 // that a late sender does not hide a slow system.
 type LoadReport struct {
 	Sent      int            `json:"sent"`
-	Whole     int            `json:"whole"`
+	Complete  int            `json:"whole"`
 	Wrong     int            `json:"wrong"` // not the answer to the request asked
 	Outcomes  map[string]int `json:"outcomes"`
 	FirstByte Quantiles      `json:"first_byte"`
@@ -72,7 +72,7 @@
 }
 
 // Load sends requests at a fixed rate, whatever the answers take.
-func Load(ctx context.Context, options LoadOptions) (LoadReport, error) {
+func GenerateLoad(ctx context.Context, options LoadOptions) (LoadReport, error) {
 	count := int(options.Rate * options.Duration.Seconds())
 	if options.Rate <= 0 || count < 1 || count > maxLoadRequests {
 		return LoadReport{}, errors.Errorf("rate times duration must be 1 to %d requests", maxLoadRequests)
@@ -114,7 +114,7 @@
 	model := r.Models[number%len(r.Models)]
 	prompt := fmt.Sprintf("load request %d at %d", number, due.UnixNano())
 	sent := time.Now()
-	answer, err := Ask(ctx, AskOptions{
+	answer, err := SendRequest(ctx, RequestOptions{
 		Address: r.Addresses[number%len(r.Addresses)], Key: r.Key, Model: model, Prompt: prompt, MaxTokens: r.Tokens, Stream: true,
 		Headers: map[string]string{gateway.HeaderClass: r.Class, gateway.HeaderDeadline: r.Deadline.String()}, Client: r.client,
 	})
@@ -123,11 +123,11 @@
 	defer r.mutex.Unlock()
 	r.report.Sent++
 	r.report.Outcomes[outcomeOf(answer, err)]++
-	if err != nil || !answer.Whole {
+	if err != nil || !answer.Complete {
 		return
 	}
-	r.report.Whole++
-	if answer.Text != strings.Join(engines.Answer(model, prompt, r.Tokens), "") {
+	r.report.Complete++
+	if answer.Text != strings.Join(engines.Completion(model, prompt, r.Tokens), "") {
 		r.report.Wrong++
 	}
 	_ = r.firstByte.RecordValue((late + answer.FirstByte).Microseconds()) // within range by the deadline
@@ -135,8 +135,8 @@
 }
 
 // outcomeOf names how a request ended: answered, the error's code, or broken.
-func outcomeOf(answer Answer, err error) string {
-	if err == nil && answer.Whole {
+func outcomeOf(answer Completion, err error) string {
+	if err == nil && answer.Complete {
 		return "answered"
 	}
 	var told struct {
@@ -165,7 +165,7 @@
 		names = append(names, name)
 	}
 	sort.Strings(names)
-	lines := []string{fmt.Sprintf("sent %d in %.1f s; whole %d, wrong %d", r.Sent, r.Seconds, r.Whole, r.Wrong)}
+	lines := []string{fmt.Sprintf("sent %d in %.1f s; whole %d, wrong %d", r.Sent, r.Seconds, r.Complete, r.Wrong)}
 	for _, name := range names {
 		lines = append(lines, fmt.Sprintf("  %-40s %d", name, r.Outcomes[name]))
 	}
--- a/lab/overhead.go
+++ b/lab/overhead.go
@@ -19,24 +19,24 @@
 
 // OverheadOptions describe a measurement of what finchspoke adds.
 type OverheadOptions struct {
-	Programs string // directory of the built programs
-	Requests int    // of each kind, for the times
-	Streams  int    // long streams, for the cost of a token
-	Tokens   int    // of each long stream
+	BinDirectory string // directory of the built programs
+	Requests     int    // of each kind, for the times
+	Streams      int    // long streams, for the cost of a token
+	Tokens       int    // of each long stream
 }
 
 // OverheadReport compares requests through two daemons with requests sent to the
 // engine stand-in directly, in turn in one run.
 type OverheadReport struct {
-	Direct            Quantiles `json:"direct_first_token"`
-	Through           Quantiles `json:"through_first_token"`
-	Keyed             Quantiles `json:"keyed_first_token"` // through, with an idempotency key
-	DirectPerTokenMs  float64   `json:"direct_per_token_ms"`
-	ThroughPerTokenMs float64   `json:"through_per_token_ms"`
-	GatewayRequestUs  float64   `json:"gateway_cpu_us_per_request"`
-	HomeRequestUs     float64   `json:"home_cpu_us_per_request"`
-	GatewayTokensMs   float64   `json:"gateway_cpu_ms_per_1000_tokens"`
-	GatewayResident   uint64    `json:"gateway_resident_bytes"`
+	Direct                    Quantiles `json:"direct_first_token"`
+	Proxied                   Quantiles `json:"through_first_token"`
+	Keyed                     Quantiles `json:"keyed_first_token"` // through, with an idempotency key
+	DirectPerTokenMs          float64   `json:"direct_per_token_ms"`
+	ProxiedPerTokenMs         float64   `json:"through_per_token_ms"`
+	GatewayCPUPerRequestUs    float64   `json:"gateway_cpu_us_per_request"`
+	HomeCPUPerRequestUs       float64   `json:"home_cpu_us_per_request"`
+	GatewayCPUPer1000TokensMs float64   `json:"gateway_cpu_ms_per_1000_tokens"`
+	GatewayResidentBytes      uint64    `json:"gateway_resident_bytes"`
 }
 
 const (
@@ -72,8 +72,8 @@
 }
 
 // Overhead measures on real processes that it starts on loopback.
-func Overhead(ctx context.Context, options OverheadOptions) (OverheadReport, error) {
-	cluster := &processes.Cluster{Directory: options.Programs}
+func MeasureOverhead(ctx context.Context, options OverheadOptions) (OverheadReport, error) {
+	cluster := &processes.Cluster{Directory: options.BinDirectory}
 	defer cluster.Stop()
 	run := &overheadRun{OverheadOptions: options}
 	if err := run.start(ctx, cluster); err != nil {
@@ -114,7 +114,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := processes.Apply(ctx, daemons[0].Admin, 0, fmt.Sprintf(overheadTree, settings.HashKey(overheadKey))); err != nil {
+	if _, err := processes.ApplySettings(ctx, daemons[0].Admin, 0, fmt.Sprintf(overheadTree, settings.HashKey(overheadKey))); err != nil {
 		return err
 	}
 	for _, started := range daemons {
@@ -173,7 +173,7 @@
 )
 
 // ask sends one stream, through the daemons or to the engine directly.
-func (r *overheadRun) ask(ctx context.Context, way overheadWay, tokens int) (Answer, error) {
+func (r *overheadRun) ask(ctx context.Context, way overheadWay, tokens int) (Completion, error) {
 	r.number++
 	address := r.gateway.Gateway
 	headers := map[string]string{}
@@ -183,9 +183,9 @@
 	case keyed:
 		headers[gateway.HeaderIdempotencyKey] = uuid.NewString()
 	}
-	answer, err := Ask(ctx, AskOptions{Address: address, Key: overheadKey, Model: overheadModel,
+	answer, err := SendRequest(ctx, RequestOptions{Address: address, Key: overheadKey, Model: overheadModel,
 		Prompt: fmt.Sprintf("request %d", r.number), MaxTokens: tokens, Stream: true, Headers: headers})
-	if err == nil && !answer.Whole {
+	if err == nil && !answer.Complete {
 		err = errors.Errorf("request %d ended with status %d: %s", r.number, answer.Status, answer.Text)
 	}
 	return answer, err
@@ -208,9 +208,9 @@
 			perToken[way] += (answer.Total - answer.FirstByte) / (overheadTokens - 1)
 		}
 	}
-	report.Direct, report.Through, report.Keyed = quantiles(first[direct]), quantiles(first[through]), quantiles(first[keyed])
+	report.Direct, report.Proxied, report.Keyed = quantiles(first[direct]), quantiles(first[through]), quantiles(first[keyed])
 	report.DirectPerTokenMs = milliseconds(perToken[direct]) / float64(r.Requests)
-	report.ThroughPerTokenMs = milliseconds(perToken[through]) / float64(r.Requests)
+	report.ProxiedPerTokenMs = milliseconds(perToken[through]) / float64(r.Requests)
 	return nil
 }
 
@@ -230,12 +230,12 @@
 		return err
 	}
 	perRequest := gatewayRequest / time.Duration(r.Requests)
-	report.GatewayRequestUs = float64(perRequest.Microseconds())
-	report.HomeRequestUs = float64((homeRequest / time.Duration(r.Requests)).Microseconds())
+	report.GatewayCPUPerRequestUs = float64(perRequest.Microseconds())
+	report.HomeCPUPerRequestUs = float64((homeRequest / time.Duration(r.Requests)).Microseconds())
 	streams := gatewayStream - time.Duration(r.Streams)*perRequest
 	const thousand = 1000
-	report.GatewayTokensMs = milliseconds(streams) * thousand / float64(r.Streams*r.Tokens)
-	report.GatewayResident = usage.ResidentBytes
+	report.GatewayCPUPer1000TokensMs = milliseconds(streams) * thousand / float64(r.Streams*r.Tokens)
+	report.GatewayResidentBytes = usage.ResidentBytes
 	return nil
 }
 
@@ -266,13 +266,13 @@
 func (r OverheadReport) WriteText(writer io.Writer) error {
 	lines := []string{
 		"first token, direct   " + r.Direct.String(),
-		"first token, through  " + r.Through.String(),
+		"first token, through  " + r.Proxied.String(),
 		"first token, keyed    " + r.Keyed.String(),
-		fmt.Sprintf("added to the first token: p50 %.3f ms, p99 %.3f ms", r.Through.P50-r.Direct.P50, r.Through.P99-r.Direct.P99),
-		fmt.Sprintf("time between tokens: direct %.3f ms, through %.3f ms", r.DirectPerTokenMs, r.ThroughPerTokenMs),
+		fmt.Sprintf("added to the first token: p50 %.3f ms, p99 %.3f ms", r.Proxied.P50-r.Direct.P50, r.Proxied.P99-r.Direct.P99),
+		fmt.Sprintf("time between tokens: direct %.3f ms, through %.3f ms", r.DirectPerTokenMs, r.ProxiedPerTokenMs),
 		fmt.Sprintf("processor time: gateway %.0f us and home %.0f us a request; gateway %.2f ms per 1000 tokens",
-			r.GatewayRequestUs, r.HomeRequestUs, r.GatewayTokensMs),
-		fmt.Sprintf("gateway's resident memory %.1f MB", float64(r.GatewayResident)/float64(settings.MiB)),
+			r.GatewayCPUPerRequestUs, r.HomeCPUPerRequestUs, r.GatewayCPUPer1000TokensMs),
+		fmt.Sprintf("gateway's resident memory %.1f MB", float64(r.GatewayResidentBytes)/float64(settings.MiB)),
 	}
 	_, err := fmt.Fprintln(writer, strings.Join(lines, "\n"))
 	return errors.Wrap(err, "write report")
--- a/lab/overload.go
+++ b/lab/overload.go
@@ -70,7 +70,7 @@
 }
 
 // Overload sends all classes together at each multiple of what the engines carry.
-func Overload(ctx context.Context, options OverloadOptions) (OverloadReport, error) {
+func MeasureOverload(ctx context.Context, options OverloadOptions) (OverloadReport, error) {
 	perRequest := time.Duration(overloadAnswer+1) * overloadStepTime
 	report := OverloadReport{CapacityPerSecond: overloadReplicas * overloadBatch / perRequest.Seconds()}
 	tree, err := settings.Parse(settings.Source{Name: "overload", Data: fmt.Appendf(nil, overloadTree, settings.HashKey(overloadKey))})
@@ -78,8 +78,8 @@
 		return report, err
 	}
 	timing := engines.DefaultTiming()
-	timing.Step, timing.MaxBatch = overloadStepTime, overloadBatch
-	system, err := StartSystem(Options{Tree: tree, Timing: timing, WeightBytesRate: devWeightRate, Log: options.Log,
+	timing.StepTime, timing.MaxBatch = overloadStepTime, overloadBatch
+	system, err := StartSystem(Options{Tree: tree, Timing: timing, WeightBytesPerSecond: devWeightRate, Log: options.Log,
 		Daemons: []Location{{"here", "zone-1"}, {"here", "zone-2"}, {"here", "zone-3"}}})
 	if err != nil {
 		return report, err
@@ -114,7 +114,7 @@
 		open.Add(1)
 		go func() {
 			defer open.Done()
-			reports[index], failures[index] = Load(ctx, LoadOptions{Addresses: addresses, Key: overloadKey, Models: []string{overloadModel},
+			reports[index], failures[index] = GenerateLoad(ctx, LoadOptions{Addresses: addresses, Key: overloadKey, Models: []string{overloadModel},
 				Rate: rate * class.share, Duration: duration, Tokens: overloadAnswer, Class: class.name, Deadline: class.deadline})
 		}()
 	}
@@ -135,9 +135,9 @@
 	for _, step := range r.Steps {
 		for _, class := range overloadClasses {
 			one := step.Classes[class.name]
-			refused := one.Sent - one.Whole
+			refused := one.Sent - one.Complete
 			lines = append(lines, fmt.Sprintf("%4.1fx %-12s sent %4d, whole %4d (%.1f/s), refused or late %4d, wrong %d; first byte p50 %.0f p99 %.0f p99.9 %.0f ms; all max %.0f ms %v",
-				step.Multiple, class.name, one.Sent, one.Whole, float64(one.Whole)/one.Seconds, refused, one.Wrong,
+				step.Multiple, class.name, one.Sent, one.Complete, float64(one.Complete)/one.Seconds, refused, one.Wrong,
 				one.FirstByte.P50, one.FirstByte.P99, one.FirstByte.P999, one.Total.Max, one.Outcomes))
 		}
 	}
--- a/lab/processes/processes.go
+++ b/lab/processes/processes.go
@@ -85,7 +85,7 @@
 	if address {
 		line, err := reader.ReadString('\n')
 		if err != nil {
-			return nil, errors.Wrapf(err, "%s gave no address: %s", name, started.Log())
+			return nil, errors.Wrapf(err, "%s gave no address: %s", name, started.Output())
 		}
 		started.Address = strings.TrimSpace(line)
 	}
@@ -132,21 +132,21 @@
 		return nil, err
 	}
 	for deadline := time.Now().Add(daemonStart); time.Now().Before(deadline); time.Sleep(pollPause) {
-		for _, line := range strings.Split(started.Log(), "\n") {
+		for _, line := range strings.Split(started.Output(), "\n") {
 			var told startedLine
 			if json.Unmarshal([]byte(line), &told) == nil && told.Message == "daemon started" {
 				return &Daemon{Process: started, Gateway: told.Gateway, RPC: told.RPC, Admin: told.Admin}, nil
 			}
 		}
-		if started.Ended() {
+		if started.HasExited() {
 			break
 		}
 	}
-	return nil, errors.Errorf("daemon %s did not start: %s", id, started.Log())
+	return nil, errors.Errorf("daemon %s did not start: %s", id, started.Output())
 }
 
 // Log returns what the process has written.
-func (p *Process) Log() string {
+func (p *Process) Output() string {
 	p.output.mutex.Lock()
 	defer p.output.mutex.Unlock()
 	return p.output.data.String()
@@ -164,7 +164,7 @@
 }
 
 // Ended tells whether the process has ended.
-func (p *Process) Ended() bool {
+func (p *Process) HasExited() bool {
 	select {
 	case <-p.ended:
 		return true
@@ -215,7 +215,7 @@
 }
 
 // History reads a stand-in's history into entries, a pointer to a slice.
-func History(ctx context.Context, address string, entries any) error {
+func ReadHistory(ctx context.Context, address string, entries any) error {
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/history", nil)
 	if err != nil {
 		return errors.Wrap(err, "make request")
@@ -234,7 +234,7 @@
 }
 
 // Apply puts a settings tree in force through a daemon.
-func Apply(ctx context.Context, admin string, base uint64, text string) (uint64, error) {
+func ApplySettings(ctx context.Context, admin string, base uint64, text string) (uint64, error) {
 	var accepted adminapi.Revision
 	err := adminapi.Client{Address: admin}.Post(ctx, adminapi.PathSettingsApply, adminapi.ApplyRequest{
 		BaseRevision: base, OperationID: uuid.NewString(), Author: "lab", YAML: text}, &accepted)
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -33,9 +33,9 @@
 	// RequestsPerSecond is how often a daemon's callers ask for a model, over all daemons.
 	RequestsPerSecond float64
 	// Steady is how long the cost of an idle fleet is measured.
-	Steady time.Duration
-	Seed   uint64
-	Log    logrus.FieldLogger
+	SteadyDuration time.Duration
+	Seed           uint64
+	Log            logrus.FieldLogger
 	// Progress is told what is being done; nil: nobody is.
 	Progress func(step string, done, of int)
 }
@@ -163,7 +163,7 @@
 }
 
 // until waits until something holds at all daemons, and returns when it held at some shares of them.
-func (f *cluster) until(ctx context.Context, what string, holds func(node.Status) bool) (Reach, error) {
+func (f *cluster) until(ctx context.Context, what string, holds func(node.Status) bool) (Propagation, error) {
 	began := time.Now()
 	reached := make([]time.Duration, 0, len(f.daemons))
 	done := make([]bool, len(f.daemons))
@@ -189,10 +189,10 @@
 	f.ask(ctx, calmTime)
 	before, callsBefore := f.traffic(), f.calls()
 	cpu, began := processTime(), time.Now()
-	f.ask(ctx, f.Steady)
+	f.ask(ctx, f.SteadyDuration)
 	seconds := time.Since(began).Seconds()
 	report.CPUShare = (processTime() - cpu).Seconds() / seconds / float64(f.Daemons)
-	report.StoreCalls = float64(f.calls()-callsBefore) / seconds
+	report.StoreCallsPerSecond = float64(f.calls()-callsBefore) / seconds
 	after := f.traffic()
 	for index, one := range f.daemons {
 		report.add(one.node.Status(), float64(after[index]-before[index])/seconds)
@@ -234,7 +234,7 @@
 // change measures how long a routing table takes to all daemons.
 func (f *cluster) change(ctx context.Context, report *Report) (err error) {
 	f.configure()
-	report.Change, err = f.until(ctx, "a configuration is in force", func(status node.Status) bool { return status.ConfigVersion == f.version })
+	report.ConfigChange, err = f.until(ctx, "a configuration is in force", func(status node.Status) bool { return status.ConfigVersion == f.version })
 	return err
 }
 
@@ -242,7 +242,7 @@
 func (f *cluster) arrive(ctx context.Context, report *Report) (err error) {
 	f.enter()
 	known := f.next
-	report.Arrival, err = f.until(ctx, "a replica is known", func(status node.Status) bool { return !status.KnowsAllReplicas || status.Replicas >= known })
+	report.ReplicaAdded, err = f.until(ctx, "a replica is known", func(status node.Status) bool { return !status.KnowsAllReplicas || status.Replicas >= known })
 	return err
 }
 
@@ -252,7 +252,7 @@
 	id, _ := entryOf(f.next, f.Models)
 	f.store.remove(replicaPrefix + id)
 	known := f.next
-	report.Departure, err = f.until(ctx, "a replica is gone", func(status node.Status) bool { return !status.KnowsAllReplicas || status.Replicas <= known })
+	report.ReplicaRemoved, err = f.until(ctx, "a replica is gone", func(status node.Status) bool { return !status.KnowsAllReplicas || status.Replicas <= known })
 	return err
 }
 
@@ -273,8 +273,8 @@
 		}
 		time.Sleep(settlePoll)
 	}
-	report.NextTerm = time.Since(began).Seconds()
-	report.Holder, err = f.until(ctx, "the next holder has all daemons", func(status node.Status) bool { return status.Fence == 0 || status.Attached >= len(f.daemons) })
+	report.NextTermSeconds = time.Since(began).Seconds()
+	report.LeaderLost, err = f.until(ctx, "the next holder has all daemons", func(status node.Status) bool { return status.Fence == 0 || status.Attached >= len(f.daemons) })
 	return err
 }
 
--- a/lab/scale/fleet_test.go
+++ b/lab/scale/fleet_test.go
@@ -16,19 +16,19 @@
 	log := logrus.New()
 	log.SetOutput(&bytes.Buffer{})
 	report, err := Run(t.Context(), Options{
-		Daemons: 24, Replicas: 400, Models: 40, FullMirrorLimit: 100, RequestsPerSecond: 10, Steady: 2 * time.Second, Seed: 1, Log: log,
+		Daemons: 24, Replicas: 400, Models: 40, FullMirrorLimit: 100, RequestsPerSecond: 10, SteadyDuration: 2 * time.Second, Seed: 1, Log: log,
 	})
 	require.NoError(t, err)
-	require.Equal(t, 1, report.HolderRole.Daemons)
-	require.Equal(t, 3, report.Directory.Daemons)
-	require.Equal(t, 20, report.Other.Daemons)
-	require.EqualValues(t, 400, report.Directory.Replicas)
-	require.Less(t, report.Other.Replicas, 400.0)
-	require.Less(t, report.StoreCalls, 10.0, "the holder alone asks")
+	require.Equal(t, 1, report.LeaderRole.Daemons)
+	require.Equal(t, 3, report.DirectoryRole.Daemons)
+	require.Equal(t, 20, report.OtherRole.Daemons)
+	require.EqualValues(t, 400, report.DirectoryRole.Replicas)
+	require.Less(t, report.OtherRole.Replicas, 400.0)
+	require.Less(t, report.StoreCallsPerSecond, 10.0, "the holder alone asks")
 	const bound = 5.0 // seconds, of the users' pages
-	require.Less(t, report.Change.All, bound)
-	require.Less(t, report.Departure.All, bound)
-	require.Less(t, report.Restore.All, bound)
+	require.Less(t, report.ConfigChange.All, bound)
+	require.Less(t, report.ReplicaRemoved.All, bound)
+	require.Less(t, report.StoreRestored.All, bound)
 	require.Less(t, report.AllLost.All, 10.0)
 	var text bytes.Buffer
 	require.NoError(t, report.WriteText(&text))
--- a/lab/scale/report.go
+++ b/lab/scale/report.go
@@ -14,13 +14,13 @@
 )
 
 // Reach is when something had reached some shares of the daemons, in seconds.
-type Reach struct {
-	Half   float64 `json:"half"`
-	Ninety float64 `json:"ninety_in_100"`
-	All    float64 `json:"all"`
+type Propagation struct {
+	P50 float64 `json:"half"`
+	P90 float64 `json:"ninety_in_100"`
+	All float64 `json:"all"`
 }
 
-func reachOf(times []time.Duration, daemons int) Reach {
+func reachOf(times []time.Duration, daemons int) Propagation {
 	at := func(share float64) float64 {
 		index := min(len(times), max(1, int(share*float64(daemons)))) - 1
 		if index < 0 {
@@ -29,11 +29,11 @@
 		return times[index].Seconds()
 	}
 	slices.Sort(times)
-	return Reach{at(0.5), at(0.9), at(1)}
+	return Propagation{at(0.5), at(0.9), at(1)}
 }
 
 // Role is what the daemons of a role spend on others, each on the mean.
-type Role struct {
+type RoleUsage struct {
 	Daemons        int     `json:"daemons"`
 	BytesPerSecond float64 `json:"bytes_per_second"` // sent and received on connections from others
 	Connections    float64 `json:"connections"`      // from others
@@ -46,22 +46,22 @@
 	Replicas int `json:"replicas"`
 	Models   int `json:"models"`
 
-	HolderRole Role `json:"holder"`
-	Directory  Role `json:"directory"`
-	Other      Role `json:"other"`
+	LeaderRole    RoleUsage `json:"holder"`
+	DirectoryRole RoleUsage `json:"directory"`
+	OtherRole     RoleUsage `json:"other"`
 
-	CPUShare   float64 `json:"cpu_share_per_daemon"` // of a core, on the mean over all
-	HeapBytes  uint64  `json:"heap_bytes_per_daemon"`
-	StoreCalls float64 `json:"store_calls_per_second"`
+	CPUShare            float64 `json:"cpu_share_per_daemon"` // of a core, on the mean over all
+	HeapBytes           uint64  `json:"heap_bytes_per_daemon"`
+	StoreCallsPerSecond float64 `json:"store_calls_per_second"`
 
-	Start     Reach   `json:"start"`
-	Change    Reach   `json:"configuration_in_force"`
-	Arrival   Reach   `json:"replica_known"`
-	Departure Reach   `json:"replica_gone"`
-	Restore   Reach   `json:"store_restored"` // to a configuration written right after
-	NextTerm  float64 `json:"next_term"`
-	Holder    Reach   `json:"holder_lost"`
-	AllLost   Reach   `json:"all_lost"`
+	Start           Propagation `json:"start"`
+	ConfigChange    Propagation `json:"configuration_in_force"`
+	ReplicaAdded    Propagation `json:"replica_known"`
+	ReplicaRemoved  Propagation `json:"replica_gone"`
+	StoreRestored   Propagation `json:"store_restored"` // to a configuration written right after
+	NextTermSeconds float64     `json:"next_term"`
+	LeaderLost      Propagation `json:"holder_lost"`
+	AllLost         Propagation `json:"all_lost"`
 	// RestoreCalls and RestoreBytes are what the key-value service was asked for until then.
 	RestoreCalls int `json:"store_restored_store_calls"`
 	RestoreBytes int `json:"store_restored_store_bytes"`
@@ -72,12 +72,12 @@
 
 // add takes in what one daemon spent.
 func (r *Report) add(status node.Status, bytesPerSecond float64) {
-	role := &r.Other
+	role := &r.OtherRole
 	switch {
 	case status.Fence != 0:
-		role = &r.HolderRole
+		role = &r.LeaderRole
 	case status.KnowsAllReplicas:
-		role = &r.Directory
+		role = &r.DirectoryRole
 	}
 	role.Daemons++
 	weight := 1 / float64(role.Daemons)
@@ -91,19 +91,19 @@
 	lines := []string{fmt.Sprintf("%d daemons, %d replicas, %d models", r.Daemons, r.Replicas, r.Models)}
 	for _, role := range []struct {
 		name string
-		Role
-	}{{"holder", r.HolderRole}, {"directories", r.Directory}, {"other daemons", r.Other}} {
+		RoleUsage
+	}{{"holder", r.LeaderRole}, {"directories", r.DirectoryRole}, {"other daemons", r.OtherRole}} {
 		lines = append(lines, fmt.Sprintf("%-15s %4d; each %8.1f KB/s on %6.1f connections from others, %7.0f replicas known",
 			role.name, role.Daemons, role.BytesPerSecond/1000, role.Connections, role.Replicas))
 	}
 	lines = append(lines,
-		fmt.Sprintf("mean daemon     %.2f%% of a core, %.2f MB of heap and stacks; key-value service %.1f calls/s", 100*r.CPUShare, float64(r.HeapBytes)/1e6, r.StoreCalls),
-		fmt.Sprintf("next holder     after %.2f s; its daemons attached after %.2f s more", r.NextTerm, r.Holder.All))
+		fmt.Sprintf("mean daemon     %.2f%% of a core, %.2f MB of heap and stacks; key-value service %.1f calls/s", 100*r.CPUShare, float64(r.HeapBytes)/1e6, r.StoreCallsPerSecond),
+		fmt.Sprintf("next holder     after %.2f s; its daemons attached after %.2f s more", r.NextTermSeconds, r.LeaderLost.All))
 	for _, reach := range []struct {
 		name string
-		Reach
-	}{{"configuration", r.Change}, {"new replica", r.Arrival}, {"lost replica", r.Departure}, {"restored store", r.Restore}, {"all lost", r.AllLost}} {
-		lines = append(lines, fmt.Sprintf("%-15s half %.2f s, 90 in 100 %.2f s, all %.2f s", reach.name, reach.Half, reach.Ninety, reach.All))
+		Propagation
+	}{{"configuration", r.ConfigChange}, {"new replica", r.ReplicaAdded}, {"lost replica", r.ReplicaRemoved}, {"restored store", r.StoreRestored}, {"all lost", r.AllLost}} {
+		lines = append(lines, fmt.Sprintf("%-15s half %.2f s, 90 in 100 %.2f s, all %.2f s", reach.name, reach.P50, reach.P90, reach.All))
 	}
 	lines = append(lines, fmt.Sprintf("after a restore %d calls and %.1f MB at the key-value service", r.RestoreCalls, float64(r.RestoreBytes)/1e6))
 	lines = append(lines, fmt.Sprintf("after the loss  %d calls and %.1f MB at the key-value service", r.AllLostCalls, float64(r.AllLostBytes)/1e6))
--- a/lab/scale/restore.go
+++ b/lab/scale/restore.go
@@ -65,7 +65,7 @@
 	calls, bytes := f.store.spent()
 	f.store.restore(earlier)
 	f.configure()
-	report.Restore, err = f.until(ctx, "a configuration after a restore", func(status node.Status) bool { return status.ConfigVersion == f.version })
+	report.StoreRestored, err = f.until(ctx, "a configuration after a restore", func(status node.Status) bool { return status.ConfigVersion == f.version })
 	callsAfter, bytesAfter := f.store.spent()
 	report.RestoreCalls, report.RestoreBytes = callsAfter-calls, bytesAfter-bytes
 	return err
--- a/lab/system.go
+++ b/lab/system.go
@@ -34,25 +34,25 @@
 
 // Options describe a system.
 type Options struct {
-	Tree            *settings.Tree
-	Daemons         []Location
-	Timing          engines.Timing
-	WeightBytesRate float64 // of one load from the weight store, bytes a second
-	KeyValueRate    float64 // operations a second; zero means the default
-	ProbeInterval   time.Duration
-	// FewPeers gives each daemon the first three as peers only, as in production.
-	FewPeers bool
-	Log      logrus.FieldLogger
+	Tree                 *settings.Tree
+	Daemons              []Location
+	Timing               engines.Timing
+	WeightBytesPerSecond float64 // of one load from the weight store, bytes a second
+	KeyValueOpsPerSecond float64 // operations a second; zero means the default
+	ProbeInterval        time.Duration
+	// LimitPeers gives each daemon the first three as peers only, as in production.
+	LimitPeers bool
+	Log        logrus.FieldLogger
 }
 
-// fewPeers is how many daemons others are told of with FewPeers.
+// fewPeers is how many daemons others are told of with LimitPeers.
 const fewPeers = 3
 
 // FastTiming is that of engines that cost a test little time.
 func FastTiming() engines.Timing {
 	timing := engines.DefaultTiming()
-	timing.Step = 2 * time.Millisecond
-	timing.AdapterLoad = 20 * time.Millisecond
+	timing.StepTime = 2 * time.Millisecond
+	timing.AdapterLoadTime = 20 * time.Millisecond
 	timing.DiskBytesPerSecond = 100 << 30
 	timing.MemoryBytesPerSecond = 400 << 30
 	return timing
@@ -96,7 +96,7 @@
 
 func (s *System) start() error {
 	var err error
-	s.KeyValue = keyvalue.New(s.options.KeyValueRate)
+	s.KeyValue = keyvalue.New(s.options.KeyValueOpsPerSecond)
 	if s.KeyValueAddress, err = s.serve(s.KeyValue); err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 	var listed []machinelist.Machine
 	for _, region := range sortedRegions(s.options.Tree) {
 		s.Weights[region.Name] = weights.New(weights.Limits{
-			LoadsPerSecond: region.LoadsPerSecond, ConcurrentLoads: region.ConcurrentLoads, BytesPerSecond: s.options.WeightBytesRate})
+			LoadsPerSecond: region.LoadsPerSecond, ConcurrentLoads: region.ConcurrentLoads, BytesPerSecond: s.options.WeightBytesPerSecond})
 		address, err := s.serve(s.Weights[region.Name])
 		if err != nil {
 			return nil, err
@@ -176,7 +176,7 @@
 		settingsFile.ProbeInterval = s.options.ProbeInterval
 	}
 	peers := s.Daemons
-	if s.options.FewPeers {
+	if s.options.LimitPeers {
 		peers = peers[:min(fewPeers, len(peers))]
 	}
 	for _, peer := range peers {
@@ -236,7 +236,7 @@
 }
 
 // Starts counts how often engines started a request, over all engines.
-func (s *System) Starts(requestID string) int {
+func (s *System) CountStarts(requestID string) int {
 	count := 0
 	for _, held := range s.Engines {
 		for _, entry := range held.History.Entries() {
--- a/lab/system_test.go
+++ b/lab/system_test.go
@@ -35,8 +35,8 @@
 	tree, err := settings.Parse(examples.Sources()...)
 	require.NoError(t, err)
 	system, err := lab.StartSystem(lab.Options{
-		Tree: tree, Timing: lab.FastTiming(), WeightBytesRate: testWeightRate, Log: logging.New(io.Discard, "error"),
-		ProbeInterval: 200 * time.Millisecond, KeyValueRate: 2000,
+		Tree: tree, Timing: lab.FastTiming(), WeightBytesPerSecond: testWeightRate, Log: logging.New(io.Discard, "error"),
+		ProbeInterval: 200 * time.Millisecond, KeyValueOpsPerSecond: 2000,
 		Daemons: []lab.Location{{Region: "sk-west", Zone: "nitra-a"}, {Region: "sk-west", Zone: "nitra-b"}, {Region: "cl-central", Zone: "pudahuel"}},
 	})
 	require.NoError(t, err)
@@ -58,7 +58,7 @@
 }
 
 func wanted(model, prompt string, tokens int) string {
-	return strings.Join(engines.Answer(model, prompt, tokens), "")
+	return strings.Join(engines.Completion(model, prompt, tokens), "")
 }
 
 // TestOutsideClient checks the caller interface with the openai-go client.
@@ -151,13 +151,13 @@
 
 func TestKeyedRequestRunsOnce(t *testing.T) {
 	system, ctx := startSystem(t)
-	ask := func(daemon int, key, prompt string) (lab.Answer, error) {
-		return lab.Ask(ctx, lab.AskOptions{Address: system.Daemons[daemon].Addresses().Gateway, Key: "sample-key-job-desk",
+	ask := func(daemon int, key, prompt string) (lab.Completion, error) {
+		return lab.SendRequest(ctx, lab.RequestOptions{Address: system.Daemons[daemon].Addresses().Gateway, Key: "sample-key-job-desk",
 			Model: "approval-clerk", Prompt: prompt, MaxTokens: 20, Headers: map[string]string{gateway.HeaderIdempotencyKey: key}})
 	}
 	key := uuid.NewString()
 	var open sync.WaitGroup
-	answers := make([]lab.Answer, 6)
+	answers := make([]lab.Completion, 6)
 	for number := range answers {
 		open.Add(1)
 		go func() {
@@ -181,13 +181,13 @@
 	for number := range 10 {
 		inOutage, err := ask(number%3, uuid.NewString(), "approve in an outage")
 		require.NoError(t, err)
-		require.True(t, inOutage.Whole, inOutage.Text)
+		require.True(t, inOutage.Complete, inOutage.Text)
 	}
 	require.Equal(t, 11, countEntries(system, engines.RequestStarted))
-	warm, err := lab.Ask(ctx, lab.AskOptions{Address: system.Daemons[0].Addresses().Gateway, Key: "sample-key-job-desk",
+	warm, err := lab.SendRequest(ctx, lab.RequestOptions{Address: system.Daemons[0].Addresses().Gateway, Key: "sample-key-job-desk",
 		Model: "approval-clerk", Prompt: "unkeyed", MaxTokens: 5})
 	require.NoError(t, err)
-	require.True(t, warm.Whole, "what is loaded goes on in an outage")
+	require.True(t, warm.Complete, "what is loaded goes on in an outage")
 }
 
 // groupsMade counts the run-once groups that stand in the key-value service.
@@ -205,16 +205,16 @@
 
 func TestLostAnswerIsUnknownAndNotRepeated(t *testing.T) {
 	system, ctx := startSystem(t)
-	ask := func(headers map[string]string) lab.Answer {
-		answer, err := lab.Ask(ctx, lab.AskOptions{Address: system.Daemons[0].Addresses().Gateway, Key: "sample-key-job-desk",
+	ask := func(headers map[string]string) lab.Completion {
+		answer, err := lab.SendRequest(ctx, lab.RequestOptions{Address: system.Daemons[0].Addresses().Gateway, Key: "sample-key-job-desk",
 			Model: "approval-clerk", Prompt: "once", MaxTokens: 5, Headers: headers})
 		require.NoError(t, err)
 		return answer
 	}
-	require.True(t, ask(nil).Whole)
+	require.True(t, ask(nil).Complete)
 	started := countEntries(system, engines.RequestStarted)
 	for _, held := range system.Engines {
-		held.Faults.Set(engines.Faults{LoseAnswers: true})
+		held.Faults.Set(engines.Faults{DropResponses: true})
 	}
 	lost := ask(map[string]string{gateway.HeaderNoRepeat: "true"})
 	require.Equal(t, http.StatusBadGateway, lost.Status)
@@ -240,10 +240,10 @@
 	for _, held := range system.Engines {
 		held.Faults.Set(engines.Faults{CutAfterTokens: 4})
 	}
-	answer, err := lab.Ask(ctx, lab.AskOptions{Address: system.Daemons[0].Addresses().Gateway, Key: "sample-key-designers",
+	answer, err := lab.SendRequest(ctx, lab.RequestOptions{Address: system.Daemons[0].Addresses().Gateway, Key: "sample-key-designers",
 		Model: "proof-check-sk", Prompt: "cut", MaxTokens: 9, Stream: true})
 	require.NoError(t, err)
-	require.False(t, answer.Whole)
+	require.False(t, answer.Complete)
 	require.Equal(t, wanted("proof-check-sk", "cut", 4), answer.Text, "a part, and of its own answer")
 	stream := client.Chat.Completions.NewStreaming(ctx, question("proof-check-sk", "cut again", 9))
 	for stream.Next() {
@@ -255,10 +255,10 @@
 func TestCrossedAnswerIsNotUsed(t *testing.T) {
 	system, ctx := startSystem(t)
 	for _, held := range system.Engines {
-		held.Faults.Set(engines.Faults{CrossAnswers: true})
+		held.Faults.Set(engines.Faults{MismatchRequestIDs: true})
 	}
 	for _, stream := range []bool{false, true} {
-		answer, err := lab.Ask(ctx, lab.AskOptions{Address: system.Daemons[0].Addresses().Gateway, Key: "sample-key-designers",
+		answer, err := lab.SendRequest(ctx, lab.RequestOptions{Address: system.Daemons[0].Addresses().Gateway, Key: "sample-key-designers",
 			Model: "proof-check-sk", Prompt: "crossed", MaxTokens: 5, Stream: stream, Headers: map[string]string{gateway.HeaderNoRepeat: "true"}})
 		require.NoError(t, err)
 		require.Equal(t, http.StatusBadGateway, answer.Status, answer.Text)
@@ -269,10 +269,10 @@
 // TestEngineResumesAtAnyOffset reads a stream's rest from every offset.
 func TestEngineResumesAtAnyOffset(t *testing.T) {
 	system, ctx := startSystem(t)
-	answer, err := lab.Ask(ctx, lab.AskOptions{Address: system.Daemons[0].Addresses().Gateway, Key: "sample-key-designers",
+	answer, err := lab.SendRequest(ctx, lab.RequestOptions{Address: system.Daemons[0].Addresses().Gateway, Key: "sample-key-designers",
 		Model: "proof-check-sk", Prompt: "resumed", MaxTokens: 3, Stream: true})
 	require.NoError(t, err)
-	require.True(t, answer.Whole)
+	require.True(t, answer.Complete)
 	address := ""
 	machines, err := machinelist.NewClient(system.MachinesAddress).Machines(ctx, "")
 	require.NoError(t, err)
@@ -296,17 +296,17 @@
 // TestLeavingEngineGetsNothingNew marks the engine that serves as leaving.
 func TestLeavingEngineGetsNothingNew(t *testing.T) {
 	system, ctx := startSystem(t)
-	ask := func() lab.Answer {
-		answer, err := lab.Ask(ctx, lab.AskOptions{Address: system.Daemons[0].Addresses().Gateway, Key: "sample-key-designers",
+	ask := func() lab.Completion {
+		answer, err := lab.SendRequest(ctx, lab.RequestOptions{Address: system.Daemons[0].Addresses().Gateway, Key: "sample-key-designers",
 			Model: "proof-check-sk", Prompt: "p", MaxTokens: 2, Stream: true})
 		require.NoError(t, err)
-		require.True(t, answer.Whole, answer.Text)
+		require.True(t, answer.Complete, answer.Text)
 		return answer
 	}
 	leaving := ask().Header.Get(gateway.HeaderEngine)
-	long := make(chan lab.Answer, 1)
+	long := make(chan lab.Completion, 1)
 	go func() {
-		answer, _ := lab.Ask(ctx, lab.AskOptions{Address: system.Daemons[1].Addresses().Gateway, Key: "sample-key-designers",
+		answer, _ := lab.SendRequest(ctx, lab.RequestOptions{Address: system.Daemons[1].Addresses().Gateway, Key: "sample-key-designers",
 			Model: "proof-check-sk", Prompt: "runs on", MaxTokens: 1500, Stream: true})
 		long <- answer
 	}()
@@ -317,7 +317,7 @@
 		require.NotEqual(t, leaving, ask().Header.Get(gateway.HeaderEngine))
 	}
 	finished := <-long
-	require.True(t, finished.Whole, "what ran is not cut")
+	require.True(t, finished.Complete, "what ran is not cut")
 	require.Equal(t, leaving, finished.Header.Get(gateway.HeaderEngine))
 	require.Eventually(t, func() bool { return len(system.Engines[leaving].Inventory().Replicas) == 0 }, 10*time.Second, 20*time.Millisecond)
 }
@@ -338,10 +338,10 @@
 
 func TestExplainModelAndRequest(t *testing.T) {
 	system, ctx := startSystem(t)
-	answer, err := lab.Ask(ctx, lab.AskOptions{Address: system.Daemons[0].Addresses().Gateway, Key: "sample-key-designers",
+	answer, err := lab.SendRequest(ctx, lab.RequestOptions{Address: system.Daemons[0].Addresses().Gateway, Key: "sample-key-designers",
 		Model: "proof-check-sk.dairy", Prompt: "explained", MaxTokens: 2})
 	require.NoError(t, err)
-	require.True(t, answer.Whole, answer.Text)
+	require.True(t, answer.Complete, answer.Text)
 	admin := adminapi.Client{Address: system.Daemons[1].Addresses().Admin}
 	var loaded, idle adminapi.Explanation
 	require.NoError(t, admin.Get(ctx, adminapi.PathExplainModel+"proof-check-sk.dairy", &loaded))
@@ -357,6 +357,6 @@
 // TestDevHolds runs what `make dev` runs.
 func TestDevHolds(t *testing.T) {
 	var output strings.Builder
-	err := lab.Dev(context.Background(), lab.DevOptions{Output: &output, Log: logging.New(io.Discard, "error")})
+	err := lab.RunDev(context.Background(), lab.DevOptions{Output: &output, Log: logging.New(io.Discard, "error")})
 	require.NoError(t, err, output.String())
 }
--- a/limiter/limiter_test.go
+++ b/limiter/limiter_test.go
@@ -182,7 +182,7 @@
 	t.Cleanup(proxy.Close)
 	client := startClient(t, proxy.Address())
 	awaitAdmit(t, client, tenant)
-	proxy.SilenceOpen()
+	proxy.StallOpen()
 	began := time.Now()
 	require.Eventually(t, func() bool {
 		_, failed := admit(t, client, tenant) // a stream without requests needs no answers
--- a/loader/limits.go
+++ b/loader/limits.go
@@ -16,7 +16,7 @@
 func (l *Leader) applyLimits(message *rpc.LoadsDemand, now time.Time) {
 	var changed []fleet.ReplicaLimit
 	for _, message := range message.GetLimits() {
-		reported := message.Word(now)
+		reported := message.Decode(now)
 		l.Fleet.ApplyRelayedLimit(reported, now)
 		if limit, known := l.Fleet.LimitRecord(reported.ID); known && !l.limitChanges.isCurrent(limit) {
 			changed = append(changed, limit)
@@ -102,7 +102,7 @@
 // applyLimits records the limits received from the leader.
 func (f *Follower) applyLimits(messages []*rpc.ReplicaLimit, sent *sentReport, now time.Time) {
 	for _, message := range messages {
-		limit := message.Word(now)
+		limit := message.Decode(now)
 		sent.mutex.Lock()
 		sent.limits[limit.Incarnation] = limit.PerSecond
 		sent.mutex.Unlock()
--- a/loader/silence_test.go
+++ b/loader/silence_test.go
@@ -43,7 +43,7 @@
 	// The follower is attached once it has sent its first message. The proxy silences only open connections,
 	// so wait until the message has passed through it.
 	require.Eventually(t, func() bool { return attachedTo(leader) == 1 }, time.Second, time.Millisecond)
-	proxy.SilenceOpen()
+	proxy.StallOpen()
 	silenced := time.Now()
 	require.Eventually(t, func() bool { return !follower.Attached() }, silenceTimeout+2*time.Second, 5*time.Millisecond)
 	require.Eventually(t, follower.Attached, time.Second, time.Millisecond)
--- a/permit/model_test.go
+++ b/permit/model_test.go
@@ -259,7 +259,7 @@
 					m := newModel(coordinated, 1, daemons, perSecond)
 					m.lossRate = 0.02
 					m.runCallers(3*perSecond, 5*time.Second, time.Now().Add(length))
-					require.LessOrEqual(t, testwindow.Most(m.arrivals, modelWindow), maxArrivals(perSecond))
+					require.LessOrEqual(t, testwindow.MaxCount(m.arrivals, modelWindow), maxArrivals(perSecond))
 					require.GreaterOrEqual(t, float64(len(m.arrivals)), 0.9*perSecond*length.Seconds(), "the demand exceeds the limit")
 				})
 			})
@@ -278,7 +278,7 @@
 					m.lossRate = 0.1
 					go m.injectFaults(length)
 					m.runCallers(3*perSecond, 2*time.Second, time.Now().Add(length))
-					require.LessOrEqual(t, testwindow.Most(m.arrivals, modelWindow), maxArrivals(perSecond))
+					require.LessOrEqual(t, testwindow.MaxCount(m.arrivals, modelWindow), maxArrivals(perSecond))
 					require.Positive(t, len(m.arrivals))
 					time.Sleep(time.Minute)
 				})
@@ -343,7 +343,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			m := newModel(strategy, 1, 69, perSecond)
 			m.runCallers(2*perSecond, 2*time.Second, time.Now().Add(length))
-			played[strategy] = figures{testwindow.Most(m.arrivals, modelWindow), len(m.arrivals)}
+			played[strategy] = figures{testwindow.MaxCount(m.arrivals, modelWindow), len(m.arrivals)}
 		})
 	}
 	t.Log(played)
--- a/records/proof_test.go
+++ b/records/proof_test.go
@@ -184,7 +184,7 @@
 		return !follower.VerifiedAt().IsZero() && time.Since(follower.VerifiedAt()) < 300*time.Millisecond
 	}
 	require.Eventually(t, verified, 2*time.Second, 5*time.Millisecond)
-	proxy.SilenceOpen()
+	proxy.StallOpen()
 	require.Eventually(t, func() bool { return !verified() }, time.Second, 5*time.Millisecond)
 	require.Eventually(t, verified, confirmationTTL+peerTimeout+2*time.Second, 5*time.Millisecond)
 }
--- a/rpc/replicas.go
+++ b/rpc/replicas.go
@@ -15,7 +15,7 @@
 }
 
 // Word reads the message.
-func (m *ReplicaLimit) Word(now time.Time) fleet.ReplicaLimit {
+func (m *ReplicaLimit) Decode(now time.Time) fleet.ReplicaLimit {
 	return fleet.ReplicaLimit{
 		Incarnation: m.GetReplica().Incarnation(),
 		PerSecond:   max(0, m.GetPerSecond()), ObservedAt: now.Add(-time.Duration(m.GetAgeMs()) * time.Millisecond),
--- a/settings/registry_test.go
+++ b/settings/registry_test.go
@@ -57,7 +57,7 @@
 
 func TestApplyResolvesLostResponses(t *testing.T) {
 	registry, service := newRegistry(t)
-	service.Faults.Set(keyvalue.Faults{LoseAnswers: 60})
+	service.Faults.Set(keyvalue.Faults{DropResponsesPercent: 60})
 	parsed := parse(t, baseYAML)
 	for number := range uint64(20) {
 		revision, err := apply(registry, number, "operation-"+string(rune('a'+number)), parsed)
@@ -66,7 +66,7 @@
 	}
 	lost := 0
 	for _, entry := range service.History.Entries() {
-		if entry.AnswerLost {
+		if entry.ResponseDropped {
 			lost++
 		}
 	}
--- a/standin/engines/answer.go
+++ b/standin/engines/answer.go
@@ -12,7 +12,7 @@
 // Answer returns the tokens with which every engine answers a prompt to a model
 // or adapter: the same prompt always gets the same answer, and another prompt
 // or target another, so an oracle can tell whose answer it sees.
-func Answer(target, prompt string, count int) []string {
+func Completion(target, prompt string, count int) []string {
 	tokens := make([]string, 0, count)
 	state := seedOf(target, prompt)
 	for len(tokens) < count {
--- a/standin/engines/batch.go
+++ b/standin/engines/batch.go
@@ -131,7 +131,7 @@
 }
 
 func (b *batch) pause(ctx context.Context) bool {
-	step := b.engine.config.Timing.Step
+	step := b.engine.config.Timing.StepTime
 	if slow := b.engine.Faults.Get().SlowFactor; slow > 1 {
 		step = time.Duration(float64(step) * slow)
 	}
@@ -167,7 +167,7 @@
 	key := strconv.FormatUint(admitted.prefix, 10)
 	admitted.readyAt = now
 	if !b.prefixes.touch(key) {
-		seconds := float64(admitted.prompt) / b.engine.config.Timing.PrefillTokensPerSec
+		seconds := float64(admitted.prompt) / b.engine.config.Timing.PrefillTokensPerSecond
 		admitted.readyAt = now.Add(time.Duration(seconds * float64(time.Second)))
 		b.prefixes.add(key, int64(admitted.prompt), engine.CachedCheckpoint{})
 		b.engine.events.add(admitted.target, admitted.prefix, false)
--- a/standin/engines/config.go
+++ b/standin/engines/config.go
@@ -14,11 +14,11 @@
 
 // Config describes an engine.
 type Config struct {
-	ID                 string
-	Accelerators       int
-	AcceleratorBytes   int64
-	WeightStoreAddress string // host:port
-	Timing             Timing
+	ID                     string
+	Accelerators           int
+	AcceleratorMemoryBytes int64
+	WeightStoreAddress     string // host:port
+	Timing                 Timing
 	// DiskCacheBytes and MemoryCacheBytes bound the checkpoints kept.
 	DiskCacheBytes   int64
 	MemoryCacheBytes int64
@@ -26,11 +26,11 @@
 	PrefixCacheTokens int
 	// ResumeWindow is how long an answer goes on without a reader.
 	ResumeWindow time.Duration
-	// EventDelay is how late cache events are; one in EventGap is lost (0: none).
-	EventDelay time.Duration
-	EventGap   int
-	// LoadLag is how old load reports are.
-	LoadLag time.Duration
+	// EventDelay is how late cache events are; one in EventLossInterval is lost (0: none).
+	EventDelay        time.Duration
+	EventLossInterval int
+	// LoadReportDelay is how old load reports are.
+	LoadReportDelay time.Duration
 }
 
 // Defaults of the caches, and of how late and incomplete an engine's reports are.
@@ -47,35 +47,35 @@
 func DefaultConfig(id string, accelerators int, acceleratorBytes int64, weightStore string, timing Timing) Config {
 	memory := int64(accelerators) * acceleratorBytes
 	return Config{
-		ID: id, Accelerators: accelerators, AcceleratorBytes: acceleratorBytes, WeightStoreAddress: weightStore, Timing: timing,
+		ID: id, Accelerators: accelerators, AcceleratorMemoryBytes: acceleratorBytes, WeightStoreAddress: weightStore, Timing: timing,
 		DiskCacheBytes: diskCacheFactor * memory, MemoryCacheBytes: memory, PrefixCacheTokens: prefixCacheTokens,
-		ResumeWindow: resumeWindow, EventDelay: eventDelay, EventGap: eventGap, LoadLag: loadLag,
+		ResumeWindow: resumeWindow, EventDelay: eventDelay, EventLossInterval: eventGap, LoadReportDelay: loadLag,
 	}
 }
 
 // Timing is the engine's model of time.
 type Timing struct {
-	Step                  time.Duration // one decode step of a whole batch
-	PrefillTokensPerSec   float64
-	MaxBatch              int
-	DiskBytesPerSecond    float64
-	MemoryBytesPerSecond  float64
-	AdapterLoad           time.Duration
-	DefaultMaxTokens      int
-	LongestAnswerInTokens int
+	StepTime               time.Duration // one decode step of a whole batch
+	PrefillTokensPerSecond float64
+	MaxBatch               int
+	DiskBytesPerSecond     float64
+	MemoryBytesPerSecond   float64
+	AdapterLoadTime        time.Duration
+	DefaultMaxTokens       int
+	MaxCompletionTokens    int
 }
 
 // DefaultTiming is that of an accelerator of today: 20 ms a token.
 func DefaultTiming() Timing {
 	return Timing{
-		Step:                  20 * time.Millisecond,
-		PrefillTokensPerSec:   8000,
-		MaxBatch:              32,
-		DiskBytesPerSecond:    3 << 30,
-		MemoryBytesPerSecond:  20 << 30,
-		AdapterLoad:           150 * time.Millisecond,
-		DefaultMaxTokens:      32,
-		LongestAnswerInTokens: 100_000,
+		StepTime:               20 * time.Millisecond,
+		PrefillTokensPerSecond: 8000,
+		MaxBatch:               32,
+		DiskBytesPerSecond:     3 << 30,
+		MemoryBytesPerSecond:   20 << 30,
+		AdapterLoadTime:        150 * time.Millisecond,
+		DefaultMaxTokens:       32,
+		MaxCompletionTokens:    100_000,
 	}
 }
 
@@ -86,17 +86,17 @@
 	// CutAfterTokens cuts the connection of each answer after so many tokens.
 	CutAfterTokens int `json:"cut_after_tokens,omitempty"`
 	// LoseAnswers runs requests and cuts the connection before the answer.
-	LoseAnswers bool `json:"lose_answers,omitempty"`
-	// CrossAnswers names another request in each answer, as a crossed one does.
-	CrossAnswers bool `json:"cross_answers,omitempty"`
+	DropResponses bool `json:"lose_answers,omitempty"`
+	// MismatchRequestIDs names another request in each answer, as a crossed one does.
+	MismatchRequestIDs bool `json:"cross_answers,omitempty"`
 	// SlowFactor multiplies the time of each step.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
 	// FailLoads makes every load end in failure.
 	FailLoads bool `json:"fail_loads,omitempty"`
 	// DelayOrders holds each order back before it is looked at.
 	DelayOrders fault.Duration `json:"delay_orders,omitempty"`
-	// LoseOrderAnswers acts on orders and cuts the connection.
-	LoseOrderAnswers bool `json:"lose_order_answers,omitempty"`
+	// DropOrderResponses acts on orders and cuts the connection.
+	DropOrderResponses bool `json:"lose_order_answers,omitempty"`
 	// Leaving makes the engine say that it leaves.
 	Draining bool `json:"leaving,omitempty"`
 }
--- a/standin/engines/engine.go
+++ b/standin/engines/engine.go
@@ -58,7 +58,7 @@
 		unloaded:  map[string]bool{},
 		cache:     newCheckpointCache(config.DiskCacheBytes, config.MemoryCacheBytes),
 		sequences: map[string]*sequence{},
-		events:    newEventLog(config.EventDelay, config.EventGap),
+		events:    newEventLog(config.EventDelay, config.EventLossInterval),
 	}
 	created.routes()
 	created.workers.Add(1)
@@ -125,7 +125,7 @@
 	}
 	for _, used := range e.used {
 		inventory.Accelerators = append(inventory.Accelerators,
-			engine.Accelerator{MemoryBytes: e.config.AcceleratorBytes, UsedBytes: used})
+			engine.Accelerator{MemoryBytes: e.config.AcceleratorMemoryBytes, UsedBytes: used})
 	}
 	for _, held := range e.replicas {
 		inventory.Replicas = append(inventory.Replicas, held.describe(time.Now()))
@@ -201,7 +201,7 @@
 func (e *Engine) serveLoad(writer http.ResponseWriter, _ *http.Request) {
 	e.mutex.Lock()
 	var report engine.LoadReport
-	limit := time.Now().Add(-e.config.LoadLag)
+	limit := time.Now().Add(-e.config.LoadReportDelay)
 	for _, candidate := range e.reports {
 		if !candidate.At.After(limit) {
 			report = candidate
--- a/standin/engines/inference.go
+++ b/standin/engines/inference.go
@@ -99,10 +99,10 @@
 		http.Error(writer, reason, http.StatusServiceUnavailable)
 		return
 	}
-	if e.Faults.Get().LoseAnswers {
+	if e.Faults.Get().DropResponses {
 		panic(http.ErrAbortHandler)
 	}
-	if e.Faults.Get().CrossAnswers {
+	if e.Faults.Get().MismatchRequestIDs {
 		writer.Header().Set(engine.HeaderRequestID, uuid.NewString())
 	}
 	answer := answerWriter{engine: e, sequence: running}
@@ -123,7 +123,7 @@
 	if count <= 0 {
 		count = e.config.Timing.DefaultMaxTokens
 	}
-	count = min(count, e.config.Timing.LongestAnswerInTokens)
+	count = min(count, e.config.Timing.MaxCompletionTokens)
 	prompt := asked.text()
 	rank, err := strconv.Atoi(header.Get(engine.HeaderPriority))
 	if err != nil {
@@ -140,7 +140,7 @@
 	}
 	running := &sequence{
 		requestID: requestID, target: asked.Model, priority: rank, prompt: countTokens(prompt),
-		prefix: engine.PrefixHash(asked.Model, prompt), tokens: Answer(asked.Model, prompt, count),
+		prefix: engine.PrefixHash(asked.Model, prompt), tokens: Completion(asked.Model, prompt, count),
 		asked: asked, form: form, created: time.Now().Unix(), changed: make(chan struct{}),
 	}
 	e.sequences[requestID] = running
--- a/standin/engines/orders.go
+++ b/standin/engines/orders.go
@@ -49,7 +49,7 @@
 	}
 	time.Sleep(time.Duration(e.Faults.Get().DelayOrders))
 	answer := e.Execute(order)
-	if e.Faults.Get().LoseOrderAnswers {
+	if e.Faults.Get().DropOrderResponses {
 		panic(http.ErrAbortHandler)
 	}
 	status := http.StatusOK
@@ -115,7 +115,7 @@
 		if index < 0 || index >= len(e.used) {
 			return fmt.Sprintf("accelerator %d does not exist", index)
 		}
-		if e.used[index]+order.MemoryBytes > e.config.AcceleratorBytes {
+		if e.used[index]+order.MemoryBytes > e.config.AcceleratorMemoryBytes {
 			e.record(Entry{Kind: MemoryRefused, ReplicaID: order.ReplicaID, Model: order.Model,
 				Epoch: order.Fence.Epoch, Revision: order.Fence.Revision})
 			return fmt.Sprintf("accelerator %d has no room", index)
@@ -267,7 +267,7 @@
 	e.workers.Add(1)
 	go func() {
 		defer e.workers.Done()
-		if !sleep.For(e.ctx, e.config.Timing.AdapterLoad) {
+		if !sleep.For(e.ctx, e.config.Timing.AdapterLoadTime) {
 			return
 		}
 		e.mutex.Lock()
--- a/standin/keyvalue/server.go
+++ b/standin/keyvalue/server.go
@@ -19,18 +19,18 @@
 	Delay fault.Duration `json:"delay,omitempty"`
 	// LoseAnswers cuts the connection after a transaction took effect, for this
 	// many percent of transactions.
-	LoseAnswers int `json:"lose_answers_percent,omitempty"`
+	DropResponsesPercent int `json:"lose_answers_percent,omitempty"`
 	// PauseWatches holds back all events.
 	PauseWatches bool `json:"pause_watches,omitempty"`
 }
 
 // Entry is one transaction in the history.
 type Entry struct {
-	At         time.Time `json:"at"`
-	Revision   int64     `json:"revision"`
-	Succeeded  bool      `json:"succeeded"`
-	Keys       []string  `json:"keys"` // written, when succeeded
-	AnswerLost bool      `json:"answer_lost,omitempty"`
+	At              time.Time `json:"at"`
+	Revision        int64     `json:"revision"`
+	Succeeded       bool      `json:"succeeded"`
+	Keys            []string  `json:"keys"` // written, when succeeded
+	ResponseDropped bool      `json:"answer_lost,omitempty"`
 }
 
 // Server is the stand-in.
@@ -128,9 +128,9 @@
 			}
 		}
 	}
-	entry.AnswerLost = s.loses(entry.Revision)
+	entry.ResponseDropped = s.loses(entry.Revision)
 	s.History.Add(entry)
-	if entry.AnswerLost {
+	if entry.ResponseDropped {
 		panic(http.ErrAbortHandler) // cuts the connection without an answer
 	}
 	fault.WriteJSON(writer, http.StatusOK, answer)
@@ -139,7 +139,7 @@
 // loses spreads lost answers evenly and repeatably over revisions.
 func (s *Server) loses(revision int64) bool {
 	const hundred, stride = 100, 37
-	return int(revision*stride%hundred) < s.Faults.Get().LoseAnswers
+	return int(revision*stride%hundred) < s.Faults.Get().DropResponsesPercent
 }
 
 func (s *Server) watch(writer http.ResponseWriter, httpRequest *http.Request) {
--- a/standin/machines/machines.go
+++ b/standin/machines/machines.go
@@ -16,7 +16,7 @@
 )
 
 // Gone removes a machine when posted as its state.
-const Gone machinelist.State = "gone"
+const Removed machinelist.State = "gone"
 
 // Faults are the failures that can be switched on.
 type Faults struct {
@@ -103,7 +103,7 @@
 	}
 	listed := make([]machinelist.Machine, 0, len(byID))
 	for _, machine := range byID {
-		if machine.State != Gone {
+		if machine.State != Removed {
 			listed = append(listed, machine)
 		}
 	}
--- a/standin/weights/weights.go
+++ b/standin/weights/weights.go
@@ -31,11 +31,11 @@
 
 // Entry is one read in the history.
 type Entry struct {
-	At       time.Time `json:"at"`
-	Object   string    `json:"object"`
-	Refused  bool      `json:"refused,omitempty"` // by the limit on starts
-	AtOnce   int       `json:"at_once"`           // reads running, this one included
-	Duration string    `json:"duration,omitempty"`
+	At         time.Time `json:"at"`
+	Object     string    `json:"object"`
+	Refused    bool      `json:"refused,omitempty"` // by the limit on starts
+	Concurrent int       `json:"at_once"`           // reads running, this one included
+	Duration   string    `json:"duration,omitempty"`
 }
 
 // Limits describe the store.
@@ -87,7 +87,7 @@
 	}
 	// Only the start of an object counts as a load; later ranges continue it.
 	if first == 0 && !s.limiter.Allow() {
-		s.History.Add(Entry{At: time.Now(), Object: object, Refused: true, AtOnce: s.atOnce(0)})
+		s.History.Add(Entry{At: time.Now(), Object: object, Refused: true, Concurrent: s.atOnce(0)})
 		writer.Header().Set("Retry-After", "1")
 		http.Error(writer, "too many loads", http.StatusTooManyRequests)
 		return
@@ -98,7 +98,7 @@
 	if !s.transfer(httpRequest, float64(last-first+1)) {
 		return
 	}
-	s.History.Add(Entry{At: started, Object: object, AtOnce: atOnce, Duration: time.Since(started).String()})
+	s.History.Add(Entry{At: started, Object: object, Concurrent: atOnce, Duration: time.Since(started).String()})
 	writer.Header().Set(LengthHeader, strconv.FormatInt(last-first+1, 10))
 	writer.Header().Set("Content-Range", fmt.Sprintf("bytes %d-%d/*", first, last))
 	writer.WriteHeader(http.StatusPartialContent)
--- a/testwindow/testwindow.go
+++ b/testwindow/testwindow.go
@@ -7,7 +7,7 @@
 )
 
 // Most returns the most of some moments that lie within a window, wherever it begins.
-func Most(moments []time.Time, window time.Duration) (most int) {
+func MaxCount(moments []time.Time, window time.Duration) (most int) {
 	ascending := slices.SortedFunc(slices.Values(moments), time.Time.Compare)
 	first := 0
 	for index, at := range ascending {
