--- a/core/core_test.go
+++ b/core/core_test.go
@@ -66,13 +66,13 @@
 
 func sendError(written bool) func(context.Context, Dispatch) (*Reply, error) {
 	return func(context.Context, Dispatch) (*Reply, error) {
-		return nil, &SendError{Written: written, Cause: errors.New("reset")}
+		return nil, &SendError{RequestWritten: written, Cause: errors.New("reset")}
 	}
 }
 
 func neverReplies(ctx context.Context, _ Dispatch) (*Reply, error) {
 	<-ctx.Done()
-	return nil, &SendError{Written: true, Cause: ctx.Err()}
+	return nil, &SendError{RequestWritten: true, Cause: ctx.Err()}
 }
 
 // responseRecorder records the response written to it.
@@ -229,8 +229,8 @@
 }
 
 // stopAfter returns the times of a stop that accepts calls as long as they can finish in time.
-func stopAfter(delay time.Duration) StopTimes {
-	return StopTimes{AcceptUntil: time.Now().Add(delay), EndBy: time.Now().Add(delay)}
+func stopAfter(delay time.Duration) StopDeadlines {
+	return StopDeadlines{AcceptUntil: time.Now().Add(delay), EndBy: time.Now().Add(delay)}
 }
 
 func TestStopRefusesWaitingCallsAndFinishesRunningOnes(t *testing.T) {
@@ -312,14 +312,14 @@
 		}
 		return spent
 	}
-	core.SetDaemons(20)
+	core.SetDaemonCount(20)
 	require.Equal(t, 5, spend())
 	for range 1000 {
 		core.budget("press").Deposit()
 	}
-	core.SetDaemons(50)
+	core.SetDaemonCount(50)
 	require.Equal(t, 2, spend(), "budget above the new reserve is dropped")
-	core.SetDaemons(0)
+	core.SetDaemonCount(0)
 	require.InDelta(t, 2, core.budget("press").Reserve, 0.001, "zero daemons leaves the reserve unchanged")
 }
 
@@ -349,7 +349,7 @@
 		require.Nil(t, failed)
 		require.Equal(t, "whole", s.caller.String())
 		require.NotEqual(t, s.driver.dispatches[0].ReplicaID, s.driver.dispatches[1].ReplicaID)
-		pick, _ := s.core.Fleet.Choose(fleet.Ask{Service: "press"}, time.Now())
+		pick, _ := s.core.Fleet.Choose(fleet.Query{Service: "press"}, time.Now())
 		require.Equal(t, s.driver.dispatches[0].ReplicaID, pick.ID, "the replica did not fail and is still preferred")
 	}
 }
--- a/discovery/server.go
+++ b/discovery/server.go
@@ -26,8 +26,8 @@
 // Server sends replicas to subscribed daemons. It implements rpc.DRPCDiscoveryServer.
 type Server struct {
 	Fleet *fleet.Directory
-	// HasAllReplicas reports whether Fleet holds all replicas.
-	HasAllReplicas func() bool
+	// KnowsAllReplicas reports whether Fleet holds all replicas.
+	KnowsAllReplicas func() bool
 	// IsLoading reports whether this daemon is a directory that is still reading the replica records.
 	IsLoading func() bool
 	// ContactAge returns how long ago the key-value service last answered the daemon that polls it.
@@ -84,7 +84,7 @@
 			sleep.For(stream.Context(), changeBatchDelay)
 			message = sub.collectChanges(s.Now())
 		}
-		if !s.HasAllReplicas() {
+		if !s.KnowsAllReplicas() {
 			return errIncomplete
 		}
 	}
@@ -101,12 +101,12 @@
 // whether it has them.
 func (s *Server) awaitLoaded(ctx context.Context) bool {
 	until := s.Now().Add(loadTimeout)
-	for !s.HasAllReplicas() && s.IsLoading() && s.Now().Before(until) {
+	for !s.KnowsAllReplicas() && s.IsLoading() && s.Now().Before(until) {
 		if !sleep.For(ctx, loadPollInterval) {
 			return false
 		}
 	}
-	return s.HasAllReplicas()
+	return s.KnowsAllReplicas()
 }
 
 // receiveInterests forwards the subscribed daemon's messages to a channel until the stream breaks.
--- a/fleet/notice.go
+++ b/fleet/notice.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// RestsUntil returns the end of a replica's back-off, which may have passed; zero if there was none.
-func (d *Directory) RestsUntil(id string) time.Time {
+// BackoffUntil returns the end of a replica's back-off, which may have passed; zero if there was none.
+func (d *Directory) BackoffUntil(id string) time.Time {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.requestedBackoffEnd(id)
--- a/lab/command/fleet.go
+++ b/lab/command/fleet.go
@@ -14,13 +14,13 @@
 
 type fleetCommand struct {
 	cli.Output
-	Daemons        []int         `long:"daemons" default:"100" description:"number of daemons, all in this process; repeat the option to measure several fleets in turn"`
-	Replicas       int           `long:"replicas-each" default:"10" description:"replicas per daemon"`
-	Models         int           `long:"models" default:"574" description:"models in the catalogue"`
-	KnownByAll     int           `long:"known-by-all" description:"largest number of replicas that every daemon keeps all records of; 0: the daemon's default"`
-	Requests       float64       `long:"requests-each" default:"0.27" description:"requests per second and daemon"`
-	SteadyDuration time.Duration `long:"steady" default:"10s" description:"period over which the steady-state cost is measured"`
-	Seed           uint64        `long:"seed" default:"1" description:"seed of the requested models"`
+	Daemons         []int         `long:"daemons" default:"100" description:"number of daemons, all in this process; repeat the option to measure several fleets in turn"`
+	Replicas        int           `long:"replicas-each" default:"10" description:"replicas per daemon"`
+	Models          int           `long:"models" default:"574" description:"models in the catalogue"`
+	FullMirrorLimit int           `long:"known-by-all" description:"largest number of replicas that every daemon keeps all records of; 0: the daemon's default"`
+	Requests        float64       `long:"requests-each" default:"0.27" description:"requests per second and daemon"`
+	SteadyDuration  time.Duration `long:"steady" default:"10s" description:"period over which the steady-state cost is measured"`
+	Seed            uint64        `long:"seed" default:"1" description:"seed of the requested models"`
 }
 
 // Execute implements flags.Commander.
@@ -29,7 +29,7 @@
 	defer stop()
 	for _, daemons := range c.Daemons {
 		report, err := scale.Run(ctx, scale.Options{
-			Daemons: daemons, Replicas: c.Replicas * daemons, Models: c.Models, KnownByAll: c.KnownByAll,
+			Daemons: daemons, Replicas: c.Replicas * daemons, Models: c.Models, FullMirrorLimit: c.FullMirrorLimit,
 			RequestsPerSecond: c.Requests * float64(daemons), SteadyDuration: c.SteadyDuration, Seed: c.Seed,
 			Log: logging.New(os.Stderr, "error"), Progress: showProgress,
 		})
--- a/lab/scale/adapters.go
+++ b/lab/scale/adapters.go
@@ -125,8 +125,8 @@
 
 func newAdapters(shared kv.LongPollStore) node.Adapters {
 	return node.Adapters{
-		Store: shared, ReplicaPrefix: replicaPrefix, ReadReplica: decodeReplica, TableKey: tableKey, ReadTable: decodeTable, ReadyPath: readyPath,
-		Replicas: func(*upstream.Pool, node.ReplicaCallbacks) node.ReplicaProtocol {
+		Store: shared, ReplicaPrefix: replicaPrefix, DecodeReplica: decodeReplica, TableKey: tableKey, DecodeTable: decodeTable, ReadyPath: readyPath,
+		ReplicaClient: func(*upstream.Pool, node.ReplicaCallbacks) node.ReplicaProtocol {
 			return node.ReplicaProtocol{Driver: stubReplicas{}, Orders: stubReplicas{}, Prober: stubReplicas{}}
 		},
 		NewCallerHandler: func(*routing.Store, *access.Gate, *core.Core) http.Handler { return http.NotFoundHandler() },
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -25,7 +25,7 @@
 	Replicas int
 	Models   int
 	// KnownByAll is the largest number of replicas of which every daemon keeps all records; zero: node.KnownByAll.
-	KnownByAll int
+	FullMirrorLimit int
 	// RequestsPerSecond is the total rate of simulated requests, over all daemons.
 	RequestsPerSecond float64
 	// SteadyDuration is the period over which the steady-state cost is measured.
@@ -109,8 +109,8 @@
 	newNode, err := node.New(node.Config{
 		ID: fmt.Sprintf("daemon-%04d", d.number), Zone: zoneOf(d.number / largeMachineInterval),
 		CallerAddress: "127.0.0.1:0", ReadyAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0",
-		FirstStart: true, StopTimeout: stopTimeout, TermKey: termKey, CrashPrefix: crashPrefix, FleetSizeKey: sizeKey, LeaseTTL: leaseTTL, TermDelay: delay,
-		KnownByAll: c.KnownByAll, LoadLimits: loader.Limits{Window: 5 * time.Second, Slack: 1, TermGap: termGap, FencesChecked: true},
+		FirstStart: true, StopTimeout: stopTimeout, TermKey: termKey, CrashPrefix: crashPrefix, FleetSizeKey: sizeKey, LeaseTTL: leaseTTL, BaseCampaignDelay: delay,
+		FullMirrorLimit: c.FullMirrorLimit, LoadLimits: loader.Limits{Window: 5 * time.Second, Slack: 1, TermGap: termGap, FencesChecked: true},
 	}, newAdapters(c.store), c.Log)
 	if err != nil {
 		return errors.Wrapf(err, "start daemon %d of %d; check the limit of open files", d.number, c.Daemons)
@@ -207,7 +207,7 @@
 	for until := time.Now().Add(duration); time.Now().Before(until) && ctx.Err() == nil; time.Sleep(tick) {
 		for due += c.RequestsPerSecond * tick.Seconds(); due >= 1; due-- {
 			d := c.daemons[c.rng.IntN(len(c.daemons))]
-			d.node.Ask(serviceName, modelName(c.rng.IntN(c.Models)))
+			d.node.Query(serviceName, modelName(c.rng.IntN(c.Models)))
 		}
 	}
 }
--- a/limiter/owner.go
+++ b/limiter/owner.go
@@ -51,8 +51,8 @@
 // within the limit.
 func (s *Server) reserve(request permit.Request, status election.TermStatus, now time.Time) permit.Answer {
 	share := 1.0
-	if s.Reached != nil {
-		share = s.Reached()
+	if s.AttachedShare != nil {
+		share = s.AttachedShare()
 	}
 	if status == election.TermUncertain || share <= 0 {
 		return permit.Answer{RetryIn: uncertainRetryIn}
--- a/node/replicas.go
+++ b/node/replicas.go
@@ -15,7 +15,7 @@
 	// KnownByAll is the default size of the fleet up to which every daemon knows all replicas, so that it
 	// need not look any up. A larger fleet would cost each daemon too much memory, and the leader too many
 	// messages about changes.
-	KnownByAll = 600
+	FullMirrorLimit = 600
 	// fallbackBaseDelay is the time without messages from peers after which a daemon without replica records
 	// polls the key-value service itself. A lost leader is usually replaced within that time, in which
 	// directories confirm that the records are current. fallbackJitter bounds a random addition, so that
@@ -25,7 +25,7 @@
 	// campaignExtraDelay is how much longer a daemon without replica records waits before it campaigns for
 	// the term. Directories go first, because they already have the records, which a leader needs.
 	campaignExtraDelay = time.Second
-	// campaignDelayFactor multiplies TermDelay on a daemon without replica records that knows of no directory.
+	// campaignDelayFactor multiplies BaseCampaignDelay on a daemon without replica records that knows of no directory.
 	// If all directories are lost at once, daemons with more CPU then campaign clearly before the others.
 	campaignDelayFactor = 4
 )
@@ -47,7 +47,7 @@
 	d := &replicaDiscovery{node: n, jitteredDelay: fallbackBaseDelay + time.Duration(rand.Float64()*float64(fallbackJitter))}
 	d.client = &discovery.Client{Daemon: n.config.ID, Zone: n.config.Zone, Fleet: n.fleet, Directories: d.directories, Log: n.log}
 	d.client.Prepare()
-	d.server = &discovery.Server{Fleet: n.fleet, HasAllReplicas: d.complete.Load, IsLoading: n.mirror.RequiresAll, ContactAge: n.mirror.ContactAge, Now: time.Now}
+	d.server = &discovery.Server{Fleet: n.fleet, KnowsAllReplicas: d.complete.Load, IsLoading: n.mirror.RequiresAll, ContactAge: n.mirror.ContactAge, Now: time.Now}
 	d.server.Prepare()
 	return d
 }
@@ -162,9 +162,9 @@
 func (n *Node) campaignDelay() time.Duration {
 	switch {
 	case !n.mirror.OmitsReplicaRecords():
-		return n.config.TermDelay
+		return n.config.BaseCampaignDelay
 	case n.replicas.knowsDirectories():
-		return n.config.TermDelay + campaignExtraDelay
+		return n.config.BaseCampaignDelay + campaignExtraDelay
 	}
-	return campaignDelayFactor * n.config.TermDelay
+	return campaignDelayFactor * n.config.BaseCampaignDelay
 }
--- a/placement/decide_test.go
+++ b/placement/decide_test.go
@@ -52,7 +52,7 @@
 }
 
 type simulatedEngine struct {
-	observed placement.Engine // as the placer sees it
+	observed placement.Engine // the placer's view of the engine
 	held     map[string]engine.Replica
 	unloaded map[string]bool
 	fence    engine.Fence
@@ -74,7 +74,7 @@
 	return sim
 }
 
-// refreshInventory updates the inventory that the placer sees of a reachable engine.
+// refreshInventory updates the placer's copy of a reachable engine's inventory.
 func (sim *simulation) refreshInventory(id string) {
 	simulated := sim.engines[id]
 	if !simulated.observed.Reachable {
@@ -193,7 +193,7 @@
 				simulated := pick(t)
 				simulated.observed.Reachable = rapid.Bool().Draw(t, "reachable")
 			},
-			"leave": func(t *rapid.T) { pick(t).observed.Leaving = rapid.Bool().Draw(t, "leaving") },
+			"leave": func(t *rapid.T) { pick(t).observed.Draining = rapid.Bool().Draw(t, "leaving") },
 			"restartEngine": func(t *rapid.T) {
 				// The new process has no replicas and no fence; orders to the old one are lost.
 				simulated := pick(t)
@@ -268,7 +268,7 @@
 func TestWaitingModelEvictsIdleReplica(t *testing.T) {
 	sim := newSimulation(t)
 	for _, id := range []string{"e1", "e2"} {
-		sim.engines[id].observed.Leaving = true
+		sim.engines[id].observed.Draining = true
 	}
 	sim.demand["large"] = placement.TargetDemand{Waiting: 1, LastUsed: sim.now}
 	sim.settle(t, 3)
@@ -283,7 +283,7 @@
 func TestMemoryIsNotReassignedBeforeUnloadIsConfirmed(t *testing.T) {
 	sim := newSimulation(t)
 	for _, id := range []string{"e1", "e2"} {
-		sim.engines[id].observed.Leaving = true
+		sim.engines[id].observed.Draining = true
 	}
 	sim.demand["large"] = placement.TargetDemand{Waiting: 1, LastUsed: sim.now}
 	sim.settle(t, 3)
--- a/placer/cell.go
+++ b/placer/cell.go
@@ -217,18 +217,18 @@
 	for id, state := range c.engines {
 		view := placement.Engine{
 			ID: id, Address: state.machine.Address, Zone: state.machine.Zone, Service: state.machine.Service,
-			Listed: state.listed, Leaving: state.machine.State == machinelist.Leaving,
+			Listed: state.listed, Draining: state.machine.State == machinelist.Draining,
 			Reachable: state.reachable(), Inventory: state.inventory,
 		}
-		if state.inventory != nil && state.inventory.Leaving {
-			view.Leaving = true
+		if state.inventory != nil && state.inventory.Draining {
+			view.Draining = true
 		}
 		engines[id] = view
 	}
 	return engines
 }
 
-// applyDecision takes over a decision's plan and state, except for the load speed, which
+// applyDecision adopts a decision's plan and state, except for the load speed, which
 // may have been updated since the snapshot.
 func (c *cell) applyDecision(decision placement.Decision) {
 	c.mutex.Lock()
--- a/standin/engines/config.go
+++ b/standin/engines/config.go
@@ -95,7 +95,7 @@
 	// DropOrderResponses processes orders and closes the connection without a response.
 	DropOrderResponses bool `json:"lose_order_answers,omitempty"`
 	// Leaving makes the engine report that it is leaving and reject requests.
-	Leaving bool `json:"leaving,omitempty"`
+	Draining bool `json:"leaving,omitempty"`
 }
 
 // EntryKind identifies the event of a history entry.
--- a/standin/engines/inference.go
+++ b/standin/engines/inference.go
@@ -116,7 +116,7 @@
 // startRequest adds the request to a ready replica, or returns the reason why it cannot.
 func (e *Engine) startRequest(requestID string, header http.Header, request inferenceRequest, format responseFormat) (*sequence, string) {
 	faults := e.Faults.Get()
-	if faults.RefuseRequests || faults.Leaving {
+	if faults.RefuseRequests || faults.Draining {
 		return nil, "the engine accepts no requests"
 	}
 	count := max(request.MaxTokens, request.MaxNew)
