--- a/core/call.go
+++ b/core/call.go
@@ -114,7 +114,7 @@
 type Driver interface {
 	// Send sends a dispatch and returns the head of the response. Errors are of type *SendError. Right
 	// before writing, Send asks the fleet directory to admit the request; if that fails, the error
-	// wraps a fleet.AdmissionError and is not Written.
+	// wraps a fleet.AdmissionError and its RequestWritten is false.
 	Send(ctx context.Context, dispatch Dispatch) (*Reply, error)
 }
 
--- a/core/core.go
+++ b/core/core.go
@@ -106,7 +106,7 @@
 	return budget
 }
 
-// Daemons returns the number of daemons last reported to share the retry reserve; zero if unknown.
+// DaemonCount returns the number of daemons last reported to share the retry reserve; zero if unknown.
 func (c *Core) DaemonCount() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/core/finish.go
+++ b/core/finish.go
@@ -65,7 +65,7 @@
 }
 
 // checkStopping refuses a call that the daemon could not finish before it stops, so that the caller
-// tries another daemon in time.
+// has time to try another daemon.
 func (c *Core) checkStopping(call *Call) *failure.Error {
 	if c.canFinish(call, time.Now()) {
 		return nil
--- a/core/lifecycle.go
+++ b/core/lifecycle.go
@@ -13,17 +13,17 @@
 
 // Results of a dispatch.
 const (
-	// Answered: the complete response was sent to the caller.
+	// Answered means that the complete response was sent to the caller.
 	Answered Result = iota
-	// NotWritten: nothing was sent to the replica.
+	// NotWritten means that nothing was sent to the replica.
 	NotWritten
-	// NotStarted: the replica reported that it did not start the request.
+	// NotStarted means that the replica reported that it did not start the request.
 	NotStarted
-	// Failed: the replica returned an error response, which was not relayed.
+	// Failed means that the replica returned an error response, which was not relayed.
 	Failed
-	// Lost: the request was sent, but no response arrived that could be relayed.
+	// Lost means that the request was sent, but no response arrived that could be relayed.
 	Lost
-	// Broken: only a part of the response was sent to the caller.
+	// Broken means that only a part of the response was sent to the caller.
 	Broken
 )
 
--- a/core/quarantine.go
+++ b/core/quarantine.go
@@ -11,7 +11,7 @@
 
 // Quarantine tracks requests that may crash replicas, over all attempts and daemons.
 type Quarantine interface {
-	// Withheld returns why a request must not be dispatched, or nil if it may.
+	// Blocked returns why a request must not be dispatched, or nil if it may.
 	Blocked(request quarantine.Fingerprint) *failure.Error
 	// ConnectionBroken reports that the connection to a replica broke while it had a request. If
 	// that puts the request into quarantine, it returns once the quarantine is in effect.
--- a/core/wait.go
+++ b/core/wait.go
@@ -70,8 +70,8 @@
 }
 
 // decideWait decides whether a call keeps waiting or is refused. expected is when the constraint that
-// causes the miss should end, if known is set.
-func decideWait(now time.Time, call *Call, miss fleet.Miss, expected time.Time, known bool, estimate loadEstimate) waitDecision {
+// causes the miss should end, if expectedKnown is set.
+func decideWait(now time.Time, call *Call, miss fleet.Miss, expected time.Time, expectedKnown bool, estimate loadEstimate) waitDecision {
 	waitUntil := waitLimit(call)
 	switch miss {
 	case fleet.NoReplica:
@@ -85,10 +85,10 @@
 		// After a pause the same replicas are tried again.
 		return waitDecision{wait: now.Add(recheckInterval + responseStartMargin).Before(waitUntil), readyIn: defaultRetryAfter, source: miss.String()}
 	case fleet.Saturated:
-		// A call that waits for longer than its caller only delays other requests. It waits if a load in
-		// progress adds a replica in time.
+		// A call that waits after its caller has given up only delays other requests. It waits only if a
+		// load in progress adds a replica in time.
 		decision := waitDecision{readyIn: saturatedRetryAfter, source: miss.String()}
-		if known {
+		if expectedKnown {
 			decision.readyIn, decision.source = max(defaultRetryAfter, expected.Sub(now)), "order_holder"
 			decision.wait = expected.Add(responseStartMargin).Before(waitUntil)
 		}
@@ -109,18 +109,18 @@
 	case fleet.NotLoaded, fleet.AdapterNotLoaded:
 	}
 	decision := waitDecision{readyIn: estimate.duration, source: estimate.source}
-	if known {
+	if expectedKnown {
 		decision.readyIn, decision.source = max(0, expected.Sub(now)), "order_holder"
 	} else if now.Before(call.Arrived.Add(min(loadReportWait, call.Route.Objective/loadReportDivisor))) {
 		decision.wait = true
 		return decision
 	}
-	if now.Sub(call.Arrived) > decision.readyIn && !known {
+	if now.Sub(call.Arrived) > decision.readyIn && !expectedKnown {
 		// The estimated time has passed without a report, so only the wait limit applies.
 		decision.readyIn = 0
 	}
 	decision.wait = now.Add(decision.readyIn + responseStartMargin).Before(waitUntil)
-	if !known && now.Sub(call.Arrived) > time.Duration(unorderedLoadShare*float64(waitUntil.Sub(call.Arrived))) {
+	if !expectedKnown && now.Sub(call.Arrived) > time.Duration(unorderedLoadShare*float64(waitUntil.Sub(call.Arrived))) {
 		// No load is known to be in progress, so the caller is refused early enough to retry.
 		decision.wait, decision.readyIn, decision.source = false, estimate.duration, "not_begun"
 	}
--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -8,7 +8,7 @@
 	"github.com/finchspoke/finchspoke/rendezvous"
 )
 
-// Ask describes what a request needs from a replica.
+// Query describes what a request needs from a replica.
 type Query struct {
 	Service string
 	Target  Target
--- a/fleet/connect_test.go
+++ b/fleet/connect_test.go
@@ -27,13 +27,13 @@
 	directory := newTestDirectory(pressEntry("r1", "a", Holdings{}))
 	target := Target{Model: "m"}
 	directory.ApplyLeaderRecord("r1", LeaderRecord{Fence: 1, Holdings: Holdings{}, Loading: map[Target]time.Time{target: testTime.Add(time.Second)}}, testTime)
-	_, known := directory.ExpectedLoad("press", target, testTime.Add(time.Second+overdueGrace/2))
-	require.True(t, known)
-	_, known = directory.ExpectedLoad("press", target, testTime.Add(time.Second+overdueGrace))
-	require.False(t, known)
+	_, found := directory.ExpectedLoad("press", target, testTime.Add(time.Second+overdueGrace/2))
+	require.True(t, found)
+	_, found = directory.ExpectedLoad("press", target, testTime.Add(time.Second+overdueGrace))
+	require.False(t, found)
 	directory.ApplyLeaderRecord("r1", LeaderRecord{Fence: 1, Sequence: 1, Holdings: Holdings{}, Loading: map[Target]time.Time{target: testTime.Add(6 * time.Second)}}, testTime)
-	_, known = directory.ExpectedLoad("press", target, testTime.Add(11*time.Second))
-	require.True(t, known, "a slow load is expected for longer")
+	_, found = directory.ExpectedLoad("press", target, testTime.Add(11*time.Second))
+	require.True(t, found, "a slow load is expected for longer")
 }
 
 // pendingInterest is an Interest that never has the records of a target's replicas.
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -269,19 +269,19 @@
 const overdueGrace = 2 * time.Second
 
 // ExpectedLoad returns the earliest time at which a load in progress makes a target available on a
-// replica of the service; known is false if there is none.
-func (d *Directory) ExpectedLoad(service string, target Target, now time.Time) (at time.Time, known bool) {
+// replica of the service; found is false if there is none.
+func (d *Directory) ExpectedLoad(service string, target Target, now time.Time) (at time.Time, found bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, replica := range d.index(service).loadingReplicas[target.Model] {
 		if replica.Draining {
 			continue
 		}
-		if ready, loading := replica.leaderRecord.Loading[target]; loading && now.Sub(ready) < max(overdueGrace, ready.Sub(replica.leaderRecordAt)) && (!known || ready.Before(at)) {
-			at, known = ready, true
+		if ready, loading := replica.leaderRecord.Loading[target]; loading && now.Sub(ready) < max(overdueGrace, ready.Sub(replica.leaderRecordAt)) && (!found || ready.Before(at)) {
+			at, found = ready, true
 		}
 	}
-	return at, known
+	return at, found
 }
 
 // LoadTimes are the durations of a load from cached weights.
--- a/fleet/notice.go
+++ b/fleet/hint.go
@@ -126,9 +126,9 @@
 	Until   time.Time
 }
 
-// EarliestBackoff returns the back-off that ends first among the replicas that serve a target; known
+// EarliestBackoff returns the back-off that ends first among the replicas that serve a target; found
 // is false if none is backing off.
-func (d *Directory) EarliestBackoff(service string, target Target, now time.Time) (first Backoff, known bool) {
+func (d *Directory) EarliestBackoff(service string, target Target, now time.Time) (first Backoff, found bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, replica := range d.index(service).withModel(target.Model) {
@@ -136,11 +136,11 @@
 		if replica.Draining || !until.After(now) || !replica.hasLoaded(target, now) {
 			continue
 		}
-		if !known || until.Before(first.Until) {
-			first, known = Backoff{replica.ID, until}, true
+		if !found || until.Before(first.Until) {
+			first, found = Backoff{replica.ID, until}, true
 		}
 	}
-	return first, known
+	return first, found
 }
 
 // hintRecordOf returns the hint record of an incarnation for modification, creating it if needed; the
--- a/fleet/interest.go
+++ b/fleet/interest.go
@@ -7,7 +7,7 @@
 type Interest interface {
 	// Register records that a request needs a target, and reports whether this daemon has the records of
 	// the replicas that serve it. The directory calls it with its mutex held.
-	Register(service string, target Target) (known bool)
+	Register(service string, target Target) (discovered bool)
 }
 
 // Limit restricts the directory to the replicas of the targets that this daemon needs. It drops all
--- a/fleet/limit.go
+++ b/fleet/limit.go
@@ -11,12 +11,12 @@
 
 // Values of LimitHint.
 const (
-	// LimitUnknown: the response carries no information, since it does not answer a request or its
+	// LimitUnknown means that the response carries no information, since it does not answer a request or its
 	// limit is invalid.
 	LimitUnknown LimitHint = iota
-	// LimitGiven: the response states a limit.
+	// LimitGiven means that the response states a limit.
 	LimitGiven
-	// LimitNone: the response to a request states no limit.
+	// LimitNone means that the response to a request states no limit.
 	LimitNone
 )
 
--- a/fleet/observe.go
+++ b/fleet/observe.go
@@ -23,7 +23,7 @@
 	d.observer = observer
 }
 
-// observe passes a change to the observer; the caller holds the mutex.
+// notifyObserver passes a change to the observer; the caller holds the mutex.
 func (d *Directory) notifyObserver(change Change) {
 	if d.observer != nil {
 		d.observer(change)
--- a/fleet/restored.go
+++ b/fleet/restored.go
@@ -19,8 +19,8 @@
 	defer d.mutex.Unlock()
 	replica, record := d.replicas[entry.ID], d.hints[entry.ID]
 	if !entry.Draining && record != nil && record.registry.drained && record.born == entry.Born {
-		// The restored registry has lost that the replica is draining. This daemon reports it to the
-		// leader, from which daemons that start now learn it.
+		// The restored registry no longer shows that the replica is draining. This daemon reports it to
+		// the leader, which relays it to daemons that start later.
 		record.draining, record.localReport = true, true
 	}
 	if replica != nil {
--- a/fleet/restored_test.go
+++ b/fleet/restored_test.go
@@ -91,9 +91,9 @@
 func TestPutRestoredKeepsNewerEntry(t *testing.T) {
 	now := time.Unix(1000, 0)
 	directory := NewDirectory("a", func() float64 { return 0 })
-	known := testEntry(5, false)
-	known.Holdings = Holdings{"m": nil, "loaded": nil}
-	directory.Put(known, now)
+	newer := testEntry(5, false)
+	newer.Holdings = Holdings{"m": nil, "loaded": nil}
+	directory.Put(newer, now)
 	directory.PutRestored(testEntry(5, false), now)
 	entry, _ := directory.Entry("i-1")
 	require.True(t, entry.Holdings.Has(Target{Model: "loaded"}))
--- a/fleet/share.go
+++ b/fleet/subset.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// For a target that no replica serves, a daemon receives the records of at most this many replicas
-	// that load it, have the model without the adapter, or have cached weights. From these the daemon
-	// estimates how long its requests must wait.
+	// maxLoading, maxWithoutAdapter and maxCached bound the replicas whose records a daemon receives for a
+	// target that no replica serves: those that load it, have the model without the adapter, or have
+	// cached weights. From these the daemon estimates how long its requests must wait.
 	maxLoading        = 4
 	maxWithoutAdapter = 2
 	maxCached         = 2
