--- a/failure/failure.go
+++ b/failure/failure.go
@@ -1,5 +1,5 @@
 // Package failure defines the typed errors that reach callers and operators. Each has a kind and a
-// remedy, and says whether the request ran.
+// remedy, and states whether the request ran.
 package failure
 
 import (
@@ -40,7 +40,7 @@
 	Internal            Kind = "internal"
 )
 
-// Execution says what is known about whether a request ran.
+// Execution states whether a request ran, as far as that is known.
 type Execution string
 
 // The values of Execution.
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -41,7 +41,7 @@
 
 // Error means that a request got no response.
 type Error struct {
-	// Written reports whether any byte of the request may have reached the replica.
+	// RequestWritten reports whether any byte of the request may have reached the replica.
 	RequestWritten bool
 	cause          error
 }
