--- a/limiter/admit.go
+++ b/limiter/admit.go
@@ -76,9 +76,9 @@
 // leaderAnswer is the leader's answer to a request, with the fence of its term.
 type leaderAnswer struct {
 	quota.Answer
-	fence int64
-	delay time.Duration // until the reserved time of a permit
-	asked time.Time     // when the request was made
+	fence     int64
+	delay     time.Duration // until the reserved time of a permit
+	requested time.Time     // when the request was made
 }
 
 // leaderRequest is a request to the leader for admission or for a permit.
@@ -105,14 +105,14 @@
 }
 
 // sendToLeader sends a request to the leader. ok is false if no leader answers in time.
-func (c *Client) sendToLeader(ctx context.Context, asked leaderRequest) (answer leaderAnswer, ok bool) {
+func (c *Client) sendToLeader(ctx context.Context, requested leaderRequest) (answer leaderAnswer, ok bool) {
 	c.mutex.Lock()
 	if !c.leaderResponsive() {
 		c.mutex.Unlock()
 		return leaderAnswer{}, false
 	}
 	now := c.Now()
-	id := asked.enqueue(now)
+	id := requested.enqueue(now)
 	answers := make(chan leaderAnswer, 1)
 	c.waiting[id] = answers
 	if c.unansweredSince.IsZero() {
@@ -127,23 +127,23 @@
 	case answer = <-answers:
 		// After a pause of this process the answer may be too old to be valid.
 		if c.Now().Sub(now) <= 2*answerTimeout {
-			answer.asked = now
+			answer.requested = now
 			return answer, true
 		}
 		if answer.Granted {
-			asked.returnGrant(answer)
+			requested.returnGrant(answer)
 		}
 		return leaderAnswer{}, false
 	case <-lost:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	c.abandon(id, asked, answers)
+	c.abandon(id, requested, answers)
 	return leaderAnswer{}, false
 }
 
 // abandon stops waiting for an answer and returns a grant that has arrived meanwhile.
-func (c *Client) abandon(id uint64, asked leaderRequest, answers <-chan leaderAnswer) {
+func (c *Client) abandon(id uint64, request leaderRequest, answers <-chan leaderAnswer) {
 	c.mutex.Lock()
 	delete(c.waiting, id)
 	c.account.Abandon(id)
@@ -151,7 +151,7 @@
 	select {
 	case answer := <-answers:
 		if answer.Granted {
-			asked.returnGrant(answer)
+			request.returnGrant(answer)
 		}
 	default:
 	}
--- a/limiter/client.go
+++ b/limiter/client.go
@@ -46,7 +46,7 @@
 	HasLimits func() bool
 	// Now is the clock for the expiry of credit; nil means time.Now.
 	Now func() time.Time
-	// Daemons returns how many daemons share the limits of replicas; nil or zero means unknown.
+	// DaemonCount returns how many daemons share the limits of replicas; nil or zero means unknown.
 	DaemonCount func() int
 	// CountPermit counts answered permit requests by the source of the answer; it may be nil.
 	CountPermit func(source, outcome string)
--- a/limiter/permits.go
+++ b/limiter/permits.go
@@ -106,7 +106,7 @@
 			return c.newPermit(request, sourceLeader, permit.Answer{Granted: answer.Granted, Delay: answer.delay, RetryIn: answer.RetryIn}, answer)
 		}
 		if local, allowed := c.requestLocally(request, answered); allowed {
-			return c.newPermit(request, sourceLocalShare, local, leaderAnswer{asked: c.Now()})
+			return c.newPermit(request, sourceLocalShare, local, leaderAnswer{requested: c.Now()})
 		}
 		if !c.awaitLeader(ctx, time.Until(deadline)) {
 			c.countPermit(sourceUnanswered, "refused")
@@ -137,12 +137,12 @@
 	c.countPermit(source, "granted")
 	return &Permit{
 		client: c, replica: request.Replica, source: source, fence: received.fence,
-		reservedAt: c.Now().Add(answer.Delay), expiresAt: received.asked.Add(answer.Delay + permit.Validity),
+		reservedAt: c.Now().Add(answer.Delay), expiresAt: received.requested.Add(answer.Delay + permit.Validity),
 	}, core.PermitDenial{}
 }
 
-// requestLocally requests a permit from this daemon's local share; allowed tells whether it may use
-// that. A leader whose version does not support permits is treated as absent.
+// requestLocally requests a permit from this daemon's local share; allowed reports whether that
+// share may be used. A leader whose version does not support permits is treated as absent.
 func (c *Client) requestLocally(request permit.Request, leaderAnswered bool) (answer permit.Answer, allowed bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -157,7 +157,7 @@
 	return c.localShares.Request(request, daemons, now), true
 }
 
-// Charge tells the leader about a message that is sent to a rate-limited replica regardless of the
+// Charge reports to the leader a message that is sent to a rate-limited replica regardless of the
 // limit.
 func (c *Client) Charge(replica fleet.Incarnation, perSecond float64) {
 	c.mutex.Lock()
--- a/limiter/server.go
+++ b/limiter/server.go
@@ -28,7 +28,7 @@
 	IsFirstTerm func() bool
 	// Now is the clock for credit and limits; nil means time.Now.
 	Now func() time.Time
-	// Reached returns the share of all daemons that are connected to this leader; nil means all.
+	// AttachedShare returns the share of all daemons that are attached to this leader; nil means all.
 	AttachedShare func() float64
 	// LimitOf returns the rate limit of a replica, or zero if this daemon knows of none; it may be nil.
 	LimitOf func(replica string) float64
--- a/permit/model_test.go
+++ b/permit/model_test.go
@@ -61,7 +61,7 @@
 	leader    *modelLeader
 	lossRate  float64 // share of lost answers
 	arrivals  []time.Time
-	asked     int // requests that reached a leader
+	requested int // requests that reached a leader
 }
 
 func newModel(strategy strategy, seed uint64, daemons int, perSecond float64) *model {
@@ -169,15 +169,15 @@
 }
 
 // requestFromLeader asks the leader for a permit; answered is false on a timeout.
-func (m *model) requestFromLeader(daemon *modelDaemon, leader *modelLeader, asked Request, began time.Time) (answer Answer, answered bool) {
+func (m *model) requestFromLeader(daemon *modelDaemon, leader *modelLeader, requested Request, began time.Time) (answer Answer, answered bool) {
 	m.sleepLatency()
 	m.waitUntilResumed(&leader.pausedUntil)
 	m.withLock(func() {
 		if leader.ended || daemon.leader != leader {
 			return
 		}
-		m.asked++
-		answer, answered = leader.pacer.Request(asked, m.reachableShare(leader), time.Now()), true
+		m.requested++
+		answer, answered = leader.pacer.Request(requested, m.reachableShare(leader), time.Now()), true
 	})
 	m.sleepLatency()
 	m.waitUntilResumed(&daemon.pausedUntil)
--- a/permit/pacer.go
+++ b/permit/pacer.go
@@ -90,7 +90,7 @@
 	if wait > maxWaitFor(request, isUrgent) {
 		return Answer{RetryIn: s.nextRetry(wait, isUrgent, now)}
 	}
-	s.take(now)
+	s.book(now)
 	return Answer{Granted: true, Delay: wait}
 }
 
@@ -104,7 +104,7 @@
 }
 
 // Charge reserves a slot for a message that is sent regardless of the limit.
-func (p *Pacer) Charge(r Request, share float64, now time.Time) { p.schedule(r, share, now).take(now) }
+func (p *Pacer) Charge(r Request, share float64, now time.Time) { p.schedule(r, share, now).book(now) }
 
 // Return cancels the reservation of an unused permit.
 func (p *Pacer) Return(replica fleet.Incarnation) {
@@ -190,8 +190,8 @@
 	return s.next
 }
 
-// take reserves the next slot.
-func (s *schedule) take(now time.Time) { s.next = s.earliestSlot(now).Add(s.interval()) }
+// book reserves the next slot.
+func (s *schedule) book(now time.Time) { s.next = s.earliestSlot(now).Add(s.interval()) }
 
 // nextRetry returns when a refused request should retry. Requests that are refused together get
 // consecutive times at the replica's rate.
--- a/quota/credit.go
+++ b/quota/credit.go
@@ -14,19 +14,19 @@
 	amount    float64
 	inherited float64 // part granted by earlier leaders
 	expiresAt time.Time
-	use       rate      // the tenant's requests at this daemon
-	since     time.Time // start of the measurement of use
+	usage     rate      // the tenant's requests at this daemon
+	since     time.Time // start of the measurement of usage
 }
 
 // RecordUsage records that a daemon spent prepaid credit.
 func (l *Ledger) RecordUsage(daemon, tenant string, amount float64, now time.Time) {
-	use := l.tenants[tenant]
-	if use == nil {
+	usage := l.tenants[tenant]
+	if usage == nil {
 		return
 	}
-	use.creditUsed.add(amount, now)
-	if credit := use.outstandingCredit[daemon]; credit != nil {
-		use.reduceCredit(credit, min(credit.amount, amount))
+	usage.creditUsed.add(amount, now)
+	if credit := usage.outstandingCredit[daemon]; credit != nil {
+		usage.reduceCredit(credit, min(credit.amount, amount))
 	}
 }
 
@@ -44,18 +44,18 @@
 func (l *Ledger) Adopt(daemon string, credits []Credit, now time.Time) {
 	l.lastContact[daemon] = now
 	for _, credit := range credits {
-		use := l.tenants[credit.Tenant]
-		if use == nil {
+		usage := l.tenants[credit.Tenant]
+		if usage == nil {
 			continue
 		}
 		inherited := credit.Left
-		if earlier := use.outstandingCredit[daemon]; earlier != nil { // from an earlier connection
+		if earlier := usage.outstandingCredit[daemon]; earlier != nil { // from an earlier connection
 			inherited = min(inherited, earlier.inherited)
-			use.reduceCredit(earlier, earlier.amount)
+			usage.reduceCredit(earlier, earlier.amount)
 		}
-		use.outstandingCredit[daemon] = &outstandingCredit{amount: credit.Left, inherited: inherited, expiresAt: now.Add(credit.TTL), use: rate{timeConstant: daemonTimeConstant}, since: now}
-		use.creditTotal += credit.Left
-		use.inherited += inherited
+		usage.outstandingCredit[daemon] = &outstandingCredit{amount: credit.Left, inherited: inherited, expiresAt: now.Add(credit.TTL), usage: rate{timeConstant: daemonTimeConstant}, since: now}
+		usage.creditTotal += credit.Left
+		usage.inherited += inherited
 	}
 }
 
@@ -65,20 +65,20 @@
 
 // settleExpired removes expired credit. Unless the daemon has reported its usage since, all of it
 // counts as spent.
-func (l *Ledger) settleExpired(use *tenantUsage, now time.Time) {
-	use.nextSettleAt = now.Add(slotLength)
-	use.granted.expire(l.bounds.Window, now)
-	use.creditUsed.expire(l.bounds.Window, now)
-	for daemon, credit := range use.outstandingCredit {
+func (l *Ledger) settleExpired(usage *tenantUsage, now time.Time) {
+	usage.nextSettleAt = now.Add(slotLength)
+	usage.granted.expire(l.bounds.Window, now)
+	usage.creditUsed.expire(l.bounds.Window, now)
+	for daemon, credit := range usage.outstandingCredit {
 		if now.Before(credit.expiresAt.Add(settleDelay)) {
 			continue
 		}
 		if !l.lastContact[daemon].After(credit.expiresAt.Add(settleDelay / 2)) {
-			use.creditUsed.add(credit.amount, credit.expiresAt)
-			use.creditUsed.expire(l.bounds.Window, now)
+			usage.creditUsed.add(credit.amount, credit.expiresAt)
+			usage.creditUsed.expire(l.bounds.Window, now)
 		}
-		use.reduceCredit(credit, credit.amount)
-		delete(use.outstandingCredit, daemon)
+		usage.reduceCredit(credit, credit.amount)
+		delete(usage.outstandingCredit, daemon)
 	}
 }
 
@@ -96,16 +96,16 @@
 
 // renewCredit grants a daemon more credit for a tenant, or a later expiry. It never reduces credit,
 // which the daemon may be spending at the same time; unneeded credit expires.
-func (l *Ledger) renewCredit(use *tenantUsage, daemon string, cost float64, now time.Time) (extra float64, renewed bool) {
-	credit := use.outstandingCredit[daemon]
+func (l *Ledger) renewCredit(usage *tenantUsage, daemon string, cost float64, now time.Time) (extra float64, renewed bool) {
+	credit := usage.outstandingCredit[daemon]
 	switch {
 	case credit == nil:
-		credit = &outstandingCredit{use: rate{timeConstant: daemonTimeConstant}, since: now}
+		credit = &outstandingCredit{usage: rate{timeConstant: daemonTimeConstant}, since: now}
 	case !now.Before(credit.expiresAt):
 		return 0, false // expired but not settled
 	}
-	credit.use.add(cost, now)
-	desired := max(cost, credit.use.since(credit.since, minDaemonAge, now)*l.horizon(use, now).Seconds())
+	credit.usage.add(cost, now)
+	desired := max(cost, credit.usage.since(credit.since, minDaemonAge, now)*l.horizon(usage, now).Seconds())
 	ttl := l.bounds.creditTTL()
 	if credit.amount > 0 {
 		fresh := credit.expiresAt.Sub(now) > time.Duration((1-renewAfterShare)*float64(ttl))
@@ -114,35 +114,35 @@
 		}
 	}
 	if desired > credit.amount {
-		extra = max(0, min(desired-credit.amount, l.grantableCredit(use, now)))
+		extra = max(0, min(desired-credit.amount, l.grantableCredit(usage, now)))
 	}
 	if credit.amount+extra <= 0 {
 		return 0, false
 	}
 	credit.amount += extra
-	use.creditTotal += extra
+	usage.creditTotal += extra
 	credit.expiresAt = now.Add(ttl)
-	use.outstandingCredit[daemon] = credit
+	usage.outstandingCredit[daemon] = credit
 	return extra, true
 }
 
 // grantableCredit returns how much more credit may be granted for a tenant. Credit may be spent at once,
 // so the window must have room for it.
-func (l *Ledger) grantableCredit(use *tenantUsage, now time.Time) float64 {
-	outstanding := l.outstanding(use, now)
-	maxCredit := use.budget.creditAt(use.use.since(l.startedAt, minAge, now), use.limit.PerSecond)
+func (l *Ledger) grantableCredit(usage *tenantUsage, now time.Time) float64 {
+	outstanding := l.outstanding(usage, now)
+	maxCredit := usage.budget.creditAt(usage.usage.since(l.startedAt, minAge, now), usage.limit.PerSecond)
 	if now.Before(l.inheritedUntil) {
 		// Keeping part of the burst in the bucket serves bursts at the start of a term.
-		return min(maxCredit-(use.creditTotal-use.inherited)-use.creditUsed.sum, l.available(use, now)-burstReserveShare*use.limit.Burst)
+		return min(maxCredit-(usage.creditTotal-usage.inherited)-usage.creditUsed.sum, l.available(usage, now)-burstReserveShare*usage.limit.Burst)
 	}
-	return min(maxCredit, use.budget.maxUse-use.granted.sum) - outstanding
+	return min(maxCredit, usage.budget.maxUse-usage.granted.sum) - outstanding
 }
 
 // horizon returns for how long each daemon's usage can be prepaid.
-func (l *Ledger) horizon(use *tenantUsage, now time.Time) time.Duration {
-	total := use.use.since(l.startedAt, minAge, now)
+func (l *Ledger) horizon(usage *tenantUsage, now time.Time) time.Duration {
+	total := usage.usage.since(l.startedAt, minAge, now)
 	if total <= 0 {
 		return creditHorizon
 	}
-	return min(creditHorizon, time.Duration(use.budget.credit/total*float64(time.Second)))
+	return min(creditHorizon, time.Duration(usage.budget.credit/total*float64(time.Second)))
 }
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -65,7 +65,7 @@
 	recalledPool      recalledPool
 	nextSettleAt      time.Time
 	creditUsed        history   // prepaid credit that was spent, or may have been
-	use               rate      // demand at all daemons
+	usage             rate      // demand at all daemons
 	retryAt           time.Time // retry time of the next refused request
 }
 
@@ -83,17 +83,17 @@
 // SetLimits replaces the limits of all tenants. It drops tenants that are not listed.
 func (l *Ledger) SetLimits(limits map[string]Limit, now time.Time) {
 	for name, limit := range limits {
-		use := l.tenants[name]
-		if use == nil {
-			use = &tenantUsage{outstandingCredit: map[string]*outstandingCredit{}, bucket: bucket{updatedAt: now}, use: rate{timeConstant: tenantTimeConstant}}
-			l.tenants[name] = use
+		usage := l.tenants[name]
+		if usage == nil {
+			usage = &tenantUsage{outstandingCredit: map[string]*outstandingCredit{}, bucket: bucket{updatedAt: now}, usage: rate{timeConstant: tenantTimeConstant}}
+			l.tenants[name] = usage
 			if !l.isFirstTerm() {
 				budget := l.bounds.budgetFor(limit)
-				use.bucket.deficit = budget.reserve - budget.credit
+				usage.bucket.deficit = budget.reserve - budget.credit
 			}
 		}
-		use.bucket.refill(use.limit.PerSecond, now)
-		use.limit, use.budget = limit, l.bounds.budgetFor(limit)
+		usage.bucket.refill(usage.limit.PerSecond, now)
+		usage.limit, usage.budget = limit, l.bounds.budgetFor(limit)
 	}
 	for name := range l.tenants {
 		if _, named := limits[name]; !named {
@@ -105,26 +105,26 @@
 // Answer answers a request while the leader's lease is certain.
 func (l *Ledger) Answer(daemon string, request Request, now time.Time) Answer {
 	l.lastContact[daemon] = now
-	use := l.tenants[request.Tenant]
-	if use == nil {
+	usage := l.tenants[request.Tenant]
+	if usage == nil {
 		return Answer{ID: request.ID, Unknown: true}
 	}
-	if use.limit.Unlimited() {
+	if usage.limit.Unlimited() {
 		return Answer{ID: request.ID, Granted: true}
 	}
-	use.use.add(request.Cost, now)
-	if !now.Before(use.nextSettleAt) {
-		l.settleExpired(use, now)
+	usage.usage.add(request.Cost, now)
+	if !now.Before(usage.nextSettleAt) {
+		l.settleExpired(usage, now)
 	}
-	use.recalledPool = recalledPool{} // the lease is certain again, so the rest is no longer outstanding
-	use.bucket.refill(use.limit.PerSecond, now)
-	available := l.available(use, now)
-	if available <= 0 || use.granted.sum+l.outstanding(use, now)+request.Cost > use.budget.maxUse {
-		return Answer{ID: request.ID, RetryIn: use.nextRetry(-available, request.Cost, now), Unsettled: l.warmingUp(now)}
+	usage.recalledPool = recalledPool{} // the lease is certain again, so the rest is no longer outstanding
+	usage.bucket.refill(usage.limit.PerSecond, now)
+	available := l.available(usage, now)
+	if available <= 0 || usage.granted.sum+l.outstanding(usage, now)+request.Cost > usage.budget.maxUse {
+		return Answer{ID: request.ID, RetryIn: usage.nextRetry(-available, request.Cost, now), Unsettled: l.warmingUp(now)}
 	}
-	use.bucket.deficit += request.Cost
-	answer := Answer{ID: request.ID, Granted: true, Slot: use.granted.add(request.Cost, now)}
-	answer.Ahead, answer.Renewed = l.renewCredit(use, daemon, request.Cost, now)
+	usage.bucket.deficit += request.Cost
+	answer := Answer{ID: request.ID, Granted: true, Slot: usage.granted.add(request.Cost, now)}
+	answer.Ahead, answer.Renewed = l.renewCredit(usage, daemon, request.Cost, now)
 	return answer
 }
 
@@ -158,23 +158,23 @@
 
 // Return refunds a grant of this term.
 func (l *Ledger) Return(refund Refund) {
-	use := l.tenants[refund.Tenant]
-	if use != nil && use.granted.remove(refund.Cost, refund.Slot) {
-		use.bucket.deficit = max(0, use.bucket.deficit-refund.Cost)
+	usage := l.tenants[refund.Tenant]
+	if usage != nil && usage.granted.remove(refund.Cost, refund.Slot) {
+		usage.bucket.deficit = max(0, usage.bucket.deficit-refund.Cost)
 	}
 }
 
 // outstanding returns the credit that may be spent, or was spent within the window.
-func (l *Ledger) outstanding(use *tenantUsage, now time.Time) float64 {
-	total := use.creditUsed.sum + use.creditTotal + use.recalledPool.amount
+func (l *Ledger) outstanding(usage *tenantUsage, now time.Time) float64 {
+	total := usage.creditUsed.sum + usage.creditTotal + usage.recalledPool.amount
 	if now.Before(l.inheritedUntil) {
-		return total + max(0, use.budget.credit-use.inherited) // of earlier leaders
+		return total + max(0, usage.budget.credit-usage.inherited) // of earlier leaders
 	}
 	return total
 }
 
 // available returns the part of the reserve that is neither used nor granted as credit. It is
 // negative if more credit was granted than the bucket has gathered.
-func (l *Ledger) available(use *tenantUsage, now time.Time) float64 {
-	return use.budget.reserve - l.outstanding(use, now) - use.bucket.deficit
+func (l *Ledger) available(usage *tenantUsage, now time.Time) float64 {
+	return usage.budget.reserve - l.outstanding(usage, now) - usage.bucket.deficit
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -100,15 +100,15 @@
 		ledger := ledgerAt(true, testStart)
 		credit := ledger.Answer("a", Request{Tenant: "one", Cost: 100}, testStart).Ahead
 		require.Positive(t, credit)
-		use := ledger.tenants["one"]
+		usage := ledger.tenants["one"]
 		after := testStart.Add(testBounds.creditTTL() + settleDelay)
 		if reports {
 			ledger.RecordContact("a", after)
 		}
-		ledger.settleExpired(use, after)
-		require.Equal(t, !reports, ledger.outstanding(use, after) > 0)
-		ledger.settleExpired(use, after.Add(testBounds.Window))
-		require.Zero(t, ledger.outstanding(use, after.Add(testBounds.Window)))
+		ledger.settleExpired(usage, after)
+		require.Equal(t, !reports, ledger.outstanding(usage, after) > 0)
+		ledger.settleExpired(usage, after.Add(testBounds.Window))
+		require.Zero(t, ledger.outstanding(usage, after.Add(testBounds.Window)))
 	}
 }
 
@@ -157,13 +157,13 @@
 func TestRecalledCreditIsGrantedOnceToAnyDaemon(t *testing.T) {
 	ledger := ledgerAt(true, testStart)
 	credit := ledger.Answer("a", Request{Tenant: "one", Cost: 100}, testStart).Ahead
-	use := ledger.tenants["one"]
-	before := ledger.outstanding(use, testStart)
+	usage := ledger.tenants["one"]
+	before := ledger.outstanding(usage, testStart)
 	require.False(t, ledger.AnswerUncertain("b", Request{Tenant: "one", Cost: credit}, testStart).Granted)
 	credits := []Credit{{Tenant: "one", Left: credit, TTL: time.Second}}
 	ledger.AcceptReturned("a", credits, testStart)
 	ledger.AcceptReturned("a", credits, testStart) // a duplicate
-	require.Equal(t, before, ledger.outstanding(use, testStart))
+	require.Equal(t, before, ledger.outstanding(usage, testStart))
 	require.True(t, ledger.AnswerUncertain("b", Request{Tenant: "one", Cost: credit}, testStart).Granted)
 	refused := ledger.AnswerUncertain("b", Request{Tenant: "one", Cost: 1}, testStart)
 	require.False(t, refused.Granted)
@@ -179,10 +179,10 @@
 	now := testStart.Add(4 * time.Second)
 	credit := ledger.Answer("a", Request{Tenant: "one", Cost: 100}, now).Ahead
 	require.Positive(t, credit)
-	use := ledger.tenants["one"]
-	before := ledger.outstanding(use, now)
+	usage := ledger.tenants["one"]
+	before := ledger.outstanding(usage, now)
 	ledger.Adopt("a", []Credit{{Tenant: "one", Left: credit, TTL: time.Second}}, now)
-	require.Equal(t, before, ledger.outstanding(use, now))
+	require.Equal(t, before, ledger.outstanding(usage, now))
 	ledger.Adopt("b", []Credit{{Tenant: "one", Left: 50, TTL: time.Second}}, now)
-	require.Equal(t, before, ledger.outstanding(use, now), "inherited credit is already counted")
+	require.Equal(t, before, ledger.outstanding(usage, now), "inherited credit is already counted")
 }
--- a/quota/recall.go
+++ b/quota/recall.go
@@ -5,21 +5,21 @@
 // AcceptReturned moves recalled credit of a daemon to the pool.
 func (l *Ledger) AcceptReturned(daemon string, credits []Credit, now time.Time) {
 	for _, credit := range credits {
-		use := l.tenants[credit.Tenant]
-		if use == nil {
+		usage := l.tenants[credit.Tenant]
+		if usage == nil {
 			continue
 		}
-		outstanding := use.outstandingCredit[daemon]
+		outstanding := usage.outstandingCredit[daemon]
 		if outstanding == nil || credit.Left <= 0 {
 			continue
 		}
 		returned := min(outstanding.amount, credit.Left)
-		use.reduceCredit(outstanding, returned)
+		usage.reduceCredit(outstanding, returned)
 		expires := now.Add(credit.TTL)
-		if use.recalledPool.amount == 0 || expires.Before(use.recalledPool.expiresAt) {
-			use.recalledPool.expiresAt = expires
+		if usage.recalledPool.amount == 0 || expires.Before(usage.recalledPool.expiresAt) {
+			usage.recalledPool.expiresAt = expires
 		}
-		use.recalledPool.amount += returned
+		usage.recalledPool.amount += returned
 	}
 }
 
@@ -27,16 +27,16 @@
 // grant from the same limits, it grants only from recalled credit.
 func (l *Ledger) AnswerUncertain(daemon string, request Request, now time.Time) Answer {
 	l.lastContact[daemon] = now
-	use := l.tenants[request.Tenant]
-	if use == nil {
+	usage := l.tenants[request.Tenant]
+	if usage == nil {
 		return Answer{ID: request.ID, Unknown: true}
 	}
-	use.recalledPool.expire(now)
-	if use.recalledPool.amount < request.Cost {
+	usage.recalledPool.expire(now)
+	if usage.recalledPool.amount < request.Cost {
 		return Answer{ID: request.ID, RetryIn: uncertainRetryIn, Unsettled: true}
 	}
-	use.recalledPool.amount -= request.Cost
-	use.creditUsed.add(request.Cost, now)
+	usage.recalledPool.amount -= request.Cost
+	usage.creditUsed.add(request.Cost, now)
 	return Answer{ID: request.ID, Granted: true, Slot: noSlot}
 }
 
