--- a/loader/attachment.go
+++ b/loader/attachment.go
@@ -49,5 +49,5 @@
 	}
 }
 
-// Reached returns the share of the daemons that was attached to this leader in its last round.
+// AttachedShare returns the share of the daemons that were attached to this leader in its last round.
 func (l *Leader) AttachedShare() float64 { return math.Float64frombits(l.attachment.share.Load()) }
--- a/loader/follower.go
+++ b/loader/follower.go
@@ -33,9 +33,9 @@
 	Demand *demand.Tracker
 	Fleet  *fleet.Directory
 	Leader *Leader // of this daemon; the follower notifies it of other leaders' orders
-	// Daemons receives the number of daemons that are attached to the leader.
+	// DaemonCount receives the number of daemons that are attached to the leader.
 	DaemonCount func(int)
-	// KnowsReplicas reports whether this daemon knows all replicas and so receives their loads; nil: always.
+	// KnowsAllReplicas reports whether this daemon knows all replicas and so receives their loads; nil: always.
 	KnowsAllReplicas func() bool
 	// SetDirectories receives whether this daemon is a directory, and the addresses of all directories;
 	// optional.
--- a/loader/leader.go
+++ b/loader/leader.go
@@ -43,7 +43,7 @@
 // String returns the response's name for logs.
 func (r OrderResponse) String() string { return responseNames[r] }
 
-// Replicas is the client for load orders to replicas.
+// ReplicaClient is the client for load orders to replicas.
 type ReplicaClient interface {
 	// Order sends a load order. After an error, the replica may or may not have taken it.
 	Order(ctx context.Context, replica fleet.Entry, order loading.Order, leader string, fence int64) (OrderResponse, error)
@@ -107,14 +107,14 @@
 	// Address is where other daemons reach this one.
 	Address string
 	// TooManyReplicas reports whether there are too many replicas for every daemon to know all of them (nil:
-	// never), and KnowsReplicas whether this daemon knows all of them (nil: always).
+	// never), and KnowsAllReplicas whether this daemon knows all of them (nil: always).
 	TooManyReplicas  func() bool
 	KnowsAllReplicas func() bool
 	// ExpectedDaemons returns how many daemons were attached to the earlier leader; nil: unknown.
 	ExpectedDaemons func() int
 	// BaseCampaignDelay is how long this daemon waits before it campaigns for the term; stronger machines wait less.
 	BaseCampaignDelay time.Duration
-	// Turns makes reservations for messages to replicas with a request limit; nil: no replica has one.
+	// RequestLimiter makes reservations for messages to replicas with a request limit; nil: no replica has one.
 	RequestLimiter RequestLimiter
 
 	started             time.Time
--- a/loader/requestlimiter.go
+++ b/loader/requestlimiter.go
@@ -7,7 +7,7 @@
 	"github.com/finchspoke/finchspoke/permit"
 )
 
-// Turns makes reservations for messages to replicas with a request limit.
+// RequestLimiter makes reservations for messages to replicas with a request limit.
 type RequestLimiter interface {
 	// BeginTerm discards the reservations of an earlier term.
 	BeginTerm()
--- a/loading/loading.go
+++ b/loading/loading.go
@@ -185,7 +185,7 @@
 	StoreLoadsAllowed int
 	// StoreConcurrency is how many loads from the weight store may be pending at once.
 	StoreConcurrency int
-	// Settled is whether Replicas is assumed to be complete.
+	// ReplicasComplete is whether Replicas is assumed to be complete.
 	ReplicasComplete bool
 }
 
--- a/loading/needs.go
+++ b/loading/needs.go
@@ -37,7 +37,8 @@
 	// maxRatePerCopy is the most arrivals per second that one copy should serve, if the replica's slots are
 	// not the tighter bound. The prefill of many prompts stalls the running streams.
 	maxRatePerCopy = 5.0
-	// maxRunningPerCopy is the most concurrent requests that one copy should serve, under the same condition.
+	// maxRunningPerCopy is the most concurrent requests that one copy should serve, if the replica's
+	// slots are not the tighter bound.
 	maxRunningPerCopy = 16.0
 	// saturatedMinRate is the arrival rate per second from which a model on saturated replicas gets another
 	// copy.
