--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -27,7 +27,7 @@
 	Unknown Liveness = iota
 	// Running means that the probed incarnation answered.
 	Running
-	// Ended means that nothing listens at the address, or that another process does, which may be a
+	// NotRunning means that nothing listens at the address, or that another process does, which may be a
 	// later incarnation of the same replica.
 	NotRunning
 )
@@ -40,7 +40,7 @@
 	Probe(ctx context.Context, replica fleet.Incarnation, address string) Liveness
 }
 
-// Turns reserves probes within the request limits of replicas.
+// RequestLimiter reserves probes within the request limits of replicas.
 type RequestLimiter interface {
 	// TryReserve reserves one message to a replica, and reports whether its limit allows one now.
 	TryReserve(ctx context.Context, replica fleet.Incarnation) bool
@@ -70,7 +70,7 @@
 	// BackoffUntil returns the end of the back-off that a replica asked this daemon for. The time is
 	// zero or in the past if there is none.
 	BackoffUntil func(replica string) time.Time
-	// Turns accounts for probes of replicas with a request limit; nil if no replica has one.
+	// RequestLimiter accounts for probes of replicas with a request limit; nil if no replica has one.
 	RequestLimiter RequestLimiter
 	// Leading reports whether this daemon is the leader, which deletes expired records and
 	// rewrites lost ones.
@@ -112,7 +112,7 @@
 // newKey returns a unique record key, so that no other daemon writes the same record.
 func (g *Guard) newKey() string { return g.Prefix + uuid.NewString() }
 
-// Withheld returns the error for a quarantined request, or nil if the request may be dispatched.
+// Blocked returns the error for a quarantined request, or nil if the request may be dispatched.
 func (g *Guard) Blocked(request Fingerprint) *failure.Error {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -98,7 +98,7 @@
 	Until time.Time
 }
 
-// Withheld reports whether the request is quarantined.
+// Blocked reports whether the request is quarantined.
 func (c CrashHistory) Blocked() bool { return len(c.Replicas) >= CrashThreshold }
 
 // crashHistory returns the crashes counted against a request since it was last served completely.
