--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet holds a daemon's view of the replicas that serve requests: their registry entries, the
-// models that the leader reports on each, and the health seen by this daemon's own requests. It
+// models that the leader reports on each, and the health observed by this daemon's own requests. It
 // chooses the replica for each request.
 package fleet
 
@@ -98,7 +98,8 @@
 // missingHold is how long a replica's own report of a missing target overrides other records.
 const missingHold = time.Second
 
-// hasLoaded reports whether the replica is believed to have a target loaded at the given time.
+// hasLoaded reports whether a target is loaded on the replica at the given time, as far as this daemon
+// knows.
 func (r *Replica) hasLoaded(target Target, now time.Time) bool {
 	if target.Model == "" {
 		return true
--- a/limiter/client.go
+++ b/limiter/client.go
@@ -239,7 +239,7 @@
 	return message
 }
 
-// message returns a later message with the contents of the outbox.
+// message returns a message that follows the first one of a stream, with the contents of the outbox.
 func (c *Client) message() *rpc.QuotaQuestions {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/loader/directories.go
+++ b/loader/directories.go
@@ -28,8 +28,8 @@
 	directoryReadyTimeout = 3 * time.Second
 )
 
-// directories are the daemons that know all replicas and send the other daemons the replicas that they need.
-// The list is empty if every daemon knows all replicas.
+// directories are the daemons that have the records of all replicas and send the other daemons those that
+// they need. The list is empty if every daemon has all records.
 type directories struct {
 	chosen    map[string]bool // by daemon ID
 	addresses []string        // of the directories that are ready; the leader's own if none is
@@ -49,8 +49,8 @@
 	d.changed = make(chan struct{})
 }
 
-// refreshDirectories chooses directories if there are too many replicas for every daemon to know all of them.
-// The caller holds the mutex.
+// refreshDirectories chooses directories if the fleet is too large for every daemon to have the records of all
+// replicas. The caller holds the mutex.
 func (l *Leader) refreshDirectories(now time.Time) {
 	if l.TooManyReplicas == nil || now.Sub(l.directories.checkedAt) < directoriesInterval || !l.termSettled(now) {
 		return
--- a/loader/directories_test.go
+++ b/loader/directories_test.go
@@ -15,7 +15,7 @@
 	"github.com/finchspoke/finchspoke/rpc"
 )
 
-// largeFleetLeader is a leader of so many replicas that not every daemon knows all of them.
+// largeFleetLeader is a leader of so many replicas that not every daemon has the records of all.
 type largeFleetLeader struct {
 	*Leader
 	isLarge bool
--- a/loader/follower.go
+++ b/loader/follower.go
@@ -35,7 +35,8 @@
 	Leader *Leader // of this daemon; the follower notifies it of other leaders' orders
 	// DaemonCount receives the number of daemons that are attached to the leader.
 	DaemonCount func(int)
-	// KnowsAllReplicas reports whether this daemon knows all replicas and so receives their loads; nil: always.
+	// KnowsAllReplicas reports whether this daemon has the records of all replicas and so receives their loads;
+	// nil: always.
 	KnowsAllReplicas func() bool
 	// SetDirectories receives whether this daemon is a directory, and the addresses of all directories;
 	// optional.
@@ -173,7 +174,8 @@
 	limits        map[fleet.Incarnation]float64
 }
 
-// updateKnowsReplicas records whether this daemon knows all replicas, and returns whether that changed.
+// updateKnowsReplicas records whether this daemon has the records of all replicas, and returns whether that
+// changed.
 func (r *sentReport) updateKnowsReplicas(knowsReplicas bool) bool {
 	changed := r.knowsReplicas != knowsReplicas
 	r.knowsReplicas = knowsReplicas
--- a/loader/leader.go
+++ b/loader/leader.go
@@ -106,8 +106,8 @@
 	FirstStart bool
 	// Address is where other daemons reach this one.
 	Address string
-	// TooManyReplicas reports whether there are too many replicas for every daemon to know all of them (nil:
-	// never), and KnowsAllReplicas whether this daemon knows all of them (nil: always).
+	// TooManyReplicas reports whether the fleet is too large for every daemon to have the records of all replicas
+	// (nil: never), and KnowsAllReplicas whether this daemon has them (nil: always).
 	TooManyReplicas  func() bool
 	KnowsAllReplicas func() bool
 	// ExpectedDaemons returns how many daemons were attached to the earlier leader; nil: unknown.
--- a/quarantine/guard.go
+++ b/quarantine/guard.go
@@ -17,7 +17,7 @@
 	"github.com/finchspoke/finchspoke/logging"
 )
 
-// Liveness is the state of a replica's process as a probe found it.
+// Liveness is the state of a replica's process, as determined by a probe.
 type Liveness uint8
 
 // Results of a probe.
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,6 +1,6 @@
 // Package upstream sends requests to replicas over pooled HTTP/1.1 connections.
 //
-// Unlike net/http's Transport it never retries a request, its errors tell whether any byte was
+// Unlike net/http's Transport it never retries a request, its errors report whether any byte was
 // written, and it does not reuse a connection that received unexpected data.
 package upstream
 
