--- a/fleet/choose.go
+++ b/fleet/choose.go
@@ -187,7 +187,7 @@
 }
 
 // reachableCandidates drops candidates that this daemon recently failed to reach, unless that applies
-// to all, and sorts the rest by id.
+// to all, and sorts the remaining ones by id.
 func reachableCandidates(candidates []*Replica, now time.Time) []*Replica {
 	reachable := slices.DeleteFunc(slices.Clone(candidates), func(replica *Replica) bool { return replica.health.isUnreachable(now) })
 	if len(reachable) == 0 {
--- a/loading/limits.go
+++ b/loading/limits.go
@@ -8,7 +8,7 @@
 )
 
 // usableLimitShare is the share of a replica's request limit that the demand for its models may use before
-// further copies are loaded. The rest covers load orders and bursts within the averaging time.
+// further copies are loaded. The remainder covers load orders and bursts within the averaging time.
 const usableLimitShare = 0.8
 
 // excludeOverLimit finds the copies that cannot be served within their replica's request limit. The least
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -116,7 +116,7 @@
 	if !now.Before(usage.nextSettleAt) {
 		l.settleExpired(usage, now)
 	}
-	usage.recalledPool = recalledPool{} // the lease is certain again, so the rest is no longer outstanding
+	usage.recalledPool = recalledPool{} // the lease is certain again, so this credit is no longer outstanding
 	usage.bucket.refill(usage.limit.PerSecond, now)
 	available := l.available(usage, now)
 	if available <= 0 || usage.granted.sum+l.outstanding(usage, now)+request.Cost > usage.budget.maxUse {
--- a/quota/limit.go
+++ b/quota/limit.go
@@ -34,7 +34,7 @@
 	// overdraftShare is the share of Slack for a request that costs more than the bucket holds, so that
 	// small requests cannot starve large ones. It is reserved twice, for two consecutive leaders.
 	overdraftShare = 0.25
-	// creditShare is the share of the remaining reserve that may be granted as credit. The rest lets a
+	// creditShare is the share of the remaining reserve that may be granted as credit. The remainder lets a
 	// new leader grant credit while that of its predecessor is outstanding.
 	creditShare = 0.5
 	// A tenant that uses up to fullCreditUtilization of its limit gets full credit. Above that its
