--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet holds a daemon's view of the replicas that serve requests: their registry entries, the
-// models that the leader reports on each, and the health seen by this daemon's own requests. It
+// models that the leader reports on each, and the health observed by this daemon's own requests. It
 // chooses the replica for each request.
 package fleet
 
@@ -98,7 +98,8 @@
 // missingHold is how long a replica's own report of a missing target overrides other records.
 const missingHold = time.Second
 
-// hasLoaded reports whether the replica is believed to have a target loaded at the given time.
+// hasLoaded reports whether a target is loaded on the replica at the given time, as far as this daemon
+// knows.
 func (r *Replica) hasLoaded(target Target, now time.Time) bool {
 	if target.Model == "" {
 		return true
@@ -269,19 +270,19 @@
 const overdueGrace = 2 * time.Second
 
 // ExpectedLoad returns the earliest time at which a load in progress makes a target available on a
-// replica of the service; known is false if there is none.
-func (d *Directory) ExpectedLoad(service string, target Target, now time.Time) (at time.Time, known bool) {
+// replica of the service; found is false if there is none.
+func (d *Directory) ExpectedLoad(service string, target Target, now time.Time) (at time.Time, found bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, replica := range d.index(service).loadingReplicas[target.Model] {
 		if replica.Draining {
 			continue
 		}
-		if ready, loading := replica.leaderRecord.Loading[target]; loading && now.Sub(ready) < max(overdueGrace, ready.Sub(replica.leaderRecordAt)) && (!known || ready.Before(at)) {
-			at, known = ready, true
+		if ready, loading := replica.leaderRecord.Loading[target]; loading && now.Sub(ready) < max(overdueGrace, ready.Sub(replica.leaderRecordAt)) && (!found || ready.Before(at)) {
+			at, found = ready, true
 		}
 	}
-	return at, known
+	return at, found
 }
 
 // LoadTimes are the durations of a load from cached weights.
--- a/limiter/client.go
+++ b/limiter/client.go
@@ -46,7 +46,7 @@
 	HasLimits func() bool
 	// Now is the clock for the expiry of credit; nil means time.Now.
 	Now func() time.Time
-	// Daemons returns how many daemons share the limits of replicas; nil or zero means unknown.
+	// DaemonCount returns how many daemons share the limits of replicas; nil or zero means unknown.
 	DaemonCount func() int
 	// CountPermit counts answered permit requests by the source of the answer; it may be nil.
 	CountPermit func(source, outcome string)
@@ -239,7 +239,7 @@
 	return message
 }
 
-// message returns a later message with the contents of the outbox.
+// message returns a message that follows the first one of a stream, with the contents of the outbox.
 func (c *Client) message() *rpc.QuotaQuestions {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
