--- a/discovery/discovery.go
+++ b/discovery/discovery.go
@@ -67,8 +67,8 @@
 		limit := message.GetLimit().Decode(now)
 		state.Limit = &limit
 	}
-	for _, held := range loads.GetModels() {
-		state.Holdings[held.GetModel()] = held.GetAdapters()
+	for _, loaded := range loads.GetModels() {
+		state.Holdings[loaded.GetModel()] = loaded.GetAdapters()
 	}
 	for _, load := range loads.GetLoading() {
 		state.Loading[fleet.Target{Model: load.GetModel(), Adapter: load.GetAdapter()}] = now.Add(time.Duration(load.GetReadyInMs()) * time.Millisecond)
--- a/discovery/hub.go
+++ b/discovery/hub.go
@@ -7,7 +7,7 @@
 )
 
 // hub routes changes of replicas to subscribers: to those that were sent the replica, and to those
-// that wait for a replica to gain a target.
+// that wait for a replica to gain a target, that is, to have its model and adapter loaded.
 type hub struct {
 	mutex     sync.Mutex
 	byReplica map[string]subscribers
--- a/election/election.go
+++ b/election/election.go
@@ -1,7 +1,7 @@
 // Package election gives one daemon at a time a term as the leader, under a lease in the key-value
 // service (the store). Each term has a higher fencing token than the one before. A lease that cannot
 // be renewed is not lost at once: while the store is down for all daemons, no other daemon can take
-// a term either. TermStatus says how far the leader can rely on its term.
+// a term either. TermStatus describes how far the leader can rely on its term.
 package election
 
 import (
@@ -54,7 +54,7 @@
 	return leader, nil
 }
 
-// TermStatus says how far a daemon can rely on its term.
+// TermStatus describes how far a daemon can rely on its term.
 type TermStatus uint8
 
 // Values of TermStatus.
@@ -109,7 +109,7 @@
 	offer           Leader
 	offeredAt       time.Time
 	inherited       *Inheritance // of this daemon's term; nil if the term was not handed over
-	current         Leader       // by the last observed record
+	current         Leader       // that the last observed record names
 	term            Leader       // of this daemon; its nonce is empty without a term
 	lease           kv.LeaseID
 	renewedAt       time.Time // when the last successful renewal was sent
--- a/node/node.go
+++ b/node/node.go
@@ -67,10 +67,10 @@
 	// QuotaBounds bounds how far the limits of tenants may be exceeded.
 	QuotaBounds   quota.Bounds
 	RecordsPrefix string // key prefix of the records that are mirrored
-	// FleetSizeKey is the key of the record that states whether the fleet is larger than KnownByAll.
+	// FleetSizeKey is the key of the record that states whether the fleet is larger than FullMirrorLimit.
 	FleetSizeKey string
-	// KnownByAll is the size of the fleet up to which every daemon knows all replicas; zero: the constant
-	// KnownByAll.
+	// FullMirrorLimit is the size of the fleet up to which every daemon knows all replicas; zero: the
+	// constant FullMirrorLimit.
 	FullMirrorLimit int
 	// CrashPrefix is the key prefix of the records of replicas that ended while they served requests.
 	CrashPrefix string
@@ -96,7 +96,7 @@
 	// TableKey is the key of the routing table's record; DecodeTable decodes it.
 	TableKey    string
 	DecodeTable func(kv.Pair) (routing.Revision, error)
-	// Replicas returns the clients of the protocol that replicas speak.
+	// ReplicaClient returns the clients of the protocol that replicas speak.
 	ReplicaClient func(*upstream.Pool, ReplicaCallbacks) ReplicaProtocol
 	// NewCallerHandler returns the handler of callers' requests.
 	NewCallerHandler func(*routing.Store, *access.Gate, *core.Core) http.Handler
@@ -391,7 +391,7 @@
 	}
 }
 
-// Ask chooses a replica for a model as for a request, but sends nothing. It is for simulations.
+// Query chooses a replica for a model as for a request, but sends nothing. It is for simulations.
 func (n *Node) Query(service, model string) {
 	if pick, _ := n.fleet.Choose(fleet.Query{Service: service, Target: fleet.Target{Model: model}}, time.Now()); pick != nil {
 		pick.Cancel()
--- a/node/turns.go
+++ b/node/probelimiter.go
@@ -8,7 +8,8 @@
 	"github.com/finchspoke/finchspoke/permit"
 )
 
-// probeLimiter counts the probes of the quarantine guard against the request limits of replicas.
+// probeLimiter counts the probes of the quarantine guard against the request limits of replicas. It
+// implements quarantine.RequestLimiter.
 type probeLimiter struct {
 	fleet       *fleet.Directory
 	limitClient *limiter.Client
--- a/node/replicas.go
+++ b/node/replicas.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// KnownByAll is the default size of the fleet up to which every daemon knows all replicas, so that it
-	// need not look any up. A larger fleet would cost each daemon too much memory, and the leader too many
-	// messages about changes.
+	// FullMirrorLimit is the default size of the fleet up to which every daemon knows all replicas, so
+	// that it need not look any up. A larger fleet would cost each daemon too much memory, and the leader
+	// too many messages about changes.
 	FullMirrorLimit = 600
 	// fallbackBaseDelay is the time without messages from peers after which a daemon without replica records
 	// polls the key-value service itself. A lost leader is usually replaced within that time, in which
--- a/records/era.go
+++ b/records/era.go
@@ -41,8 +41,8 @@
 // fromEarlierEra reports whether a peer's records are of an earlier era than the mirror's. Callers
 // hold the mutex.
 func (m *Mirror) fromEarlierEra(update Update) bool {
-	reported, known := kv.EraOf(update.Revision), kv.EraOf(m.revision)
-	return reported < known || m.outdated && reported == known
+	reported, current := kv.EraOf(update.Revision), kv.EraOf(m.revision)
+	return reported < current || m.outdated && reported == current
 }
 
 // markRestored marks and logs the events of a list that replaced the records of an earlier era. It
--- a/records/list.go
+++ b/records/list.go
@@ -81,9 +81,9 @@
 	}
 	m.applyPage(pairs, sent)
 	m.mutex.Lock()
-	known, required := m.pairs[m.fleetSizeKey], m.requiresReplicas()
+	sizeRecord, required := m.pairs[m.fleetSizeKey], m.requiresReplicas()
 	m.mutex.Unlock()
-	if string(known.Value) == sizeLarge && !required {
+	if string(sizeRecord.Value) == sizeLarge && !required {
 		m.applyMutex.Lock()
 		m.dropReplicaRecords()
 		m.applyMutex.Unlock()
@@ -142,14 +142,14 @@
 		m.awaitPeerRecords(ctx)
 	}
 	m.mutex.Lock()
-	known, tooMany := m.revision > 0, m.limit > 0 && len(m.pairs)-m.otherCount > m.limit && !m.requiresReplicas()
+	loaded, tooMany := m.revision > 0, m.limit > 0 && len(m.pairs)-m.otherCount > m.limit && !m.requiresReplicas()
 	m.mutex.Unlock()
-	if tooMany && !known {
+	if tooMany && !loaded {
 		m.applyMutex.Lock()
 		m.dropReplicaRecords()
 		m.applyMutex.Unlock()
 	}
-	return !known && !tooMany
+	return !loaded && !tooMany
 }
 
 // awaitPeerRecords waits for a peer to forward the records.
--- a/records/records.go
+++ b/records/records.go
@@ -247,8 +247,8 @@
 	m.applyMutex.Lock()
 	defer m.applyMutex.Unlock()
 	missing := m.missingReplicas()
-	if known := m.Revision(); revision < known && !missing {
-		m.log.WithFields(logging.RevisionFields(known)).WithField(logging.ListedRevision, kv.CounterOf(revision)).
+	if currentRevision := m.Revision(); revision < currentRevision && !missing {
+		m.log.WithFields(logging.RevisionFields(currentRevision)).WithField(logging.ListedRevision, kv.CounterOf(revision)).
 			Warn("ignoring outdated list of the key-value service; a peer has forwarded newer records")
 		return
 	}
@@ -270,7 +270,7 @@
 // the list includes replica records. Callers hold applyMutex.
 func (m *Mirror) replaceAll(pairs []kv.Pair, revision int64, withReplicas bool) {
 	m.mutex.Lock()
-	known, resumed := m.pairs, m.omitsReplicas && withReplicas
+	previousPairs, resumed := m.pairs, m.omitsReplicas && withReplicas
 	before := m.revision
 	m.pairs, m.otherCount = make(map[string]kv.Pair, len(pairs)), 0
 	m.revision = revision
@@ -289,11 +289,11 @@
 		if pair.ModRevision > revision {
 			writtenDuringList = append(writtenDuringList, kv.Event{Pair: pair}) // not covered by the list's revision
 		}
-		if before, had := known[pair.Key]; !had || before.ModRevision != pair.ModRevision {
+		if before, had := previousPairs[pair.Key]; !had || before.ModRevision != pair.ModRevision {
 			events = append(events, kv.Event{Pair: pair})
 		}
 	}
-	for key := range known {
+	for key := range previousPairs {
 		if _, has := m.pairs[key]; !has {
 			events = append(events, kv.Event{Pair: kv.Pair{Key: key, ModRevision: revision}, Deleted: true})
 		}
--- a/records/bulk.go
+++ b/records/replicarecords.go
@@ -144,12 +144,12 @@
 // their number, and this daemon does not require them, it drops its own. Callers hold applyMutex.
 func (m *Mirror) accepts(update Update) bool {
 	m.mutex.Lock()
-	omitsReplicas, required, known := m.omitsReplicas, m.requiresReplicas(), m.revision > 0
+	omitsReplicas, required, loaded := m.omitsReplicas, m.requiresReplicas(), m.revision > 0
 	m.mutex.Unlock()
 	switch {
 	case !update.OmitsReplicaRecords || omitsReplicas:
 		return true
-	case required, !known && !update.Whole:
+	case required, !loaded && !update.Whole:
 		return false
 	}
 	m.dropReplicaRecords()
--- a/records/update.go
+++ b/records/update.go
@@ -52,7 +52,7 @@
 	m.applyMutex.Lock()
 	defer m.applyMutex.Unlock()
 	m.mutex.Lock()
-	known, isEarlier := m.revision, m.fromEarlierEra(update)
+	currentRevision, isEarlier := m.revision, m.fromEarlierEra(update)
 	m.mutex.Unlock()
 	if isEarlier {
 		return true
@@ -60,9 +60,9 @@
 	if !m.accepts(update) {
 		return false
 	}
-	newer := update.Revision > known
+	newer := update.Revision > currentRevision
 	if m.OmitsReplicaRecords() && !update.OmitsReplicaRecords {
-		newer = update.Revision >= known // the replica records are new
+		newer = update.Revision >= currentRevision // the replica records are new
 	}
 	switch {
 	case update.Whole && !newer && m.missingReplicas():
