--- a/group/group_test.go
+++ b/group/group_test.go
@@ -39,14 +39,14 @@
 
 // viewChange is a leader's view change in progress.
 type viewChange struct {
-	old      View
-	sealed   map[string]bool
-	held     []State
-	gone     int
-	next     *View
-	state    State
-	prepared map[string]bool
-	done     bool
+	old       View
+	sealed    map[string]bool
+	held      []State
+	restarted int
+	next      *View
+	state     State
+	prepared  map[string]bool
+	done      bool
 }
 
 func newGroupMachine() *groupMachine {
@@ -176,11 +176,11 @@
 			if rapid.IntRange(0, 4).Draw(t, "delivery") == 0 {
 				return // lost
 			}
-			state, held, gone := m.lookupMember(member).Seal(change.old, member.Process)
+			state, held, restarted := m.lookupMember(member).Seal(change.old, member.Process)
 			if held {
 				change.held = append(change.held, state)
-			} else if gone {
-				change.gone++
+			} else if restarted {
+				change.restarted++
 			}
 			return
 		}
@@ -256,9 +256,9 @@
 	claimed := Record{Key: "k", RequestID: "one"}
 	completed := claimed
 	completed.State = Completed
-	rival := Record{Key: "k", RequestID: "two"}
+	conflicting := Record{Key: "k", RequestID: "two"}
 	require.Equal(t, []Record{completed}, mergeClaims([][]Record{{claimed}, {completed}}))
-	require.Equal(t, Indeterminate, mergeClaims([][]Record{{claimed}, {rival}})[0].State)
+	require.Equal(t, Indeterminate, mergeClaims([][]Record{{claimed}, {conflicting}})[0].State)
 	require.Equal(t, []Record{claimed}, mergeClaims([][]Record{{claimed}, {claimed}, {}}))
 }
 
--- a/group/manager.go
+++ b/group/manager.go
@@ -195,34 +195,34 @@
 // replaceView seals a view and installs its successor.
 func (m *Manager) replaceView(ctx context.Context, old View, revision int64) (View, error) {
 	type sealResult struct {
-		state State
-		held  bool
-		gone  bool
+		state     State
+		hasView   bool
+		restarted bool
 	}
 	results := fanOut(old.Members, func(member ViewMember) sealResult {
-		result := sealResult{gone: isReplaced(m.members(), member)}
+		result := sealResult{restarted: isReplaced(m.members(), member)}
 		response, err := m.memberClient(ctx, member).Seal(withCallTimeout(ctx), &rpc.SealRequest{View: old.wire(), Process: member.Process})
 		if err != nil {
 			return result
 		}
-		result.held, result.gone = response.GetHeld(), result.gone || response.GetGone()
+		result.hasView, result.restarted = response.GetHeld(), result.restarted || response.GetGone()
 		result.state = stateFromWire(response.GetState())
 		return result
 	})
-	sealedCount, goneCount := 0, 0
+	sealedCount, restartedCount := 0, 0
 	var states []State
 	for _, response := range results {
 		switch {
-		case response.held:
+		case response.hasView:
 			sealedCount++
 			states = append(states, response.state)
-		case response.gone:
-			goneCount++
+		case response.restarted:
+			restartedCount++
 		}
 	}
-	if sealedCount+goneCount < old.sealQuorum() {
+	if sealedCount+restartedCount < old.sealQuorum() {
 		return View{}, errors.Errorf("%d of %d members sealed and %d restarted; %d are needed",
-			sealedCount, len(old.Members), goneCount, old.sealQuorum())
+			sealedCount, len(old.Members), restartedCount, old.sealQuorum())
 	}
 	next := old
 	if sealedCount < old.sealQuorum() {
--- a/group/member.go
+++ b/group/member.go
@@ -211,9 +211,10 @@
 	}
 }
 
-// Seal makes the member reject a view permanently and returns its state. gone reports
-// that this daemon runs as a later process than the given one.
-func (m *Member) Seal(view View, process uint64) (state State, held, gone bool) {
+// Seal makes the member reject a view permanently and returns its state. hasView is false
+// if the member does not have that view; restarted reports that the daemon now runs as a
+// later process than the given one.
+func (m *Member) Seal(view View, process uint64) (state State, hasView, restarted bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if process != m.process {
--- a/group/service.go
+++ b/group/service.go
@@ -67,9 +67,9 @@
 
 // Seal implements the Groups rpc.
 func (s *Service) Seal(_ context.Context, request *rpc.SealRequest) (*rpc.SealAnswer, error) {
-	state, held, gone := s.member.Seal(viewFromWire(request.GetView()), request.GetProcess())
-	response := &rpc.SealAnswer{Held: held, Gone: gone}
-	if held {
+	state, hasView, restarted := s.member.Seal(viewFromWire(request.GetView()), request.GetProcess())
+	response := &rpc.SealAnswer{Held: hasView, Gone: restarted}
+	if hasView {
 		response.State = state.wire()
 	}
 	return response, nil
--- a/placement/main_test.go
+++ b/placement/main_test.go
@@ -6,7 +6,8 @@
 	"github.com/finchspoke/finchspoke/testseed"
 )
 
-// Enough checks and steps to find each of the mutations listed in docs/MUTATIONS.md.
+// Examples and steps per property test, sufficient to detect every fault listed in
+// docs/MUTATIONS.md.
 const (
 	checks = 3000
 	steps  = 40
--- a/placer/watch.go
+++ b/placer/watch.go
@@ -45,9 +45,9 @@
 
 // sentState is the state of a model that a home daemon was last sent.
 type sentState struct {
-	replicas []string // id, address and adapters, joined by spaces
-	readyAt  time.Time
-	known    bool
+	replicas    []string // id, address and adapters, joined by spaces
+	readyAt     time.Time
+	hasEstimate bool
 }
 
 // readyTolerance is how far an estimated ready time may drift before it is sent again.
@@ -143,7 +143,7 @@
 // equivalent reports whether two states differ by no more than readyTolerance.
 func (s sentState) equivalent(other sentState) bool {
 	drift := s.readyAt.Sub(other.readyAt).Abs()
-	return slices.Equal(s.replicas, other.replicas) && s.known == other.known && drift <= readyTolerance
+	return slices.Equal(s.replicas, other.replicas) && s.hasEstimate == other.hasEstimate && drift <= readyTolerance
 }
 
 // describeModel returns a model's state, as a message and in the form that equivalent compares.
@@ -162,7 +162,7 @@
 	readyIn := placement.ReadyIn(now, view.Plan, view.Engines, view.State, model)
 	if readyIn != placement.NoEstimate {
 		message.ReadyInMs = readyIn.Milliseconds()
-		state.known = true
+		state.hasEstimate = true
 		if len(message.Replicas) == 0 {
 			state.readyAt = now.Add(readyIn)
 		}
