--- a/faultproxy/faultproxy.go
+++ b/faultproxy/faultproxy.go
@@ -176,7 +176,7 @@
 	directions.Wait()
 }
 
-// copyDirection forwards data in one direction until that ends, and closes both connections.
+// copyDirection forwards data in one direction until a connection fails or ends, then closes both connections.
 func (p *Proxy) copyDirection(to, from net.Conn, fromServer bool) {
 	defer func() {
 		_ = to.Close()
--- a/integration/control_test.go
+++ b/integration/control_test.go
@@ -228,14 +228,14 @@
 				results <- applied
 			}()
 		}
-		wins := 0
+		succeeded := 0
 		for range daemonCount {
 			if applied := <-results; applied > 0 {
 				require.Equal(t, revision+1, applied)
-				wins++
+				succeeded++
 			}
 		}
-		require.Equal(t, 1, wins, "exactly one concurrent apply succeeds")
+		require.Equal(t, 1, succeeded, "exactly one concurrent apply succeeds")
 		revision++
 		for _, daemon := range c.daemons {
 			require.NoError(t, processes.WaitReady(c.ctx, daemon.Admin, revision, daemonCount))
--- a/integration/requests_test.go
+++ b/integration/requests_test.go
@@ -168,8 +168,8 @@
 		}
 		const healthy, faulty = 150 * time.Millisecond, 150 * time.Millisecond
 		time.Sleep(faulty)
-		for _, recovered := range c.engineProxies {
-			recovered.Set(faultproxy.Faults{})
+		for _, engineProxy := range c.engineProxies {
+			engineProxy.Set(faultproxy.Faults{})
 		}
 		if round == 4 && !killed {
 			killed = true
--- a/lab/control.go
+++ b/lab/control.go
@@ -111,18 +111,18 @@
 // measureTakeover stops a region's placer and measures the time until another daemon takes over.
 func (s *System) measureTakeover(ctx context.Context, report *ControlReport) error {
 	const region = "region-0"
-	inRegion := 0
+	regionDaemons := 0
 	placerID := ""
 	for index, d := range s.Daemons {
 		if s.options.Daemons[index].Region != region {
 			continue
 		}
-		inRegion++
+		regionDaemons++
 		if d.PlacerEpoch() > 0 {
 			placerID = d.ID()
 		}
 	}
-	if inRegion < 2 || placerID == "" {
+	if regionDaemons < 2 || placerID == "" {
 		return nil
 	}
 	start := time.Now()
--- a/lab/dev.go
+++ b/lab/dev.go
@@ -54,10 +54,10 @@
 		return err
 	}
 	defer system.Stop()
-	ready, cancel := context.WithTimeout(ctx, devReadyTimeout)
+	readyCtx, cancel := context.WithTimeout(ctx, devReadyTimeout)
 	defer cancel()
 	start := time.Now()
-	if err := system.Apply(ready); err != nil {
+	if err := system.Apply(readyCtx); err != nil {
 		return err
 	}
 	run := &devRun{DevOptions: options, system: system}
@@ -88,13 +88,13 @@
 
 func (r *devRun) check(name string, ok bool) {
 	r.checks++
-	mark := "ok  "
+	result := "ok  "
 	if ok {
 		r.passed++
 	} else {
-		mark = "FAIL"
+		result = "FAIL"
 	}
-	r.printf("    %s %s\n", mark, name)
+	r.printf("    %s %s\n", result, name)
 }
 
 // devRequest is a sample request.
@@ -109,13 +109,13 @@
 }
 
 func (r *devRun) sendSamples(ctx context.Context) {
-	cold := r.send(ctx, devRequest{title: "proof check, model not loaded (interactive, streamed)", daemon: 0, key: "sample-key-designers",
+	coldResponse := r.send(ctx, devRequest{title: "proof check, model not loaded (interactive, streamed)", daemon: 0, key: "sample-key-designers",
 		model: "proof-check-sk", prompt: "check the brewery label 4711", stream: true})
-	r.checkComplete("proof-check-sk", "check the brewery label 4711", cold)
-	warm := r.send(ctx, devRequest{title: "proof check, model loaded, through another daemon", daemon: 1, key: "sample-key-designers",
+	r.checkComplete("proof-check-sk", "check the brewery label 4711", coldResponse)
+	warmResponse := r.send(ctx, devRequest{title: "proof check, model loaded, through another daemon", daemon: 1, key: "sample-key-designers",
 		model: "proof-check-sk", prompt: "check the brewery label 4712", stream: true})
-	r.checkComplete("proof-check-sk", "check the brewery label 4712", warm)
-	r.check("the time to first byte is shorter when the model is loaded", warm.FirstByte < cold.FirstByte)
+	r.checkComplete("proof-check-sk", "check the brewery label 4712", warmResponse)
+	r.check("the time to first byte is shorter when the model is loaded", warmResponse.FirstByte < coldResponse.FirstByte)
 	bulk := r.send(ctx, devRequest{title: "bulk compliance draft with an adapter (not streamed)", daemon: 1, key: "sample-key-compliance",
 		model: "allergen-compliance-eu.dairy", prompt: "draft the allergen statement for yoghurt"})
 	r.checkComplete("allergen-compliance-eu.dairy", "draft the allergen statement for yoghurt", bulk)
@@ -159,12 +159,12 @@
 		return Completion{Header: http.Header{}}
 	}
 	r.printf("    %s -> %d, first byte %.0f ms, complete %.0f ms, home %s, engine %s\n", sample.model, response.Status,
-		milliseconds(response.FirstByte), milliseconds(response.Total), orNone(response.Header.Get(gateway.HeaderHome)),
-		orNone(response.Header.Get(gateway.HeaderEngine)))
+		milliseconds(response.FirstByte), milliseconds(response.Total), orDash(response.Header.Get(gateway.HeaderHome)),
+		orDash(response.Header.Get(gateway.HeaderEngine)))
 	return response
 }
 
-func orNone(text string) string {
+func orDash(text string) string {
 	if text == "" {
 		return "-"
 	}
--- a/lab/knownred/knownred.go
+++ b/lab/knownred/knownred.go
@@ -185,7 +185,7 @@
 		_, _ = fmt.Fprintf(writer, "known red: %s: %s (%s)\n", entry.Test, entry.Cause, entry.Issue)
 	}
 	for _, entry := range v.Fixed {
-		_, _ = fmt.Fprintf(writer, "passes now: %s; take its line out of the list\n", entry.Test)
+		_, _ = fmt.Fprintf(writer, "passes now: %s; remove its line from the list\n", entry.Test)
 	}
 	for _, name := range v.Failed {
 		_, _ = fmt.Fprintf(writer, "FAILED: %s\n%s", name, v.output[name])
--- a/lab/knownred/knownred_test.go
+++ b/lab/knownred/knownred_test.go
@@ -29,10 +29,10 @@
 	require.True(t, verdict.OK())
 	var out bytes.Buffer
 	verdict.Write(&out)
-	require.Equal(t, "known red: mod/a.TestRed: the queue forgets (issue 9)\npasses now: mod/a.TestMended; take its line out of the list\n0 passed, 0 failed, 0 skipped\n", out.String())
+	require.Equal(t, "known red: mod/a.TestRed: the queue forgets (issue 9)\npasses now: mod/a.TestMended; remove its line from the list\n0 passed, 0 failed, 0 skipped\n", out.String())
 }
 
-// Guards against ignoring the tests that did not run to their end because a listed test panicked.
+// Guards against ignoring tests that did not finish because a listed test panicked.
 func TestUnfinishedTestFailsTheRun(t *testing.T) {
 	verdict := mustJudge(t, `{"Action":"run","Package":"mod/a","Test":"TestRed"}
 {"Action":"run","Package":"mod/a","Test":"TestBehind"}
--- a/lab/scale/adapters.go
+++ b/lab/scale/adapters.go
@@ -60,7 +60,7 @@
 	}
 	value, err := json.Marshal(entry)
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // unreachable: all fields can be encoded
 	}
 	return id, value
 }
@@ -80,7 +80,7 @@
 func encodeTable(version int64, models int) []byte {
 	value, err := json.Marshal(tableRecord{version, models, strings.Repeat("weights and times of a model; ", models*fillerBytesPerModel/30)})
 	if err != nil {
-		panic(err) // plain values
+		panic(err) // unreachable: all fields can be encoded
 	}
 	return value
 }
@@ -103,12 +103,12 @@
 // stubReplicas accepts every load order and reports the models that the registry entry names.
 type stubReplicas struct{}
 
-// Order implements loader.Replicas.
+// Order implements loader.ReplicaClient.
 func (stubReplicas) Order(context.Context, fleet.Entry, loading.Order, string, int64) (loader.OrderResponse, error) {
 	return loader.Done, nil
 }
 
-// Report implements loader.Replicas.
+// Report implements loader.ReplicaClient.
 func (stubReplicas) Report(_ context.Context, replica fleet.Entry) (loading.Report, error) {
 	return loading.Report{Holdings: replica.Holdings, InMemory: replica.InMemory, OnDisk: replica.OnDisk}, nil
 }
--- a/lab/scale/fleet.go
+++ b/lab/scale/fleet.go
@@ -24,7 +24,7 @@
 	Daemons  int
 	Replicas int
 	Models   int
-	// KnownByAll is the largest number of replicas of which every daemon keeps all records; zero: node.KnownByAll.
+	// FullMirrorLimit is the largest number of replicas of which every daemon keeps all records; zero: node.FullMirrorLimit.
 	FullMirrorLimit int
 	// RequestsPerSecond is the total rate of simulated requests, over all daemons.
 	RequestsPerSecond float64
@@ -157,14 +157,14 @@
 	return id
 }
 
-// waitForAll waits until the status of every daemon satisfies holds and returns the times at which they did.
-func (c *cluster) waitForAll(ctx context.Context, step string, holds func(node.Status) bool) (Propagation, error) {
+// waitForAll waits until the status of every daemon satisfies condition and returns the times at which they did.
+func (c *cluster) waitForAll(ctx context.Context, step string, condition func(node.Status) bool) (Propagation, error) {
 	start := time.Now()
 	reached := make([]time.Duration, 0, len(c.daemons))
 	done := make([]bool, len(c.daemons))
 	for len(reached) < len(c.daemons) {
 		for index, d := range c.daemons {
-			if !done[index] && holds(d.node.Status()) {
+			if !done[index] && condition(d.node.Status()) {
 				done[index] = true
 				reached = append(reached, time.Since(start))
 			}
@@ -236,8 +236,8 @@
 // measureReplicaAdded measures how long a new replica takes to reach the daemons that keep all replica records.
 func (c *cluster) measureReplicaAdded(ctx context.Context, report *Report) (err error) {
 	c.addReplica()
-	known := c.nextReplica
-	report.ReplicaAdded, err = c.waitForAll(ctx, "replica added", func(status node.Status) bool { return !status.KnowsAllReplicas || status.Replicas >= known })
+	expectedReplicas := c.nextReplica
+	report.ReplicaAdded, err = c.waitForAll(ctx, "replica added", func(status node.Status) bool { return !status.KnowsAllReplicas || status.Replicas >= expectedReplicas })
 	return err
 }
 
@@ -246,8 +246,8 @@
 	c.nextReplica--
 	id, _ := newEntry(c.nextReplica, c.Models)
 	c.store.remove(replicaPrefix + id)
-	known := c.nextReplica
-	report.ReplicaRemoved, err = c.waitForAll(ctx, "replica removed", func(status node.Status) bool { return !status.KnowsAllReplicas || status.Replicas <= known })
+	expectedReplicas := c.nextReplica
+	report.ReplicaRemoved, err = c.waitForAll(ctx, "replica removed", func(status node.Status) bool { return !status.KnowsAllReplicas || status.Replicas <= expectedReplicas })
 	return err
 }
 
--- a/lab/scale/report.go
+++ b/lab/scale/report.go
@@ -93,7 +93,7 @@
 		name string
 		RoleUsage
 	}{{"leader", r.LeaderRole}, {"directories", r.DirectoryRole}, {"other daemons", r.OtherRole}} {
-		lines = append(lines, fmt.Sprintf("%-15s %4d; each %8.1f KB/s on %6.1f inbound peer connections, %7.0f replicas known",
+		lines = append(lines, fmt.Sprintf("%-15s %4d; each %8.1f KB/s on %6.1f inbound peer connections, %7.0f replica records",
 			role.name, role.Daemons, role.BytesPerSecond/1000, role.Connections, role.Replicas))
 	}
 	lines = append(lines,
--- a/lab/scale/store.go
+++ b/lab/scale/store.go
@@ -133,9 +133,9 @@
 		if err := s.simulateCall(ctx); err != nil {
 			return nil, 0, err
 		}
-		page, at := s.page(prefix, after)
+		page, pageRevision := s.page(prefix, after)
 		if revision == 0 {
-			revision = at
+			revision = pageRevision
 		}
 		all = append(all, page.Pairs...)
 		if proceed := onPage(page); !proceed || !page.More {
@@ -145,7 +145,7 @@
 	}
 }
 
-func (s *store) page(prefix, after string) (page kv.Page, at int64) {
+func (s *store) page(prefix, after string) (page kv.Page, atRevision int64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.keys == nil {
@@ -177,21 +177,21 @@
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
-		events, at, changed, err := s.changesAfter(prefix, after)
+		events, revision, changed, err := s.changesAfter(prefix, after)
 		if err != nil || len(events) > 0 {
-			return events, at, err
+			return events, revision, err
 		}
 		select {
 		case <-ctx.Done():
 			return nil, after, kv.ErrUnavailable
 		case <-timeout.C:
-			return nil, at, nil
+			return nil, revision, nil
 		case <-changed:
 		}
 	}
 }
 
-func (s *store) changesAfter(prefix string, after int64) (events []kv.Event, at int64, changed <-chan struct{}, err error) {
+func (s *store) changesAfter(prefix string, after int64) (events []kv.Event, atRevision int64, changed <-chan struct{}, err error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	switch {
--- a/lab/system_test.go
+++ b/lab/system_test.go
@@ -227,8 +227,8 @@
 	for _, e := range system.Engines {
 		e.Faults.Set(engines.Faults{})
 	}
-	again := send(key)
-	require.Equal(t, "unknown", again.Header.Get(gateway.HeaderExecution), "the key cannot be reused")
+	repeated := send(key)
+	require.Equal(t, "unknown", repeated.Header.Get(gateway.HeaderExecution), "the key cannot be reused")
 	require.Equal(t, started+2, countEntries(system, engines.RequestStarted))
 }
 
@@ -293,7 +293,7 @@
 	}
 }
 
-// Guards against new requests on an engine that is marked as leaving, and against interrupting its running ones.
+// Guards against new requests on a draining engine, and against interrupting its running ones.
 func TestDrainingEngineReceivesNoNewRequests(t *testing.T) {
 	system, ctx := startSystem(t)
 	send := func() lab.Completion {
@@ -304,11 +304,11 @@
 		return response
 	}
 	draining := send().Header.Get(gateway.HeaderEngine)
-	long := make(chan lab.Completion, 1)
+	runningRequest := make(chan lab.Completion, 1)
 	go func() {
 		response, _ := lab.SendRequest(ctx, lab.RequestOptions{Address: system.Daemons[1].Addresses().Gateway, Key: "sample-key-designers",
 			Model: "proof-check-sk", Prompt: "runs on", MaxTokens: 1500, Stream: true})
-		long <- response
+		runningRequest <- response
 	}()
 	require.Eventually(t, func() bool { return countEntries(system, engines.RequestStarted) == 2 }, 5*time.Second, 5*time.Millisecond)
 	system.Machines.Set(drainingMachine(t, system, draining))
@@ -316,7 +316,7 @@
 	for range 5 {
 		require.NotEqual(t, draining, send().Header.Get(gateway.HeaderEngine))
 	}
-	finished := <-long
+	finished := <-runningRequest
 	require.True(t, finished.Complete, "running requests are completed")
 	require.Equal(t, draining, finished.Header.Get(gateway.HeaderEngine))
 	require.Eventually(t, func() bool { return len(system.Engines[draining].Inventory().Replicas) == 0 }, 10*time.Second, 20*time.Millisecond)
--- a/standin/engines/config.go
+++ b/standin/engines/config.go
@@ -94,7 +94,7 @@
 	DelayOrders fault.Duration `json:"delay_orders,omitempty"`
 	// DropOrderResponses processes orders and closes the connection without a response.
 	DropOrderResponses bool `json:"lose_order_answers,omitempty"`
-	// Leaving makes the engine report that it is leaving and reject requests.
+	// Draining makes the engine report that it is draining and reject requests.
 	Draining bool `json:"leaving,omitempty"`
 }
 
--- a/standin/engines/engine.go
+++ b/standin/engines/engine.go
@@ -145,13 +145,13 @@
 		wait = 0
 	}
 	deadline := time.Now().Add(wait)
-	leaving := e.Faults.Get().Draining
+	draining := e.Faults.Get().Draining
 	for {
 		e.mutex.Lock()
 		inventory := e.inventoryLocked()
 		changed := e.changed
 		e.mutex.Unlock()
-		if inventory.Version != after || inventory.Draining != leaving || !time.Now().Before(deadline) {
+		if inventory.Version != after || inventory.Draining != draining || !time.Now().Before(deadline) {
 			fault.WriteJSON(writer, http.StatusOK, inventory)
 			return
 		}
--- a/standin/keyvalue/server.go
+++ b/standin/keyvalue/server.go
@@ -17,7 +17,7 @@
 	Outage bool `json:"outage,omitempty"`
 	// Delay is added to every response.
 	Delay fault.Duration `json:"delay,omitempty"`
-	// DropResponsesPercent is the percentage of transactions that are applied but not responded to: the
+	// DropResponsesPercent is the percentage of transactions that are applied but get no response: the
 	// connection is reset.
 	DropResponsesPercent int `json:"lose_answers_percent,omitempty"`
 	// PauseWatches defers all watch events.
@@ -48,7 +48,7 @@
 	maxBodyBytes               = 8 << 20
 )
 
-// New returns a server that allows a number of operations per second. Zero means 200.
+// New returns a server that allows a number of operations per second; zero selects the default.
 func New(operationsPerSecond float64) *Server {
 	if operationsPerSecond <= 0 {
 		operationsPerSecond = defaultOperationsPerSecond
