--- a/command/explain_logs.go
+++ b/command/explain_logs.go
@@ -34,13 +34,13 @@
 			return nil
 		})
 	}
-	story := logstory.Timeline(lines, c.Argument.ID)
-	if len(story) == 0 {
+	timeline := logstory.Timeline(lines, c.Argument.ID)
+	if len(timeline) == 0 {
 		return failure.New(failure.InvalidRequest, "provide the logs of all daemons from the time of the request", "no log line contains request %q", c.Argument.ID)
 	}
-	return c.Write(story, func(writer io.Writer) error {
-		for _, line := range story {
-			line.Print(writer, story[0].Time)
+	return c.Write(timeline, func(writer io.Writer) error {
+		for _, line := range timeline {
+			line.Print(writer, timeline[0].Time)
 		}
 		return nil
 	})
--- a/command/settings_apply.go
+++ b/command/settings_apply.go
@@ -129,17 +129,17 @@
 	for {
 		var status adminapi.Status
 		if err := c.client().Get(ctx, adminapi.PathStatus, &status); err == nil {
-			behind := 0
+			outdated := 0
 			for _, member := range status.Members {
 				if member.Status != "alive" {
 					continue
 				}
 				revisions[member.ID] = member.SettingsRevision
 				if member.SettingsRevision < revision {
-					behind++
+					outdated++
 				}
 			}
-			if behind == 0 {
+			if outdated == 0 {
 				return revisions, nil
 			}
 		}
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -74,12 +74,12 @@
 // writeBatch writes a line and the lines queued behind it in one call, and reports dropped lines.
 func (b *BoundedWriter) writeBatch(line []byte) {
 	const maxBatchBytes = 32 << 10
-	for more := true; more && len(line) < maxBatchBytes; {
+	for hasMore := true; hasMore && len(line) < maxBatchBytes; {
 		select {
 		case next := <-b.lines:
 			line = append(line, next...)
 		default:
-			more = false
+			hasMore = false
 		}
 	}
 	if dropped := b.dropped.Load(); dropped > b.reportedDrops {
--- a/logstory/day.go
+++ b/logstory/day.go
@@ -158,8 +158,8 @@
 	keys := slices.Sorted(maps.Keys(d.seconds))
 	first, last := keys[0], keys[len(keys)-1]
 	for key := first; key <= last && len(seconds) < maxSeconds; key++ {
-		if known := d.seconds[key]; known != nil {
-			seconds = append(seconds, *known)
+		if second := d.seconds[key]; second != nil {
+			seconds = append(seconds, *second)
 		} else {
 			seconds = append(seconds, Second{})
 		}
--- a/logstory/day_test.go
+++ b/logstory/day_test.go
@@ -39,7 +39,7 @@
 	require.Equal(t, 1, seconds[0].Arrived)
 	require.Equal(t, map[string]int{"disk": 1}, seconds[0].LoadsStarted)
 	require.Equal(t, 1, seconds[1].InTime)
-	require.Equal(t, 2, seconds[1].Late, "one by its first byte, one by a pause")
+	require.Equal(t, 2, seconds[1].Late, "one late by its first byte, one by a pause")
 	require.Equal(t, []string{"d2"}, seconds[2].Terms)
 	require.Equal(t, map[string]int{"order holder": 1}, seconds[2].LostDependencies)
 	require.Equal(t, map[string]int{"disk": 1}, seconds[2].LoadsCompleted)
--- a/logstory/daypage/daypage.go
+++ b/logstory/daypage/daypage.go
@@ -146,13 +146,13 @@
 }
 
 func pendingLoads(seconds []logstory.Second) []line {
-	lines := linesByKind(seconds, func(one logstory.Second) map[string]int { return one.LoadsStarted })
-	for _, one := range lines {
+	lines := linesByKind(seconds, func(current logstory.Second) map[string]int { return current.LoadsStarted })
+	for _, current := range lines {
 		pending := 0.0
 		for index, second := range seconds {
-			started := one.values[index]
-			one.values[index] = pending + started
-			pending += started - float64(second.LoadsCompleted[one.name])
+			started := current.values[index]
+			current.values[index] = pending + started
+			pending += started - float64(second.LoadsCompleted[current.name])
 		}
 	}
 	return lines
--- a/logstory/losses.go
+++ b/logstory/losses.go
@@ -59,8 +59,8 @@
 	Requests int    `json:"requests"`
 }
 
-// PauseLosses describes the load on the replicas of requests that were late by a pause, as means
-// over these requests.
+// PauseLosses describes the load on the replicas of requests that were late because of a pause
+// between events, as means over these requests.
 type PauseLosses struct {
 	Requests           int     `json:"requests"`
 	ConcurrentRequests float64 `json:"beside"`        // other requests on the replica
@@ -156,25 +156,25 @@
 			c.routes[request.route] = route
 		}
 		number := int(request.started.Sub(first) / window)
-		span := c.windows[number]
-		if span == nil {
-			span = &windowCounter{WindowLosses: WindowLosses{From: (time.Duration(number) * window).Seconds()}, causes: map[string]int{}}
-			c.windows[number] = span
+		counter := c.windows[number]
+		if counter == nil {
+			counter = &windowCounter{WindowLosses: WindowLosses{From: (time.Duration(number) * window).Seconds()}, causes: map[string]int{}}
+			c.windows[number] = counter
 		}
 		route.Ended++
-		span.Ended++
+		counter.Ended++
 		cause := c.lossCause(request)
 		c.concentration.add(request, cause)
 		if cause == "" {
 			route.InTime++
-			span.InTime++
+			counter.InTime++
 			continue
 		}
 		if request.outcome == logging.OutcomeAnswered && cause != causeReplicaFailure {
-			span.Late++
+			counter.Late++
 		}
 		route.causes[cause]++
-		span.causes[cause]++
+		counter.causes[cause]++
 		if cause == causePause {
 			c.addPause(&route.Pauses, request)
 		}
@@ -233,7 +233,7 @@
 	return ", no load ordered"
 }
 
-// addPause adds the other requests on the replica of a request that was late by a pause.
+// addPause adds the other requests on the replica of a request that was late because of a pause.
 func (c *lossCounter) addPause(pauses *PauseLosses, late endedRequest) {
 	concurrent, tokens := 0, 0
 	models := map[string]bool{late.model: true}
@@ -266,11 +266,11 @@
 		return cmp.Or(cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Name, b.Name))
 	})
 	for _, number := range slices.Sorted(maps.Keys(c.windows)) {
-		span := c.windows[number]
-		if causes := sortedCauses(span.causes); len(causes) > 0 {
-			span.TopCause = fmt.Sprintf("%s (%d)", causes[0].Name, causes[0].Requests)
+		counter := c.windows[number]
+		if causes := sortedCauses(counter.causes); len(causes) > 0 {
+			counter.TopCause = fmt.Sprintf("%s (%d)", causes[0].Name, causes[0].Requests)
 		}
-		losses.Windows = append(losses.Windows, span.WindowLosses)
+		losses.Windows = append(losses.Windows, counter.WindowLosses)
 	}
 	return losses
 }
