--- a/access/access.go
+++ b/access/access.go
@@ -53,7 +53,7 @@
 
 // ResolveTenant returns the tenant that owns a key, or the error with which to reject the request.
 func (g *Gate) ResolveTenant(key callers.KeyHash) (*routing.Tenant, *failure.Error) {
-	// The age is read before the table, so that the table can only be newer than the age says.
+	// The age is read before the table, so that the table can only be newer than the age implies.
 	isRecent := g.isRecent()
 	table := g.Table.Current()
 	if table == nil || g.AgeLimit.Strict && !isRecent {
@@ -95,8 +95,8 @@
 func (g *Gate) outdatedError() *failure.Error {
 	age, known := g.Age()
 	if !known {
-		return failure.New(failure.Unavailable, "retry after the delay in the Retry-After header", "this daemon has not loaded a configuration yet").WithRetryAfter(retryDelay)
+		return failure.New(failure.Unavailable, "retry after the given time", "this daemon has not loaded a configuration yet").WithRetryAfter(retryDelay)
 	}
-	return failure.New(failure.ConfigOutdated, "retry after the delay in the Retry-After header; if the error persists, check whether this daemon reaches the key-value service",
+	return failure.New(failure.ConfigOutdated, "retry after the given time; if the error persists, check whether this daemon reaches the key-value service",
 		"the configuration was last verified to be current %d ms ago, too long to authorize the request", age.Milliseconds()).WithRetryAfter(retryDelay)
 }
--- a/frontend/backlog_test.go
+++ b/frontend/backlog_test.go
@@ -73,13 +73,13 @@
 
 // A request on a connection that is still in the backlog when the listener closes must be answered.
 func TestDrainServesConnectionsInBacklog(t *testing.T) {
-	plain, err := net.Listen("tcp", "127.0.0.1:0")
+	tcpListener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	listener := &slowListener{TCPListener: plain.(*net.TCPListener), delay: 60 * time.Millisecond}
+	listener := &slowListener{TCPListener: tcpListener.(*net.TCPListener), delay: 60 * time.Millisecond}
 	server, _ := startServer(t, listener)
-	conn := dial(t, plain)
+	conn := dial(t, tcpListener)
 	sendRequest(t, conn)
-	require.Eventually(t, func() bool { return hasBacklog(plain) }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return hasBacklog(tcpListener) }, time.Second, time.Millisecond)
 
 	require.NoError(t, server.Drain(t.Context()))
 	require.Contains(t, readResponse(t, conn), "hello")
@@ -114,12 +114,12 @@
 
 // Drain must not return while a connection has been accepted but is not tracked yet.
 func TestDrainWaitsForJustAcceptedConnection(t *testing.T) {
-	plain, err := net.Listen("tcp", "127.0.0.1:0")
+	tcpListener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	server, served := startServer(t, delayedListener{plain, 100 * time.Millisecond})
-	conn := dial(t, plain)
+	server, served := startServer(t, delayedListener{tcpListener, 100 * time.Millisecond})
+	conn := dial(t, tcpListener)
 	sendRequest(t, conn)
-	require.Eventually(t, func() bool { return !hasBacklog(plain) }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return !hasBacklog(tcpListener) }, time.Second, time.Millisecond)
 	require.NoError(t, server.Drain(t.Context()))
 	require.True(t, served.Load(), "Drain returned before the request was served")
 }
@@ -196,9 +196,9 @@
 	require.Eventually(t, func() bool {
 		server.mutex.Lock()
 		defer server.mutex.Unlock()
-		for one, state := range server.conns {
+		for openConn, state := range server.conns {
 			state.since = state.since.Add(-firstByteTimeout)
-			server.conns[one] = state
+			server.conns[openConn] = state
 		}
 		return len(server.conns) == 1
 	}, time.Second, time.Millisecond)
--- a/frontend/conn.go
+++ b/frontend/conn.go
@@ -61,8 +61,8 @@
 // CloseWrite closes the sending side of the connection. net/http calls it before it closes a connection
 // on which the caller may still be sending.
 func (c *callerConn) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if writeCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return writeCloser.CloseWrite()
 	}
 	return nil
 }
--- a/frontend/frontend_test.go
+++ b/frontend/frontend_test.go
@@ -42,9 +42,9 @@
 // Closing idle connections must not close one whose next request has just been read: its handler would
 // run, and the caller would get no response.
 func TestIdleCloseSparesConnectionWithRequestBeingRead(t *testing.T) {
-	plain, err := net.Listen("tcp", "127.0.0.1:0")
+	tcpListener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	listener := &hookedListener{Listener: plain, after: 2}
+	listener := &hookedListener{Listener: tcpListener, after: 2}
 	var served atomic.Int32
 	handler := http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		served.Add(1)
@@ -55,7 +55,7 @@
 		}
 	})
 	server := New(listener, handler, testOptions())
-	// The first steps of Drain.
+	// The hook runs the first steps of Drain.
 	listener.hook = func() {
 		server.stopping.Store(true)
 		server.closeIdleConns(0, time.Now())
@@ -64,7 +64,7 @@
 	defer cancel()
 	go func() { _ = server.Serve(ctx) }()
 
-	conn, err := net.Dial("tcp", plain.Addr().String())
+	conn, err := net.Dial("tcp", tcpListener.Addr().String())
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
@@ -88,16 +88,16 @@
 
 // A connection with a partly read request must not be closed as idle.
 func TestConnectionWithPartialRequestIsNotIdle(t *testing.T) {
-	near, far := net.Pipe()
-	defer func() { _ = far.Close() }()
-	conn := &callerConn{Conn: near}
-	go func() { _, _ = far.Write([]byte("GET")) }()
+	serverSide, callerSide := net.Pipe()
+	defer func() { _ = callerSide.Close() }()
+	conn := &callerConn{Conn: serverSide}
+	go func() { _, _ = callerSide.Write([]byte("GET")) }()
 	buffer := make([]byte, 8)
 	n, err := conn.Read(buffer)
 	require.NoError(t, err)
 	require.Equal(t, 3, n)
 	require.False(t, conn.closeIdle(), "closed while a request is being read")
-	go func() { _, _ = far.Write([]byte(" /")) }()
+	go func() { _, _ = callerSide.Write([]byte(" /")) }()
 	n, err = conn.Read(buffer)
 	require.NoError(t, err, "closed while a request is being read")
 	require.Equal(t, 2, n)
--- a/machinelist/machinelist.go
+++ b/machinelist/machinelist.go
@@ -1,5 +1,5 @@
 // Package machinelist reads the platform's list of machines. The list is delayed: a machine may
-// stop before the list shows it as leaving, and run before the list contains it.
+// stop before the list shows it as draining, and run before the list contains it.
 package machinelist
 
 import (
@@ -15,7 +15,7 @@
 // Path is the URL path of the list.
 const Path = "/machines"
 
-// State tells whether the platform keeps a machine or is about to remove it.
+// State indicates whether the platform is about to remove a machine.
 type State string
 
 // States of a machine; the list omits machines that the platform has removed.
--- a/membership/core_test.go
+++ b/membership/core_test.go
@@ -95,8 +95,8 @@
 	return ids
 }
 
-// statusSeenBy returns the status of a member as known to another; Dead if unknown.
-func (n *network) statusSeenBy(by, id string) Status {
+// statusObservedBy returns the status of a member in the view of another; Dead if absent.
+func (n *network) statusObservedBy(by, id string) Status {
 	for _, member := range n.cores[by].Members() {
 		if member.ID == id {
 			return member.Status
@@ -112,7 +112,7 @@
 			continue
 		}
 		for _, id := range n.ids() {
-			require.Equal(t, n.down[id], n.statusSeenBy(by, id) == Dead, "%s: %s considers %s to be %s", phase, by, id, n.statusSeenBy(by, id))
+			require.Equal(t, n.down[id], n.statusObservedBy(by, id) == Dead, "%s: %s considers %s to be %s", phase, by, id, n.statusObservedBy(by, id))
 		}
 	}
 }
@@ -154,7 +154,7 @@
 	n.run(4 * time.Second)
 	for _, id := range n.ids() {
 		if id != "m007" {
-			require.Equal(t, Left, n.statusSeenBy(id, "m007"), "status known to %s", id)
+			require.Equal(t, Left, n.statusObservedBy(id, "m007"), "status known to %s", id)
 		}
 	}
 }
@@ -163,10 +163,10 @@
 	n := newNetwork(40, 1)
 	n.run(15 * time.Second)
 	n.send("m000", n.cores["m000"].SetRevision(7))
-	behind := len(n.cores)
-	for elapsed := time.Duration(0); behind > 0 && elapsed < 10*time.Second; elapsed += networkStep {
+	outdated := len(n.cores)
+	for elapsed := time.Duration(0); outdated > 0 && elapsed < 10*time.Second; elapsed += networkStep {
 		n.run(networkStep)
-		behind = 0
+		outdated = 0
 		for _, id := range n.ids() {
 			// A member that receives a newer revision fetches it and announces it.
 			newest := uint64(0)
@@ -175,11 +175,11 @@
 			}
 			n.send(id, n.cores[id].SetRevision(newest))
 			if newest < 7 && id != "m000" {
-				behind++
+				outdated++
 			}
 		}
 	}
-	require.Zero(t, behind)
+	require.Zero(t, outdated)
 }
 
 // TestPacketRatePerMemberIsConstant checks that a member sends about one probe and one
--- a/membership/main_test.go
+++ b/membership/main_test.go
@@ -6,8 +6,8 @@
 	"github.com/finchspoke/finchspoke/testseed"
 )
 
-// Examples and steps per property test, sufficient to detect every fault listed in
-// docs/MUTATIONS.md.
+// Examples and steps per property test; docs/MUTATIONS.md lists the faults that they must
+// detect.
 const (
 	checks = 100
 	steps  = 30
--- a/membership/learn.go
+++ b/membership/update.go
@@ -31,20 +31,20 @@
 		c.refute(status, reported.GetIncarnation())
 		return
 	}
-	known := c.members[reported.GetId()]
-	if known == nil {
-		known = &Member{ID: reported.GetId(), Status: status, Incarnation: reported.GetIncarnation(), StatusSince: now}
-		c.members[known.ID] = known
-		c.copyAttributes(known, reported)
+	member := c.members[reported.GetId()]
+	if member == nil {
+		member = &Member{ID: reported.GetId(), Status: status, Incarnation: reported.GetIncarnation(), StatusSince: now}
+		c.members[member.ID] = member
+		c.copyAttributes(member, reported)
 		c.changed = true
-		c.enqueueUpdate(*known)
+		c.enqueueUpdate(*member)
 		return
 	}
-	newer := reported.GetIncarnation() > known.Incarnation
-	stronger := reported.GetIncarnation() == known.Incarnation && status > known.Status
+	newer := reported.GetIncarnation() > member.Incarnation
+	stronger := reported.GetIncarnation() == member.Incarnation && status > member.Status
 	if newer || stronger {
-		c.copyAttributes(known, reported)
-		c.setStatus(known, status, reported.GetIncarnation(), now)
+		c.copyAttributes(member, reported)
+		c.setStatus(member, status, reported.GetIncarnation(), now)
 	}
 }
 
--- a/settings/bench_test.go
+++ b/settings/bench_test.go
@@ -24,8 +24,8 @@
 	return []byte(text.String())
 }
 
-// BenchmarkDecodeRevision measures the decoding of a fetched revision up to the design
-// size.
+// BenchmarkDecodeRevision measures the decoding of fetched revisions of different
+// sizes.
 func BenchmarkDecodeRevision(b *testing.B) {
 	for _, models := range []int{110, 220, 440, 880} {
 		b.Run(fmt.Sprintf("models=%d", models), func(b *testing.B) {
--- a/settings/check.go
+++ b/settings/check.go
@@ -9,7 +9,7 @@
 const (
 	keyPrefix       = "sha256:"
 	maxAccelerators = 64
-	// defaultAdapterSlots is how many adapters a replica loads at once if unset.
+	// defaultAdapterSlots is how many adapters a replica holds at once if its model sets no number.
 	defaultAdapterSlots = 4
 )
 
--- a/settings/check_test.go
+++ b/settings/check_test.go
@@ -148,9 +148,9 @@
 	require.Len(t, parsed.Targets, 50+65+60+75)
 	text, err := settings.Marshal(parsed.Document())
 	require.NoError(t, err)
-	again, err := settings.Parse(settings.Source{Name: "again", Data: text})
+	reparsed, err := settings.Parse(settings.Source{Name: "again", Data: text})
 	require.NoError(t, err)
-	require.Empty(t, settings.Diff(parsed.Document(), again.Document()), "canonical YAML is lossless")
+	require.Empty(t, settings.Diff(parsed.Document(), reparsed.Document()), "canonical YAML is lossless")
 }
 
 // FuzzCheck verifies that invalid input is reported as a problem and causes no panic.
--- a/settings/registry_test.go
+++ b/settings/registry_test.go
@@ -48,9 +48,9 @@
 	registry, _ := newRegistry(t)
 	_, err := apply(registry, 0, "one", parse(t, baseYAML))
 	require.NoError(t, err)
-	again, err := apply(registry, 0, "one", parse(t, baseYAML))
+	repeated, err := apply(registry, 0, "one", parse(t, baseYAML))
 	require.NoError(t, err)
-	require.EqualValues(t, 1, again.Number)
+	require.EqualValues(t, 1, repeated.Number)
 	_, err = apply(registry, 0, "one", parse(t, strings.Replace(baseYAML, "class: bulk", "class: standard", 1)))
 	require.True(t, failure.Is(err, failure.SettingsConflict), "an operation id identifies one change")
 }
--- a/sleep/sleep.go
+++ b/sleep/sleep.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for a duration or until ctx ends, and tells whether the full duration has passed.
+// For waits for a duration or until ctx ends, and reports whether the full duration has passed.
 func For(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
