--- a/gateway/call.go
+++ b/gateway/call.go
@@ -217,7 +217,7 @@
 func (s *Server) authenticate(httpRequest *http.Request) (*settings.Branch, *settings.Tree, error) {
 	current := s.Settings.Current()
 	if current == nil {
-		return nil, nil, failure.New(failure.Unavailable, "retry after the delay in the Retry-After header", "this daemon has not loaded its settings yet").WithRetryAfter(time.Second)
+		return nil, nil, failure.New(failure.Unavailable, "retry after the given time", "this daemon has not loaded its settings yet").WithRetryAfter(time.Second)
 	}
 	key, found := strings.CutPrefix(httpRequest.Header.Get("Authorization"), "Bearer ")
 	if !found || key == "" {
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -86,10 +86,10 @@
 		return failure.Wrap(cause, kind, "verify whether the request took effect before retrying",
 			"the request was sent to an engine and its outcome is unknown").WithExecution(execution)
 	case failure.DeadlineExceeded:
-		return failure.Wrap(cause, kind, "allow a longer deadline, or retry after the delay in the Retry-After header",
+		return failure.Wrap(cause, kind, "allow a longer deadline, or retry after the given time",
 			"the deadline passed before %s responded", incoming.target.Name).WithExecution(execution).WithRetryAfter(defaultRetryAfter)
 	}
-	return failure.Wrap(cause, kind, "retry after the delay in the Retry-After header", "no engine accepted the request").
+	return failure.Wrap(cause, kind, "retry after the given time", "no engine accepted the request").
 		WithExecution(execution).WithRetryAfter(defaultRetryAfter)
 }
 
--- a/home/client.go
+++ b/home/client.go
@@ -84,7 +84,7 @@
 
 // noHomeError is returned when no daemon runs in a region that serves the model.
 func noHomeError(slotRequest SlotRequest) *failure.Error {
-	return failure.New(failure.NoCapacity, "retry after the delay in the Retry-After header; if the error persists, list the running daemons with `finchspoke status`",
+	return failure.New(failure.NoCapacity, "retry after the given time; if the error persists, list the running daemons with `finchspoke status`",
 		"no daemon runs in a region that serves %s", slotRequest.Model).WithRetryAfter(time.Second)
 }
 
@@ -258,9 +258,9 @@
 }
 
 var refusalRemedies = map[failure.Kind]string{
-	failure.LimitExceeded:    "retry after the delay in the Retry-After header, or ask your operator to raise max_waiting",
-	failure.DeadlineTooShort: "retry after the delay in the Retry-After header, or allow a longer deadline",
-	failure.DeadlineExceeded: "retry after the delay in the Retry-After header, or allow a longer deadline",
+	failure.LimitExceeded:    "retry after the given time, or ask your operator to raise max_waiting",
+	failure.DeadlineTooShort: "retry after the given time, or allow a longer deadline",
+	failure.DeadlineExceeded: "retry after the given time, or allow a longer deadline",
 }
 
 func refusalError(refusal *rpc.Refusal) *failure.Error {
